--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -92,7 +92,8 @@
 }
 
 // New binds the listen addresses and registers the frontend's handlers and metrics with
-// the node. Call Run to serve.
+// the node. It returns an error if a required setting is missing or an address can't be
+// bound. Call Run to serve.
 func New(common *node.Node, protocol backend.Protocol, source catalog.Source) (*Frontend, error) {
 	settings := common.Settings.Frontend
 	if settings.Address == "" {
--- a/internal/frontend/guard.go
+++ b/internal/frontend/guard.go
@@ -21,15 +21,16 @@
 
 // checkQuarantine returns an error if the request is quarantined because workers crash
 // while they run it, and nil if it may be sent. The request may have run before, so the
-// error does not use a status that promises otherwise (503 or 429).
+// error does not use a status that promises otherwise (503 or 429). A run that the guard
+// grants on trial is allowed.
 func (x *exchange) checkQuarantine(ctx context.Context) *api.Error {
 	guard := x.frontend.guard
-	if x.trial || !guard.Watching() || !guard.Holds(x.requestDigest()) {
+	if x.trialGranted || !guard.Watching() || !guard.Holds(x.requestDigest()) {
 		return nil
 	}
 	granted, wait := guard.Ask(ctx, x.digest)
 	if granted {
-		x.trial = true
+		x.trialGranted = true
 		x.logEntry("request_tried", nil).Info("A quarantined request runs once on trial.")
 		return nil
 	}
@@ -50,5 +51,5 @@
 	case last.status != attemptMaybeRun && guard.Watching():
 		guard.Survived(x.requestDigest())
 	}
-	x.trial = false
+	x.trialGranted = false
 }
--- a/internal/frontend/heard.go
+++ b/internal/frontend/heard.go
@@ -83,9 +83,9 @@
 }
 
 // recordOutcome records whether a request to a worker failed.
-func (o *observations) recordOutcome(now time.Time, w worker.Incarnation, broken bool) {
+func (o *observations) recordOutcome(now time.Time, w worker.Incarnation, failed bool) {
 	o.update(now, w, func(p *pendingObservation) {
-		if broken {
+		if failed {
 			p.Broken++
 		} else {
 			p.Whole++
@@ -118,14 +118,14 @@
 		if !filter(w.ID) {
 			continue
 		}
-		word := p.Word
-		if word.Pace > 0 {
-			word.PaceAge = now.Sub(p.paceAt)
+		observation := p.Word
+		if observation.Pace > 0 {
+			observation.PaceAge = now.Sub(p.paceAt)
 		}
 		if p.streamIntervals > 0 {
-			word.Step = p.streamTime / time.Duration(p.streamIntervals)
+			observation.Step = p.streamTime / time.Duration(p.streamIntervals)
 		}
-		list = append(list, word)
+		list = append(list, observation)
 		delete(o.pending, w)
 	}
 	slices.SortFunc(list, func(a, b reservation.Word) int { return strings.Compare(a.Worker, b.Worker) })
@@ -153,12 +153,12 @@
 // false if it counts neither way. A full worker and a lack of memory in this process
 // don't count; an error that the worker attributes to the request (4xx) counts as a
 // success.
-func (r attemptResult) workerOutcome() (broken, ok bool) {
+func (r attemptResult) workerOutcome() (failed, ok bool) {
 	switch r.status {
 	case attemptServed:
 		return false, true
 	case attemptWorkerError:
-		status := r.response.Response.StatusCode
+		status := r.incoming.Response.StatusCode
 		return status >= http.StatusInternalServerError || status < http.StatusBadRequest, true
 	}
 	if errors.Is(r.failure.Err, errMemoryBudget) {
@@ -174,8 +174,8 @@
 	if !x.frontend.usesReservations(x.service) || x.callerCancelled() {
 		return
 	}
-	if broken, ok := last.workerOutcome(); ok {
-		x.frontend.reservations.observations.recordOutcome(time.Now(), ticket.Worker.Incarnation(), broken)
+	if failed, ok := last.workerOutcome(); ok {
+		x.frontend.reservations.observations.recordOutcome(time.Now(), ticket.Worker.Incarnation(), failed)
 	}
 }
 
--- a/internal/frontend/heard_test.go
+++ b/internal/frontend/heard_test.go
@@ -31,18 +31,18 @@
 		if _, refusal := r.reserve(context.Background(), worker.Query{Service: "s", Excluded: []string{"wb"}}, startWithin(time.Second), attemptInfo{}, nil); refusal != nil {
 			t.Fatal(refusal)
 		}
-		words := a.lastMessage().Report.Heard
-		if len(words) != want {
-			t.Fatalf("reported %v", words)
+		observed := a.lastMessage().Report.Heard
+		if len(observed) != want {
+			t.Fatalf("reported %v", observed)
 		}
-		if want == 1 && (words[0].Worker != "wa" || words[0].Pace != 1.75 || words[0].PaceAge < 0) {
-			t.Errorf("reported %+v", words[0])
+		if want == 1 && (observed[0].Worker != "wa" || observed[0].Pace != 1.75 || observed[0].PaceAge < 0) {
+			t.Errorf("reported %+v", observed[0])
 		}
 	}
 }
 
 func TestWorkerOutcomeOfAttempt(t *testing.T) {
-	answer := func(status int) *backend.Incoming {
+	response := func(status int) *backend.Incoming {
 		return &backend.Incoming{Response: &http.Response{StatusCode: status}}
 	}
 	failure := func(code api.ErrorCode) *api.Error {
@@ -50,13 +50,13 @@
 	}
 	tests := []struct {
 		name       string
-		end        attemptResult
-		broken, ok bool
+		result     attemptResult
+		failed, ok bool
 	}{
 		{"served", attemptResult{status: attemptServed}, false, true},
-		{"worker error", attemptResult{status: attemptWorkerError, response: answer(500)}, true, true},
-		{"response without the worker's signature", attemptResult{status: attemptWorkerError, response: answer(200)}, true, true},
-		{"error caused by the request", attemptResult{status: attemptWorkerError, response: answer(422)}, false, true},
+		{"worker error", attemptResult{status: attemptWorkerError, incoming: response(500)}, true, true},
+		{"response without the worker's signature", attemptResult{status: attemptWorkerError, incoming: response(200)}, true, true},
+		{"error caused by the request", attemptResult{status: attemptWorkerError, incoming: response(422)}, false, true},
 		{"response broke off", attemptResult{status: attemptMaybeRun, failure: failure(api.CodeUpstream)}, true, true},
 		{"timeout", attemptResult{status: attemptMaybeRun, failure: failure(api.CodeDeadline)}, true, true},
 		{"connection refused", attemptResult{status: attemptNotRun, failure: failure(api.CodeUpstream)}, true, true},
@@ -66,9 +66,9 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			broken, ok := test.end.workerOutcome()
-			if ok != test.ok || ok && broken != test.broken {
-				t.Errorf("failed %t, counts %t", broken, ok)
+			failed, ok := test.result.workerOutcome()
+			if ok != test.ok || ok && failed != test.failed {
+				t.Errorf("failed %t, counts %t", failed, ok)
 			}
 		})
 	}
@@ -78,8 +78,8 @@
 	a, b := &fakeLeader{rule: grants("wa")}, &fakeLeader{rule: grants("wb")}
 	r := newTestReservations(t, a, b)
 	now := time.Now()
-	for _, broken := range []bool{true, false, true} {
-		r.observations.recordOutcome(now, incarnation("wa"), broken)
+	for _, failed := range []bool{true, false, true} {
+		r.observations.recordOutcome(now, incarnation("wa"), failed)
 	}
 	r.observations.recordOutcome(now, incarnation("wb"), true)
 	r.observations.recordOutcome(now.Add(-time.Minute), incarnation("old"), true)
@@ -88,11 +88,11 @@
 			t.Fatal(refusal)
 		}
 		var got worker.Outcomes
-		for _, word := range a.lastMessage().Report.Heard {
-			if word.Worker != "wa" {
-				t.Errorf("report includes worker %s", word.Worker)
+		for _, observation := range a.lastMessage().Report.Heard {
+			if observation.Worker != "wa" {
+				t.Errorf("report includes worker %s", observation.Worker)
 			}
-			got = word.Outcomes
+			got = observation.Outcomes
 		}
 		if got != want {
 			t.Errorf("reported %v", got)
@@ -106,11 +106,11 @@
 func TestStreamStepExcludesCallerWriteTime(t *testing.T) {
 	const ms = time.Millisecond
 	tests := []struct {
-		name   string
-		events int
-		each   time.Duration // between two events
-		write  time.Duration // time to write an event to the caller
-		want   time.Duration // 0: no observation
+		name     string
+		events   int
+		interval time.Duration // between two events
+		write    time.Duration // time to write an event to the caller
+		want     time.Duration // 0: no observation
 	}{
 		{"complete stream", 19, 35 * ms, 0, 35 * ms},
 		{"slow caller", 19, 35 * ms, time.Second, 35 * ms},
@@ -122,7 +122,7 @@
 			now := time.Unix(1_700_000_000, 0)
 			var pace streamPace
 			for range test.events {
-				now = now.Add(test.each)
+				now = now.Add(test.interval)
 				pace.received(now)
 				now = now.Add(test.write)
 				pace.forwarded(now)
@@ -130,9 +130,9 @@
 			var o observations
 			o.recordStream(now, incarnation("w"), pace)
 			o.recordStream(now, incarnation("other"), streamPace{events: 20, workerTime: time.Second})
-			words := o.drain(now, func(id string) bool { return id == "w" })
-			if len(words) > 1 || len(words) == 1 != (test.want > 0) || test.want > 0 && (words[0].Step != test.want || words[0].Streams != 1) {
-				t.Errorf("reported %v", words)
+			observed := o.drain(now, func(id string) bool { return id == "w" })
+			if len(observed) > 1 || len(observed) == 1 != (test.want > 0) || test.want > 0 && (observed[0].Step != test.want || observed[0].Streams != 1) {
+				t.Errorf("reported %v", observed)
 			}
 			if again := o.drain(now.Add(2*observationTTL), func(string) bool { return true }); len(again) != 0 || len(o.pending) != 0 {
 				t.Errorf("reported again %v, pending %v", again, o.pending)
@@ -186,8 +186,8 @@
 		}
 		time.Sleep(observationTTL + time.Millisecond)
 		o.recordLoad(time.Now(), incarnation("late"), loadWithPace(1))
-		if words := o.drain(time.Now(), all); len(words) != 1 || len(o.pending) != 0 {
-			t.Errorf("reported %v, pending %d", words, len(o.pending))
+		if observed := o.drain(time.Now(), all); len(observed) != 1 || len(o.pending) != 0 {
+			t.Errorf("reported %v, pending %d", observed, len(o.pending))
 		}
 	})
 }
--- a/internal/frontend/identity.go
+++ b/internal/frontend/identity.go
@@ -11,9 +11,9 @@
 // identity is the tenant of a request and its key. The zero value is used if the
 // configuration has no tenants.
 type identity struct {
-	tenants bool
-	tenant  route.Tenant // empty name: no tenant
-	key     route.Key
+	hasTenants bool
+	tenant     route.Tenant // empty name: no tenant
+	key        route.Key
 }
 
 // identify looks up the tenant by the request's key, which is optional on public
@@ -22,7 +22,7 @@
 	if !configuration.HasTenants() {
 		return identity{}, true
 	}
-	found := identity{tenants: true, key: request.Key}
+	found := identity{hasTenants: true, key: request.Key}
 	if request.HasKey {
 		tenant, known := configuration.Identify(request.Key)
 		found.tenant = tenant
--- a/internal/frontend/memory_test.go
+++ b/internal/frontend/memory_test.go
@@ -60,12 +60,12 @@
 		_, _ = fmt.Sscanf(r.URL.Path, "/%d", &length)
 		x := &exchange{frontend: f, w: w, r: r, arrived: time.Now(), deadline: time.Now().Add(time.Minute)}
 		defer x.freeMemory()
-		pieces, err := x.allocateResponse().readResponse(r.Context(), io.LimitReader(endlessReader{}, length), maxResponseBytes)
+		chunks, err := x.allocateResponse().readResponse(r.Context(), io.LimitReader(endlessReader{}, length), maxResponseBytes)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadGateway)
 			return
 		}
-		x.writeResponse(&backend.Incoming{Response: &http.Response{StatusCode: http.StatusOK, Header: http.Header{}}}, pieces)
+		x.writeResponse(&backend.Incoming{Response: &http.Response{StatusCode: http.StatusOK, Header: http.Header{}}}, chunks)
 	}))
 	server.Config.ErrorLog = discardLog()
 	tb.Cleanup(server.Close)
--- a/internal/frontend/metrics.go
+++ b/internal/frontend/metrics.go
@@ -9,13 +9,13 @@
 
 // metrics of the frontend. All labels have few values.
 type metrics struct {
-	requests   *prometheus.CounterVec   // by kind and outcome
-	firstByte  *prometheus.HistogramVec // seconds, by kind
-	duration   *prometheus.HistogramVec // seconds, by kind
-	attempts   *prometheus.CounterVec   // by outcome
-	inFlight   prometheus.Gauge
-	registries prometheus.Counter
-	slotWait   prometheus.Histogram // seconds
+	requests          *prometheus.CounterVec   // by kind and outcome
+	firstByte         *prometheus.HistogramVec // seconds, by kind
+	duration          *prometheus.HistogramVec // seconds, by kind
+	attempts          *prometheus.CounterVec   // by outcome
+	inFlight          prometheus.Gauge
+	registryResponses prometheus.Counter
+	slotWait          prometheus.Histogram // seconds
 	// refusalTime is the time in seconds until a refusal that promises that the request
 	// has not run.
 	refusalTime  prometheus.Histogram
@@ -40,7 +40,7 @@
 		inFlight: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "dykewing_frontend_requests_running", Help: "Callers' requests that run now.",
 		}),
-		registries: prometheus.NewCounter(prometheus.CounterOpts{
+		registryResponses: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "dykewing_frontend_registry_answers_total", Help: "Answers of the registry.",
 		}),
 	}
@@ -53,7 +53,7 @@
 	m.refusalTime = prometheus.NewHistogram(prometheus.HistogramOpts{
 		Name: "dykewing_frontend_refused_after_seconds", Help: "Time from a request's arrival to a refusal that promises that it has not run.", Buckets: buckets,
 	})
-	registry.MustRegister(m.slotWait, m.refusalTime, m.reservations, m.requests, m.firstByte, m.duration, m.attempts, m.inFlight, m.registries)
+	registry.MustRegister(m.slotWait, m.refusalTime, m.reservations, m.requests, m.firstByte, m.duration, m.attempts, m.inFlight, m.registryResponses)
 	return m
 }
 
--- a/internal/frontend/online.go
+++ b/internal/frontend/online.go
@@ -37,14 +37,14 @@
 	attemptServed      attemptStatus = iota // the response was passed on to the caller
 	attemptNotRun                           // the worker did not run the request
 	attemptMaybeRun                         // the request may have run, without a response
-	attemptWorkerError                      // the worker answered with an error, in attemptResult.response
+	attemptWorkerError                      // the worker answered with an error, in attemptResult.incoming
 )
 
 // attemptResult is the result of sending a request to a worker once.
 type attemptResult struct {
 	status   attemptStatus
 	failure  *api.Error        // with attemptNotRun and attemptMaybeRun
-	response *backend.Incoming // with attemptWorkerError
+	incoming *backend.Incoming // with attemptWorkerError
 	body     net.Buffers       // with attemptWorkerError
 }
 
@@ -180,7 +180,7 @@
 	defer ticket.End()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	call := backend.Call{Left: time.Until(x.deadline), Tenants: x.identity.tenants, Tenant: x.identity.tenant.Name}
+	call := backend.Call{Left: time.Until(x.deadline), Tenants: x.identity.hasTenants, Tenant: x.identity.tenant.Name}
 	if x.events > 0 {
 		call.LastEvent = x.lastEventID
 	}
@@ -250,7 +250,7 @@
 		failure.Code, failure.Err = readErrorCode(err), err
 		return attemptResult{status: attemptMaybeRun, failure: failure}
 	}
-	return attemptResult{status: attemptWorkerError, failure: failure, response: incoming, body: chunks}
+	return attemptResult{status: attemptWorkerError, failure: failure, incoming: incoming, body: chunks}
 }
 
 // readErrorCode returns the error code for a response that could not be read. A lack of
@@ -325,10 +325,10 @@
 	if x.headerWritten {
 		x.abortResponse(last.failure)
 	}
-	if last.status == attemptWorkerError && !promisesNotRun(last.response.Response.StatusCode) {
+	if last.status == attemptWorkerError && !promisesNotRun(last.incoming.Response.StatusCode) {
 		x.logEntry("worker_failed", last.failure).Warn("A worker's error response is passed on.")
 		x.frontend.metrics.requests.WithLabelValues(string(x.route.Kind), "worker_failed").Inc()
-		x.writeResponse(last.response, last.body)
+		x.writeResponse(last.incoming, last.body)
 		return
 	}
 	x.refundToken()
@@ -365,6 +365,6 @@
 		WithField("load_age_ms", ticket.Age.Milliseconds()).WithField("first_ms", x.timeToFirstByte.Milliseconds()).WithFields(paceFields(ticket)).Info("A request was served.")
 }
 
-func (v attemptStatus) String() string {
-	return [...]string{"served", "not_run", "may_have_run", "worker_failed"}[v]
+func (s attemptStatus) String() string {
+	return [...]string{"served", "not_run", "may_have_run", "worker_failed"}[s]
 }
--- a/internal/frontend/order.go
+++ b/internal/frontend/order.go
@@ -67,12 +67,12 @@
 	longest map[string]time.Duration
 }
 
-func (p *timeoutTracker) observe(route string, left time.Duration) time.Duration {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if p.longest == nil {
-		p.longest = map[string]time.Duration{}
+func (t *timeoutTracker) observe(route string, left time.Duration) time.Duration {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if t.longest == nil {
+		t.longest = map[string]time.Duration{}
 	}
-	p.longest[route] = max(p.longest[route], left)
-	return p.longest[route]
+	t.longest[route] = max(t.longest[route], left)
+	return t.longest[route]
 }
--- a/internal/frontend/places.go
+++ b/internal/frontend/places.go
@@ -32,7 +32,8 @@
 	maxLeaderBackoff = 2400 * time.Millisecond
 	// fullTTL is how long a leader without a free slot is considered full.
 	fullTTL = 30 * time.Millisecond
-	// leaderKnownPeriod without an unknown leader ends a period of unknown leaders.
+	// leaderKnownPeriod is how long all leaders must be known before a period of
+	// unknown leaders is logged as over.
 	leaderKnownPeriod = time.Second
 	// maxReservationWait limits one wait in a leader's queue, since the leader may
 	// change.
@@ -42,7 +43,7 @@
 	reportDelay = 10 * time.Millisecond
 	// reportInterval is the time between two reports while nothing changes.
 	reportInterval = 500 * time.Millisecond
-	// Idle connections kept to each leader.
+	// leaderConnections is the number of idle connections kept to each leader.
 	leaderConnections  = 8
 	leaderSilenceLimit = time.Second
 )
@@ -59,8 +60,8 @@
 	metrics *metrics
 	// leaderOf returns the leader that reserves slots at a worker, if it is known.
 	leaderOf func(worker string) (api.Node, bool)
-	// groups returns the groups whose leader passes the filter; with includeUnknown, also
-	// groups without a known leader.
+	// groups returns the groups whose leader passes the filter; with includeUnknown,
+	// also groups without a known leader.
 	groups func(filter func(leader api.NodeID) bool, includeUnknown bool) []int
 
 	observations observations // not yet reported to leaders
@@ -102,8 +103,9 @@
 	return f.leaders.Of(f.node.Nodes(), placement.WorkerGroup(id, f.node.Settings.Store.Groups))
 }
 
-// groupsLedBy returns the groups whose leader passes the filter; with includeUnknown, also
-// groups without a known leader. The result is never nil, since nil means all groups.
+// groupsLedBy returns the groups whose leader passes the filter; with includeUnknown,
+// also groups without a known leader. The result is never nil, since nil means all
+// groups.
 func (f *Frontend) groupsLedBy(filter func(leader api.NodeID) bool, includeUnknown bool) []int {
 	n := f.node.Settings.Store.Groups
 	leaders := f.leaders.All(f.node.Nodes(), n)
@@ -154,9 +156,9 @@
 //
 // A worker may leave during the wait. In that case dropped is called with its ticket
 // and another worker is chosen.
-func (r *reservations) reserve(ctx context.Context, query worker.Query, order hold.Request, attempt attemptInfo, dropped func(*backend.Ticket)) (*backend.Ticket, *api.Error) {
+func (r *reservations) reserve(ctx context.Context, query worker.Query, entry hold.Request, attempt attemptInfo, dropped func(*backend.Ticket)) (*backend.Ticket, *api.Error) {
 	for {
-		ticket, refusal := r.reserveOnce(ctx, query, order, attempt)
+		ticket, refusal := r.reserveOnce(ctx, query, entry, attempt)
 		if ticket == nil || r.pool.Accepts(ticket.Worker.ID) {
 			return ticket, refusal
 		}
@@ -166,7 +168,7 @@
 }
 
 // reserveOnce is reserve without the check that the worker is still there.
-func (r *reservations) reserveOnce(ctx context.Context, query worker.Query, order hold.Request, attempt attemptInfo) (*backend.Ticket, *api.Error) {
+func (r *reservations) reserveOnce(ctx context.Context, query worker.Query, entry hold.Request, attempt attemptInfo) (*backend.Ticket, *api.Error) {
 	requeued := attempt.requeued
 	var refusedBy api.NodeID // leader without a slot in time; one other leader is asked
 	full := map[api.NodeID]bool{}
@@ -177,7 +179,7 @@
 		}
 		wait := time.Duration(0)
 		if !ok {
-			ticket, wait, ok = r.chooseQueue(query, full, order, refusedBy)
+			ticket, wait, ok = r.chooseQueue(query, full, entry, refusedBy)
 			if !ok {
 				return nil, api.NewError("wait for a place", "", api.CodeNoCapacity, api.OutcomeNotRun, "no slot became free in time")
 			}
@@ -187,7 +189,7 @@
 		if !known || r.backingOff(peer.ID) {
 			return r.trackUnreserved(ticket), nil
 		}
-		answer, err := r.requestSlot(ctx, peer, ticket, query, order, reservation.Ask{
+		answer, err := r.requestSlot(ctx, peer, ticket, query, entry, reservation.Ask{
 			Wait: wait, Returned: attempt.callerRetry, Again: requeued, Elsewhere: wait > 0 && refusedBy == "" && len(full) > 1,
 		})
 		switch {
@@ -212,7 +214,7 @@
 		if wait > 0 {
 			requeued = true
 			if answer.Promise != nil {
-				order.Promised = time.Now().Add(*answer.Promise)
+				entry.Promised = time.Now().Add(*answer.Promise)
 			}
 		}
 	}
@@ -270,8 +272,8 @@
 // for one of its workers and how long to wait there. It returns false if the request
 // can't wait any longer. The queue length alone is no criterion: it is 0 at a leader
 // that has lost its workers and refuses all requests.
-func (r *reservations) chooseQueue(query worker.Query, full map[api.NodeID]bool, order hold.Request, refusedBy api.NodeID) (*backend.Ticket, time.Duration, bool) {
-	wait := min(time.Until(order.Last), maxReservationWait)
+func (r *reservations) chooseQueue(query worker.Query, full map[api.NodeID]bool, entry hold.Request, refusedBy api.NodeID) (*backend.Ticket, time.Duration, bool) {
+	wait := min(time.Until(entry.Last), maxReservationWait)
 	if wait <= 0 {
 		return nil, 0, false
 	}
@@ -306,12 +308,12 @@
 }
 
 // requestSlot asks a leader to reserve a slot, and updates what is known of the leader.
-func (r *reservations) requestSlot(ctx context.Context, peer api.Node, ticket *backend.Ticket, query worker.Query, order hold.Request, ask reservation.Ask) (reservation.Answer, error) {
+func (r *reservations) requestSlot(ctx context.Context, peer api.Node, ticket *backend.Ticket, query worker.Query, entry hold.Request, ask reservation.Ask) (reservation.Answer, error) {
 	wait := ask.Wait
 	ask.Service, ask.Worker, ask.Parts, ask.Tokens, ask.Excluded = query.Service, ticket.Worker.ID, query.Parts, query.Tokens, query.Excluded
-	ask.Zone, ask.Rank, ask.Begin, ask.Last = r.zone, order.Rank, time.Until(order.Begin), time.Until(order.Last)
-	if !order.Promised.IsZero() {
-		due := time.Until(order.Promised)
+	ask.Zone, ask.Rank, ask.Begin, ask.Last = r.zone, entry.Rank, time.Until(entry.Begin), time.Until(entry.Last)
+	if !entry.Promised.IsZero() {
+		due := time.Until(entry.Promised)
 		ask.Promise = &due
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+reservationTimeout)
--- a/internal/frontend/places_test.go
+++ b/internal/frontend/places_test.go
@@ -33,15 +33,15 @@
 	rule     func(ask reservation.Ask) (reservation.Answer, bool) // false: drop the connection
 }
 
-func (a *fakeLeader) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (l *fakeLeader) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var message reservation.Message
 	_ = json.NewDecoder(r.Body).Decode(&message)
-	a.mutex.Lock()
-	a.messages = append(a.messages, message)
-	a.mutex.Unlock()
+	l.mutex.Lock()
+	l.messages = append(l.messages, message)
+	l.mutex.Unlock()
 	answer := reservation.Answer{}
 	if message.Ask != nil {
-		given, ok := a.rule(*message.Ask)
+		given, ok := l.rule(*message.Ask)
 		if !ok {
 			panic(http.ErrAbortHandler)
 		}
@@ -50,10 +50,10 @@
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-func (a *fakeLeader) requestCount() (n int) {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	for _, message := range a.messages {
+func (l *fakeLeader) requestCount() (n int) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	for _, message := range l.messages {
 		if message.Ask != nil {
 			n++
 		}
@@ -61,10 +61,10 @@
 	return n
 }
 
-func (a *fakeLeader) lastMessage() reservation.Message {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	return a.messages[len(a.messages)-1]
+func (l *fakeLeader) lastMessage() reservation.Message {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.messages[len(l.messages)-1]
 }
 
 // newTestReservations returns reservations with two leaders: a for worker wa and b for
@@ -118,7 +118,7 @@
 }
 
 func TestReserveFollowsLeaderAnswers(t *testing.T) {
-	hopeless := answersWith(reservation.Answer{Hopeless: true, RetryAfter: time.Second, Waiting: 9})
+	noSlot := answersWith(reservation.Answer{Hopeless: true, RetryAfter: time.Second, Waiting: 9})
 	full := answersWith(reservation.Answer{Full: true, Waiting: 1})
 	later := func(ask reservation.Ask) (reservation.Answer, bool) { // requests that wait get a slot
 		if ask.Wait > 0 {
@@ -135,9 +135,9 @@
 		{"leader grants the preferred worker", grants("wa"), grants("wa"), time.Minute, "wa"},
 		{"leader grants another worker", grants("wb"), grants("wb"), time.Minute, "wb"},
 		{"one leader full", full, grants("wb"), time.Minute, "wb"},
-		{"one leader without a slot in time, the other with a free slot", hopeless, grants("wb"), time.Millisecond, "wb"},
+		{"one leader without a slot in time, the other with a free slot", noSlot, grants("wb"), time.Millisecond, "wb"},
 		{"both full, one gets a slot later", full, later, time.Minute, "wb"},
-		{"no slot in time at either", hopeless, hopeless, time.Minute, ""},
+		{"no slot in time at either", noSlot, noSlot, time.Minute, ""},
 		{"both full, no time left", full, full, -time.Millisecond, ""},
 		{"grant of an unknown worker", grants("wa"), grants("unknown"), time.Minute, "any"},
 		{"leaders that have just started", answersWith(reservation.Answer{Blind: true}), answersWith(reservation.Answer{Blind: true}), time.Minute, "any"},
@@ -155,9 +155,9 @@
 			case ticket == nil || test.want != "any" && ticket.Worker.ID != test.want:
 				t.Errorf("%+v, %v, want %s", ticket, refusal, test.want)
 			}
-			held := r.pool.Held("wa") + r.pool.Held("wb")
-			if ticket != nil && held != 1 || ticket == nil && held != 0 {
-				t.Errorf("%d requests counted at workers", held)
+			counted := r.pool.Held("wa") + r.pool.Held("wb")
+			if ticket != nil && counted != 1 || ticket == nil && counted != 0 {
+				t.Errorf("%d requests counted at workers", counted)
 			}
 		})
 	}
@@ -174,12 +174,12 @@
 			time.Sleep(step.after)
 			r.recordLeaderKnown(step.known)
 		}
-		var told []string
+		var logged []string
 		for _, entry := range hook.AllEntries() {
-			told = append(told, fmt.Sprint(entry.Data["event"], " ", entry.Data["unknown_ms"]))
+			logged = append(logged, fmt.Sprint(entry.Data["event"], " ", entry.Data["unknown_ms"]))
 		}
-		if want := "leader_unknown <nil>, leader_known 310"; strings.Join(told, ", ") != want {
-			t.Errorf("logged %q, want %q", told, want)
+		if want := "leader_unknown <nil>, leader_known 310"; strings.Join(logged, ", ") != want {
+			t.Errorf("logged %q, want %q", logged, want)
 		}
 	})
 }
@@ -190,9 +190,9 @@
 // its leader, for up to a second.
 func TestWorkerThatLeavesDuringReservationIsNotUsed(t *testing.T) {
 	tests := []struct {
-		name   string
-		answer reservation.Answer
-		gone   bool // the worker is removed; otherwise it is leaving
+		name    string
+		answer  reservation.Answer
+		removed bool // the worker is removed; otherwise it is leaving
 	}{
 		{"granted, worker removed", reservation.Answer{Worker: "wa", Grant: 7}, true},
 		{"granted, worker leaving", reservation.Answer{Worker: "wa", Grant: 7}, false},
@@ -204,7 +204,7 @@
 			a := &fakeLeader{}
 			r := newTestReservations(t, a, b)
 			a.rule = func(reservation.Ask) (reservation.Answer, bool) {
-				r.pool.WorkersChanged([]catalog.Change{{ID: "wa", Gone: test.gone, Worker: worker.Worker{ID: "wa", Service: "s", Zone: "z", Slots: 4, Leaving: true}}})
+				r.pool.WorkersChanged([]catalog.Change{{ID: "wa", Gone: test.removed, Worker: worker.Worker{ID: "wa", Service: "s", Zone: "z", Slots: 4, Leaving: true}}})
 				return test.answer, true
 			}
 			r.pool.WorkersChanged([]catalog.Change{{ID: "wb", Gone: true}}) // added again when wa is dropped
@@ -219,7 +219,7 @@
 			r.mutex.Lock()
 			defer r.mutex.Unlock()
 			if r.inFlight[worker.Incarnation{ID: "wa"}] != 0 || r.inFlight[worker.Incarnation{ID: "wb"}] != 1 {
-				t.Errorf("held: %v", r.inFlight)
+				t.Errorf("in flight: %v", r.inFlight)
 			}
 		})
 	}
@@ -248,8 +248,8 @@
 			t.Fatal("no report of the ended request")
 		}
 	}
-	if told := a.lastMessage().Report; len(told.Held) != 0 || told.Sequence <= report.Sequence {
-		t.Errorf("%+v after %+v", told, report)
+	if last := a.lastMessage().Report; len(last.Held) != 0 || last.Sequence <= report.Sequence {
+		t.Errorf("%+v after %+v", last, report)
 	}
 }
 
@@ -259,11 +259,11 @@
 	query := worker.Query{Service: "s", Excluded: []string{"wb"}}
 	r.reserve(t.Context(), query, startWithin(time.Minute), attemptInfo{}, ignoreDropped)
 	peer, _ := r.leaderOf("wa")
-	known := r.leader(peer.ID)
-	if known.backoff != minLeaderBackoff || known.backoffUntil.IsZero() {
-		t.Fatalf("after a failure: %+v", known)
+	state := r.leader(peer.ID)
+	if state.backoff != minLeaderBackoff || state.backoffUntil.IsZero() {
+		t.Fatalf("after a failure: %+v", state)
 	}
-	known.backoffUntil = time.Now().Add(time.Hour) // independent of the test's timing
+	state.backoffUntil = time.Now().Add(time.Hour) // independent of the test's timing
 	for range 10 {
 		if ticket, refusal := r.reserve(t.Context(), query, startWithin(time.Minute), attemptInfo{}, ignoreDropped); ticket == nil {
 			t.Fatalf("no worker: %v", refusal)
@@ -272,22 +272,22 @@
 	if n := a.requestCount(); n != 1 {
 		t.Errorf("an unresponsive leader was asked %d times", n)
 	}
-	known.backoffUntil = time.Time{}
+	state.backoffUntil = time.Time{}
 	r.reserve(t.Context(), query, startWithin(time.Minute), attemptInfo{}, ignoreDropped)
-	if known.backoff != 2*minLeaderBackoff {
-		t.Errorf("backoff %v after the second failure", known.backoff)
+	if state.backoff != 2*minLeaderBackoff {
+		t.Errorf("backoff %v after the second failure", state.backoff)
 	}
 }
 
 func TestCancelledRequestReservesNothing(t *testing.T) {
 	r := newTestReservations(t, &fakeLeader{rule: grants("wa")}, &fakeLeader{rule: grants("wb")})
-	ctx, leave := context.WithCancel(t.Context())
-	leave()
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
 	if ticket, refusal := r.reserve(ctx, worker.Query{Service: "s"}, startWithin(time.Minute), attemptInfo{}, ignoreDropped); ticket != nil || refusal != nil {
 		t.Errorf("%v, %v", ticket, refusal)
 	}
-	if held := r.pool.Held("wa") + r.pool.Held("wb"); held != 0 {
-		t.Errorf("%d requests counted at workers", held)
+	if counted := r.pool.Held("wa") + r.pool.Held("wb"); counted != 0 {
+		t.Errorf("%d requests counted at workers", counted)
 	}
 }
 
@@ -358,14 +358,14 @@
 			return waits, true
 		}
 	}
-	hopeless := reservation.Answer{Hopeless: true, RetryAfter: 300 * time.Millisecond}
+	noSlot := reservation.Answer{Hopeless: true, RetryAfter: 300 * time.Millisecond}
 	tests := []struct {
 		name string
 		b    reservation.Answer
 		want string
 	}{
 		{"the other has a slot", reservation.Answer{Worker: "wb", Grant: 1}, "wb"},
-		{"neither has", hopeless, ""},
+		{"neither has", noSlot, ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -375,7 +375,7 @@
 			if (ticket != nil) != (test.want != "") || (refusal != nil) != (test.want == "") {
 				t.Fatalf("%+v, %v", ticket, refusal)
 			}
-			if refusal != nil && refusal.RetryAfter != hopeless.RetryAfter {
+			if refusal != nil && refusal.RetryAfter != noSlot.RetryAfter {
 				t.Errorf("RetryAfter %v", refusal.RetryAfter)
 			}
 			if len(asks) != 2 || !asks[0].Elsewhere || asks[1].Elsewhere {
--- a/internal/frontend/registry.go
+++ b/internal/frontend/registry.go
@@ -83,8 +83,8 @@
 		}
 	}
 	return func(node api.Node) bool {
-		few := float64(disconnected[node.Location]) <= maxExcludedFraction*float64(total[node.Location])
-		return keep(node) && !(node.Summary.Apart && few)
+		minority := float64(disconnected[node.Location]) <= maxExcludedFraction*float64(total[node.Location])
+		return keep(node) && !(node.Summary.Apart && minority)
 	}
 }
 
--- a/internal/frontend/room_test.go
+++ b/internal/frontend/room_test.go
@@ -12,12 +12,12 @@
 
 // trackerAfterRequests returns a tracker that has seen sequential requests of the given
 // duration, and the time after the last one.
-func trackerAfterRequests(service string, requests int, each time.Duration, workers []worker.Occupancy) (*capacityTracker, time.Time) {
+func trackerAfterRequests(service string, requests int, holdTime time.Duration, workers []worker.Occupancy) (*capacityTracker, time.Time) {
 	c, now := &capacityTracker{}, testStart
 	c.decide(now, service, workers, hold.Request{Begin: now, Last: now.Add(time.Hour)})
 	for range requests {
 		c.requestSent(now, service)
-		now = now.Add(each)
+		now = now.Add(holdTime)
 		c.requestEnded(now, service, true)
 	}
 	return c, now
@@ -26,7 +26,7 @@
 func TestCapacityDecisionWithoutLeader(t *testing.T) {
 	const ms = time.Millisecond
 	// four workers with six slots, all in use, and more queued requests at each
-	at := func(more int) (list []worker.Occupancy) {
+	occupied := func(more int) (list []worker.Occupancy) {
 		for range 4 {
 			list = append(list, worker.Occupancy{Worker: worker.Worker{Slots: 6}, Others: 6 + more, Usable: true})
 		}
@@ -35,7 +35,7 @@
 	tests := []struct {
 		name        string
 		requests    int
-		each        time.Duration // how long each request holds its slot
+		holdTime    time.Duration // how long each request holds its slot
 		more        int
 		begin, last time.Duration
 		refuse      bool
@@ -49,8 +49,8 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c, now := trackerAfterRequests("s", test.requests, test.each, at(test.more))
-			v := c.decide(now, "s", at(test.more), hold.Request{Begin: now.Add(test.begin), Last: now.Add(test.last)})
+			c, now := trackerAfterRequests("s", test.requests, test.holdTime, occupied(test.more))
+			v := c.decide(now, "s", occupied(test.more), hold.Request{Begin: now.Add(test.begin), Last: now.Add(test.last)})
 			if v.Refuse != test.refuse || v.Refuse != (v.Return > 0) {
 				t.Errorf("%+v", v)
 			}
--- a/internal/frontend/serve.go
+++ b/internal/frontend/serve.go
@@ -78,19 +78,19 @@
 
 // exchange is a caller's request and the state of its processing.
 type exchange struct {
-	frontend *Frontend
-	w        http.ResponseWriter
-	r        *http.Request
-	request  backend.Request
-	route    route.Route
-	identity identity
-	version  int64 // of the configuration that matched the route
-	service  string
-	body     []byte
-	digest   quarantine.Digest // computed on first use
-	trial    bool              // the next run of a quarantined request is granted
-	arrived  time.Time
-	deadline time.Time
+	frontend     *Frontend
+	w            http.ResponseWriter
+	r            *http.Request
+	request      backend.Request
+	route        route.Route
+	identity     identity
+	version      int64 // of the configuration that matched the route
+	service      string
+	body         []byte
+	digest       quarantine.Digest // computed on first use
+	trialGranted bool              // the next run of a quarantined request is granted
+	arrived      time.Time
+	deadline     time.Time
 
 	runs  int      // attempts that may have run
 	sends int      // all attempts
--- a/internal/frontend/serve_test.go
+++ b/internal/frontend/serve_test.go
@@ -65,18 +65,18 @@
 // timeout.
 func TestLongCallerTimeoutDoesNotMarkOthersAsRetries(t *testing.T) {
 	f := &Frontend{}
-	of := func(left time.Duration) *exchange {
+	newExchange := func(left time.Duration) *exchange {
 		x := &exchange{frontend: f, request: backend.Request{Left: left}}
 		x.route.Name, x.route.Timeout = "r", 5*time.Second
 		return x
 	}
-	of(time.Minute).waitedBefore()
+	newExchange(time.Minute).waitedBefore()
 	tests := []struct {
 		left time.Duration
 		want bool
 	}{{5 * time.Second, false}, {4990 * time.Millisecond, false}, {3 * time.Second, true}, {time.Minute, false}, {0, false}}
 	for _, test := range tests {
-		if got := of(test.left).isRetry(); got != test.want {
+		if got := newExchange(test.left).isRetry(); got != test.want {
 			t.Errorf("%v left: retry %t", test.left, got)
 		}
 	}
