--- a/internal/batchrun/commit.go
+++ b/internal/batchrun/commit.go
@@ -9,86 +9,87 @@
 	"github.com/dykewing/dykewing/jobs"
 )
 
-// abandon lists an item that can't be done; the mutex is held.
+// abandon gives up an item and records it as abandoned. The caller holds the mutex.
 func (l *Leader) abandon(i *item, why string) {
 	l.log.WithFields(logrus.Fields{
 		"event": "item_abandoned", "request": i.job.ID, "index": i.index, "why": why, "failures": i.failures,
 		"age_ms": time.Since(i.job.Created).Milliseconds(),
-	}).Warn("An item is given up.")
-	l.queued.finished(i)
-	go l.list(i, jobs.InlineAbandoned, "")
+	}).Warn("Item abandoned.")
+	l.backlog.finish(i)
+	go l.enqueueResult(i, jobs.InlineAbandoned, "")
 }
 
-// list hands a result to be committed.
-func (l *Leader) list(i *item, outcome jobs.InlineOutcome, text string) {
+// enqueueResult passes an item's result to commitLoop.
+func (l *Leader) enqueueResult(i *item, outcome jobs.InlineOutcome, text string) {
 	stored, _, err := l.state.InlineItem(i.job.ID, i.index)
 	if err != nil {
-		l.log.WithError(err).Error("An item could not be read.")
+		l.log.WithError(err).Error("Reading an item from the state failed.")
 		return
 	}
 	result := jobs.InlineResult{Job: i.job.ID, Index: i.index, Item: stored.ID, Outcome: outcome, Text: text}
-	i.received.Lock()
-	result.Kept = min(i.lasting, len(text))
-	i.received.Unlock()
+	i.outputMutex.Lock()
+	result.Kept = min(i.committedBytes, len(text))
+	i.outputMutex.Unlock()
 	select {
 	case l.results <- result:
 	case <-l.ctx.Done():
 	}
 }
 
-// commitLoop proposes results, as many as wait, until each is committed.
+// commitLoop commits queued results in batches, retrying each batch until it is committed.
 func (l *Leader) commitLoop() {
 	for {
-		var gathered []jobs.InlineResult
+		var batch []jobs.InlineResult
 		select {
 		case first := <-l.results:
-			gathered = l.gather(first)
+			batch = l.drainResults(first)
 		case <-l.ctx.Done():
 			return
 		}
-		l.commitResults(gathered)
-		for _, result := range gathered {
+		l.commitResults(batch)
+		for _, result := range batch {
 			l.service.metrics.items.WithLabelValues(string(result.Outcome)).Inc()
 		}
 	}
 }
 
-func (l *Leader) gather(first jobs.InlineResult) []jobs.InlineResult {
-	gathered := []jobs.InlineResult{first}
-	for len(gathered) < maximumGathered {
+func (l *Leader) drainResults(first jobs.InlineResult) []jobs.InlineResult {
+	batch := []jobs.InlineResult{first}
+	for len(batch) < maxResultsPerCommand {
 		select {
 		case next := <-l.results:
-			gathered = append(gathered, next)
+			batch = append(batch, next)
 		default:
-			return gathered
+			return batch
 		}
 	}
-	return gathered
+	return batch
 }
 
-// commitResults lists results. Where one was not listed over the parts that it names, all
-// of them are proposed whole: what is listed already is passed over.
+// commitResults commits results. A result omits text that earlier partial outputs are believed
+// to have committed. If some are not accepted on that basis, all are proposed again with their
+// whole text; the state ignores those it already has.
 func (l *Leader) commitResults(results []jobs.InlineResult) {
-	listed, committed := l.commit(jobs.Command{CompleteInline: &jobs.CompleteInline{Results: results}})
-	if !committed || listed.Accepted >= len(results) {
+	result, committed := l.commit(jobs.Command{CompleteInline: &jobs.CompleteInline{Results: results}})
+	if !committed || result.Accepted >= len(results) {
 		return
 	}
-	named := 0
+	omitted := 0
 	for i := range results {
-		named += results[i].Kept
+		omitted += results[i].Kept
 		results[i].Kept = 0
 	}
-	if named == 0 {
-		return // each is listed already, or its job has ended
+	if omitted == 0 {
+		return // already accepted, or the job has ended
 	}
 	l.log.WithFields(logrus.Fields{
-		"event": "results_whole", "results": len(results), "listed": listed.Accepted, "kept_bytes": named,
-	}).Info("Results are proposed whole: some were not listed over their parts.")
+		"event": "results_whole", "results": len(results), "listed": result.Accepted, "kept_bytes": omitted,
+	}).Info("Some results were not accepted; proposing all with their whole text.")
 	l.commit(jobs.Command{CompleteInline: &jobs.CompleteInline{Results: results}})
 }
 
-// commit proposes a command until it is committed or the leadership ends; false where it
-// has ended. It has no second effect.
+// commit proposes a command until it is committed or the leadership ends, in which case it returns
+// false. Commands must be idempotent: one whose answer is lost is proposed again.
 func (l *Leader) commit(command jobs.Command) (jobs.Result, bool) {
 	for l.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(l.ctx, proposeTimeout)
@@ -97,16 +98,16 @@
 		if failure == nil {
 			return result, true
 		}
-		l.log.WithField("event", "results_not_committed").WithError(failure).Warn("Results were not committed yet.")
+		l.log.WithField("event", "results_not_committed").WithError(failure).Warn("Command was not committed; retrying.")
 		select {
-		case <-time.After(proposePause):
+		case <-time.After(proposeRetryDelay):
 		case <-l.ctx.Done():
 		}
 	}
 	return jobs.Result{}, false
 }
 
-// expireLoop forgets jobs whose time of retention has passed.
+// expireLoop deletes jobs whose retention has expired.
 func (l *Leader) expireLoop() {
 	ticker := time.NewTicker(expireInterval)
 	defer ticker.Stop()
--- a/internal/batchrun/dispatch.go
+++ b/internal/batchrun/dispatch.go
@@ -12,56 +12,55 @@
 	"github.com/dykewing/dykewing/worker"
 )
 
-// mine tells whether this group's items fill a worker. Each worker is filled by one
-// group, so that one leader sees all batch that it holds, asks for its load and
-// makes items give way.
-func (l *Leader) mine(workerID string) bool {
+// owns reports whether this group runs batch items at a worker. Each worker belongs to one group,
+// so that a single leader sees all batch items at it, polls its load and preempts items.
+func (l *Leader) owns(workerID string) bool {
 	return placement.WorkerGroup(workerID, l.service.groups) == l.group
 }
 
-// mostAsked workers are asked for their load in a round. A leader that fills more asks
-// those where its items run, and those that had more than was told: what frontends hold is
-// told by themselves.
-const mostAsked = 64
+// maxPolls is how many workers are polled for their load in a round. A leader of more workers
+// polls only those that run its items or have unreported load; frontends report what they hold.
+const maxPolls = 64
 
-// addBusy adds the workers of services for which items wait or run here; of many some each
-// round.
-func (l *Leader) addBusy(busy map[string]worker.Worker) {
-	for service := range l.servicesNow() {
-		own := l.service.pool.Workers(service, int(l.group))
-		if len(own) > mostAsked {
-			own = slices.DeleteFunc(own, func(w worker.Worker) bool {
-				return l.service.pool.Held(w.ID) == 0 && l.service.hidden.of(w.ID) == 0
+// addPollTargets adds the workers to poll: those of services that have unfinished items, at most
+// maxPolls per round.
+func (l *Leader) addPollTargets(targets map[string]worker.Worker) {
+	for service := range l.activeServices() {
+		workers := l.service.pool.Workers(service, int(l.group))
+		if len(workers) > maxPolls {
+			workers = slices.DeleteFunc(workers, func(w worker.Worker) bool {
+				return l.service.pool.Held(w.ID) == 0 && l.service.unreported.at(w.ID) == 0
 			})
-			own = l.turnOf(own)
+			workers = l.nextPolls(workers)
 		}
-		for _, w := range own {
-			busy[w.ID] = w
+		for _, w := range workers {
+			targets[w.ID] = w
 		}
 	}
 }
 
-// turnOf gives the workers that are to be asked in this round.
-func (l *Leader) turnOf(workers []worker.Worker) []worker.Worker {
-	if len(workers) <= mostAsked {
+// nextPolls returns the workers to poll in this round, in rotation.
+func (l *Leader) nextPolls(workers []worker.Worker) []worker.Worker {
+	if len(workers) <= maxPolls {
 		return workers
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	first := l.asked % len(workers)
-	l.asked += mostAsked
-	turn := append(slices.Clone(workers[first:]), workers[:first]...)
-	return turn[:mostAsked]
+	first := l.pollOffset % len(workers)
+	l.pollOffset += maxPolls
+	rotated := append(slices.Clone(workers[first:]), workers[:first]...)
+	return rotated[:maxPolls]
 }
 
-func (l *Leader) servicesNow() map[string]bool {
+func (l *Leader) activeServices() map[string]bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.services()
+	return l.activeServicesLocked()
 }
 
-// services are those for which items wait or run; the mutex is held.
-func (l *Leader) services() map[string]bool {
+// activeServicesLocked returns the services that have unfinished items. The caller holds the
+// mutex.
+func (l *Leader) activeServicesLocked() map[string]bool {
 	services := map[string]bool{}
 	for _, i := range l.waiting {
 		services[i.service] = true
@@ -73,7 +72,7 @@
 	return services
 }
 
-// dispatchLoop sends waiting items whenever something may have changed.
+// dispatchLoop starts waiting items when woken, and at least every dispatchInterval.
 func (l *Leader) dispatchLoop() {
 	for {
 		timer := time.NewTimer(dispatchInterval)
@@ -85,49 +84,50 @@
 			return
 		}
 		timer.Stop()
-		if l.dispatch() == startsAtOnce {
-			pause.For(l.ctx, startPause)
+		if l.dispatch() == startBurst {
+			pause.For(l.ctx, startBurstPause)
 			l.wakeUp()
 		}
 	}
 }
 
-// dispatch sends waiting items that workers have room for, and tells how many.
-// Invariant: never more than startsAtOnce, so that a new leader with many open
-// items still sends its heartbeats in time on a small processor.
+// dispatch starts waiting items for which there are slots and returns how many.
+// Invariant: it starts at most startBurst, so that a new leader with many open items still sends
+// heartbeats in time on a small CPU.
 func (l *Leader) dispatch() (started int) {
 	now := time.Now()
-	l.service.places.kick(now)
+	l.service.slots.refresh(now)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	room := newRooms()
+	b := newBudget()
 	for _, service := range l.service.serviceNames() {
-		l.look(now, service, room)
+		l.planService(now, service, b)
 	}
-	l.stand(now)
+	l.updateStandings(now)
 	full := map[string]bool{}
-	kept := l.waiting[:0]
+	waiting := l.waiting[:0]
 	for _, i := range l.waiting {
-		if started == startsAtOnce || l.ctx.Err() != nil || now.Before(i.notUntil) || !l.try(now, i, room, full) {
-			kept = append(kept, i)
+		if started == startBurst || l.ctx.Err() != nil || now.Before(i.notBefore) || !l.tryStart(now, i, b, full) {
+			waiting = append(waiting, i)
 			continue
 		}
 		started++
 	}
-	clear(l.waiting[len(kept):])
-	l.waiting = kept
+	clear(l.waiting[len(waiting):])
+	l.waiting = waiting
 	l.service.metrics.waiting.Set(float64(len(l.waiting)))
-	l.service.metrics.held.Set(float64(room.held()))
+	l.service.metrics.heldBack.Set(float64(b.heldBack()))
 	l.service.metrics.running.Set(float64(len(l.running)))
 	return started
 }
 
-// try begins one item; false when it has to wait. The mutex is held.
-func (l *Leader) try(now time.Time, i *item, room rooms, full map[string]bool) bool {
-	if i.path == "" && !l.describe(i) {
+// tryStart starts an item, or abandons it if it cannot succeed. It returns false if the item has
+// to wait. The caller holds the mutex.
+func (l *Leader) tryStart(now time.Time, i *item, b budget, full map[string]bool) bool {
+	if i.path == "" && !l.loadItem(i) {
 		return false
 	}
-	matched, known, found := l.service.routeOf(i.host, i.path)
+	matched, known, found := l.service.matchRoute(i.host, i.path)
 	if !known {
 		return false
 	}
@@ -149,65 +149,65 @@
 	if !matched.Allows(i.service) {
 		i.service = matched.Shares[0].Service
 	}
-	l.look(now, i.service, room)
+	l.planService(now, i.service, b)
 	if full[i.service] && i.standing != fill.Pressed {
 		return false
 	}
 	left := l.left(i)
-	held := room.holds(i.service, i.standing == fill.Pressed, left)
-	if held && len(room.trials) == 0 {
+	heldBack := b.holdsBack(i.service, i.standing == fill.Pressed, left)
+	if heldBack && len(b.probes) == 0 {
 		return false
 	}
 	query := worker.Query{
 		Service: i.service, Parts: i.parts, Tokens: i.tokens,
 		Only: func(id string) bool {
-			return room.allows(id, i.service, i.standing == fill.Pressed, l.lengths.At(id, left))
+			return b.allows(id, i.service, i.standing == fill.Pressed, l.lengths.At(id, left))
 		},
 	}
-	if i.avoid != "" {
-		query.Excluded = []string{i.avoid}
+	if i.avoidWorker != "" {
+		query.Excluded = []string{i.avoidWorker}
 	}
-	ticket, ok := l.take(now, i.standing, query)
-	if !ok && held {
+	ticket, ok := l.takeWorker(now, i.standing, query)
+	if !ok && heldBack {
 		return false
 	}
 	if !ok {
-		i.avoid = ""
+		i.avoidWorker = ""
 		full[i.service] = i.standing != fill.Pressed
 		return false
 	}
-	if room.trials[ticket.Worker.ID] == i.service {
-		l.tellTrial(now, i, ticket.Worker.ID, held)
+	if b.probes[ticket.Worker.ID] == i.service {
+		l.logProbe(now, i, ticket.Worker.ID, heldBack)
 	}
-	room.take(ticket.Worker.ID, i.service)
+	b.use(ticket.Worker.ID, i.service)
 	ctx, cancel := context.WithCancel(l.ctx)
-	i.cancel, i.worker, i.since = cancel, ticket.Worker.ID, now
+	i.cancel, i.worker, i.startedAt = cancel, ticket.Worker.ID, now
 	l.running[i] = true
-	l.suspects.began(i.worker, i)
+	l.suspects.started(i.worker, i)
 	go l.run(ctx, i, matched.MaxAttempts, ticket)
 	return true
 }
 
-// quarantined tells whether workers end under an item. It waits, for a run that is granted
-// or until it may be given up: before that it must not be listed as given up.
+// quarantined reports whether an item is quarantined for crashing workers. Such an item waits
+// until a run is granted or its retention or failure limit is reached.
 func (l *Leader) quarantined(i *item) bool {
 	guard := l.service.guard
 	return guard.Watching() && guard.Holds(i.digest) && !guard.TakeGrant(i.digest)
 }
 
-// describe reads from the state what a choice of worker needs.
-func (l *Leader) describe(i *item) bool {
+// loadItem reads from the state what the choice of a worker needs.
+func (l *Leader) loadItem(i *item) bool {
 	stored, found, err := l.state.InlineItem(i.job.ID, i.index)
 	if err != nil || !found {
 		return false
 	}
-	request := l.service.caller.Protocol.ReadRequest(headerOf(stored))
+	request := l.service.caller.Protocol.ReadRequest(requestHeader(stored))
 	partial, err := l.state.InlinePartial(i.job.ID, i.index)
 	if err != nil {
 		return false
 	}
-	i.text, i.last, i.kept, i.lasting = []byte(partial.Text), partial.Last, len(partial.Text), len(partial.Text)
-	i.failures, i.keptFailures = partial.Failures, partial.Failures
+	i.text, i.lastEventID, i.proposedBytes, i.committedBytes = []byte(partial.Text), partial.Last, len(partial.Text), len(partial.Text)
+	i.failures, i.proposedFailures = partial.Failures, partial.Failures
 	i.path, i.host, i.parts, i.tokens = stored.Path, i.job.Host, request.Parts, request.PromptTokens
 	i.digest = quarantine.Identity{Tenant: string(i.job.Tenant), Host: i.host, Target: stored.Path, Body: stored.Body}.Digest()
 	return true
--- a/internal/batchrun/heard_test.go
+++ b/internal/batchrun/heard_test.go
@@ -22,34 +22,34 @@
 	"github.com/dykewing/dykewing/worker"
 )
 
-// tellingPaces is a report that holds nothing.
-func tellingPaces(sequence uint64, words ...reservation.Word) reservation.Report {
-	return reservation.Report{Node: "front", Sequence: sequence, Heard: words}
+// observationReport returns a frontend's report with observations and without held slots.
+func observationReport(sequence uint64, observations ...reservation.Word) reservation.Report {
+	return reservation.Report{Node: "front", Sequence: sequence, Heard: observations}
 }
 
-func TestALeaderChoosesByWhatFrontendsHeard(t *testing.T) {
+func TestWorkerChoiceUsesObservedPace(t *testing.T) {
 	long := time.Hour
 	tests := []struct {
-		name  string
-		words []reservation.Word
-		held  map[string]int
-		want  string // w1 is the frontend's own choice
+		name         string
+		observations []reservation.Word
+		held         map[string]int
+		want         string // the frontend prefers w1
 	}{
-		{"nothing told", nil, nil, "w1"},
-		{"the frontend's is slow", []reservation.Word{{Worker: "w0", Pace: 0.7}, {Worker: "w1", Pace: 1.7}}, nil, "w0"},
-		{"the frontend's is fast", []reservation.Word{{Worker: "w0", Pace: 1.7}, {Worker: "w1", Pace: 0.7}}, nil, "w1"},
-		{"the fast one has no slot", []reservation.Word{{Worker: "w0", Pace: 0.7}, {Worker: "w1", Pace: 1.7}}, map[string]int{"w0": 12}, "w1"},
-		{"too old", []reservation.Word{{Worker: "w0", Pace: 0.7, PaceAge: long}, {Worker: "w1", Pace: 1.7, PaceAge: long}}, nil, "w1"},
-		{"of the future", []reservation.Word{{Worker: "w0", Pace: 0.7, PaceAge: -long}, {Worker: "w1", Pace: 1.7, PaceAge: -long}}, nil, "w1"},
-		{"of workers that it does not have", []reservation.Word{{Worker: "other", Pace: 0.7}}, nil, "w1"},
-		{"a pace that is none", []reservation.Word{{Worker: "w0", Pace: -3}, {Worker: "w1"}}, nil, "w1"},
+		{"no observations", nil, nil, "w1"},
+		{"preferred worker is slow", []reservation.Word{{Worker: "w0", Pace: 0.7}, {Worker: "w1", Pace: 1.7}}, nil, "w0"},
+		{"preferred worker is fast", []reservation.Word{{Worker: "w0", Pace: 1.7}, {Worker: "w1", Pace: 0.7}}, nil, "w1"},
+		{"fast worker is full", []reservation.Word{{Worker: "w0", Pace: 0.7}, {Worker: "w1", Pace: 1.7}}, map[string]int{"w0": 12}, "w1"},
+		{"observation too old", []reservation.Word{{Worker: "w0", Pace: 0.7, PaceAge: long}, {Worker: "w1", Pace: 1.7, PaceAge: long}}, nil, "w1"},
+		{"observation from the future", []reservation.Word{{Worker: "w0", Pace: 0.7, PaceAge: -long}, {Worker: "w1", Pace: 1.7, PaceAge: -long}}, nil, "w1"},
+		{"unknown worker", []reservation.Word{{Worker: "other", Pace: 0.7}}, nil, "w1"},
+		{"invalid pace", []reservation.Word{{Worker: "w0", Pace: -3}, {Worker: "w1"}}, nil, "w1"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			l := testLeader(t, 0, 2)
-			report := tellingPaces(1, test.words...)
+			report := observationReport(1, test.observations...)
 			report.Held = test.held
-			_, got := l.service.places.take(time.Now(), l.service.led(), reservation.Message{Report: report, Ask: asked("w1", 0)})
+			_, got := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: report, Ask: askFor("w1", 0)})
 			if got.Worker != test.want {
 				t.Errorf("%+v", got)
 			}
@@ -57,39 +57,39 @@
 	}
 }
 
-func TestAnswersTellPacesInTurn(t *testing.T) {
+func TestAnswersRotatePaces(t *testing.T) {
 	l := testLeader(t, 0, 20)
-	p := l.service.places
-	if told := p.answerPaces(l.service.led(), "lm"); len(told) > 0 {
-		t.Fatalf("told %v, heard nothing", told)
+	broker := l.service.slots
+	if reported := broker.pacesForAnswer(l.service.currentLeaders(), "lm"); len(reported) > 0 {
+		t.Fatalf("answer has paces %v without observations", reported)
 	}
-	var words []reservation.Word
+	var observations []reservation.Word
 	for i := range 20 {
-		words = append(words, reservation.Word{Worker: fmt.Sprint("w", i), Pace: 0.5 + float64(i)/10})
+		observations = append(observations, reservation.Word{Worker: fmt.Sprint("w", i), Pace: 0.5 + float64(i)/10})
 	}
-	p.take(time.Now(), l.service.led(), reservation.Message{Report: tellingPaces(1, words...)})
-	told := map[string]float64{}
+	broker.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: observationReport(1, observations...)})
+	reported := map[string]float64{}
 	for range 3 {
-		part := p.answerPaces(l.service.led(), "lm")
+		part := broker.pacesForAnswer(l.service.currentLeaders(), "lm")
 		if len(part) != pacesPerAnswer {
-			t.Fatalf("%d in one answer", len(part))
+			t.Fatalf("%d paces in one answer", len(part))
 		}
 		for id, pace := range part {
-			told[id] = pace
+			reported[id] = pace
 		}
 	}
-	if len(told) != 20 || told["w0"] != 0.5 || told["w19"] != 2.4 {
-		t.Errorf("three answers told %v", told)
+	if len(reported) != 20 || reported["w0"] != 0.5 || reported["w19"] != 2.4 {
+		t.Errorf("three answers gave paces %v", reported)
 	}
 }
 
-func TestAReportOfTooManyPacesIsCut(t *testing.T) {
+func TestReportWithTooManyPacesIsTruncated(t *testing.T) {
 	l := testLeader(t, 0, 100)
-	var words []reservation.Word
+	var observations []reservation.Word
 	for i := range 100 {
-		words = append(words, reservation.Word{Worker: fmt.Sprint("w", i), Pace: 2})
+		observations = append(observations, reservation.Word{Worker: fmt.Sprint("w", i), Pace: 2})
 	}
-	l.service.places.take(time.Now(), l.service.led(), reservation.Message{Report: tellingPaces(1, words...)})
+	l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: observationReport(1, observations...)})
 	known := 0
 	for i := range 100 {
 		if _, ok := l.service.pool.PaceOf(fmt.Sprint("w", i)); ok {
@@ -97,16 +97,16 @@
 		}
 	}
 	if known != reservation.MaximumWords {
-		t.Errorf("%d taken", known)
+		t.Errorf("%d paces accepted", known)
 	}
 }
 
-// A line a change of what is believed, not one a word.
-func TestAChangedPaceIsLoggedOnce(t *testing.T) {
+// A pace is logged when it changes, not with every observation.
+func TestPaceChangeIsLoggedOnce(t *testing.T) {
 	l := testLeader(t, 0, 1)
 	logger, hook := test.NewNullLogger()
 	l.service.log = logrus.NewEntry(logger)
-	p := l.service.places
+	broker := l.service.slots
 	lines := func() (n int) {
 		for _, line := range hook.AllEntries() {
 			if line.Data["event"] == "worker_pace" {
@@ -116,44 +116,44 @@
 		return n
 	}
 	now := time.Now()
-	tell := func(sequence uint64, pace float64) {
-		p.take(now, l.service.led(), reservation.Message{Report: tellingPaces(sequence, reservation.Word{Worker: "w0", Pace: pace})})
-		now = now.Add(paceLineInterval)
-		p.tellPaces(now, l.service.led(), "lm")
+	report := func(sequence uint64, pace float64) {
+		broker.handle(now, l.service.currentLeaders(), reservation.Message{Report: observationReport(sequence, reservation.Word{Worker: "w0", Pace: pace})})
+		now = now.Add(paceLogInterval)
+		broker.nextPaces(now, l.service.currentLeaders(), "lm")
 	}
 	for n := range 5 {
-		tell(uint64(n+1), 1)
+		report(uint64(n+1), 1)
 	}
 	if n := lines(); n != 1 {
-		t.Fatalf("%d lines of a steady pace", n)
+		t.Fatalf("%d log lines for a steady pace, want 1", n)
 	}
 	for n := range 5 {
-		tell(uint64(n+10), 1.7)
+		report(uint64(n+10), 1.7)
 	}
 	if n := lines(); n != 2 {
-		t.Errorf("%d lines of two paces", n)
+		t.Errorf("%d log lines for two paces, want 2", n)
 	}
 }
 
-// breaking is a report of requests that broke at one worker.
-func breaking(node api.NodeID, words ...reservation.Word) reservation.Report {
-	return reservation.Report{Node: node, Sequence: 1, Heard: words}
+// outcomeReport returns a node's first report, with observations.
+func outcomeReport(node api.NodeID, observations ...reservation.Word) reservation.Report {
+	return reservation.Report{Node: node, Sequence: 1, Heard: observations}
 }
 
-func TestALeaderLeavesOutWhatBreaksAtOneWorker(t *testing.T) {
+func TestFailingWorkerIsEjected(t *testing.T) {
 	at := func(id string, whole, broken int) reservation.Word {
 		return reservation.Word{Worker: id, Outcomes: worker.Outcomes{Whole: whole, Broken: broken}}
 	}
 	tests := []struct {
 		name    string
 		reports []reservation.Report
-		want    string // w1 is the frontend's own choice
+		want    string // the frontend prefers w1
 	}{
-		{"nothing told", nil, "w1"},
-		{"each frontend failed once", []reservation.Report{breaking("a", at("w1", 0, 1)), breaking("b", at("w1", 0, 1)), breaking("c", at("w1", 0, 1))}, "w0"},
-		{"one frontend failed once", []reservation.Report{breaking("a", at("w1", 0, 1))}, "w1"},
-		{"they mostly did not", []reservation.Report{breaking("a", at("w1", 20, 1)), breaking("b", at("w1", 20, 1)), breaking("c", at("w1", 20, 1))}, "w1"},
-		{"at a worker that it does not have", []reservation.Report{breaking("a", at("other", 0, 9))}, "w1"},
+		{"no outcomes", nil, "w1"},
+		{"one failure at each frontend", []reservation.Report{outcomeReport("a", at("w1", 0, 1)), outcomeReport("b", at("w1", 0, 1)), outcomeReport("c", at("w1", 0, 1))}, "w0"},
+		{"one failure at one frontend", []reservation.Report{outcomeReport("a", at("w1", 0, 1))}, "w1"},
+		{"mostly successes", []reservation.Report{outcomeReport("a", at("w1", 20, 1)), outcomeReport("b", at("w1", 20, 1)), outcomeReport("c", at("w1", 20, 1))}, "w1"},
+		{"unknown worker", []reservation.Report{outcomeReport("a", at("other", 0, 9))}, "w1"},
 	}
 	for _, each := range tests {
 		t.Run(each.name, func(t *testing.T) {
@@ -164,22 +164,22 @@
 				l.service.pool.TakeOutcomes(id, worker.Outcomes{Whole: 9})
 			}
 			for _, report := range each.reports {
-				l.service.places.take(time.Now(), l.service.led(), reservation.Message{Report: report})
+				l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: report})
 			}
-			_, got := l.service.places.take(time.Now(), l.service.led(), reservation.Message{Report: holding(1, map[string]int{"w2": 12}), Ask: asked("w1", 0)})
+			_, got := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: heldReport(1, map[string]int{"w2": 12}), Ask: askFor("w1", 0)})
 			if got.Worker != each.want {
 				t.Errorf("%+v", got)
 			}
 			if lines := len(hook.AllEntries()); lines != 0 != (each.want == "w0") {
-				t.Errorf("%d lines", lines)
+				t.Errorf("%d log lines", lines)
 			}
 		})
 	}
 }
 
-// A worker that tells nothing, and one that lies, are found by the time of streams.
-func TestALeaderPlacesByObservedTime(t *testing.T) {
-	for _, told := range []float64{0, 0.5} {
+// Slow workers are detected by the observed step time, whether they report no pace or a wrong one.
+func TestWorkerChoiceUsesObservedStepTime(t *testing.T) {
+	for _, reported := range []float64{0, 0.5} {
 		l := testLeader(t, 0, 4)
 		logger, hook := test.NewNullLogger()
 		l.service.log = logrus.NewEntry(logger)
@@ -187,14 +187,14 @@
 			report := reservation.Report{Node: "front", Sequence: uint64(n + 1)}
 			for i, step := range []time.Duration{30, 200, 32, 34} {
 				id := fmt.Sprint("w", i)
-				report.Heard = append(report.Heard, reservation.Word{Worker: id, Pace: told, Streams: 1, Step: step * time.Millisecond})
+				report.Heard = append(report.Heard, reservation.Word{Worker: id, Pace: reported, Streams: 1, Step: step * time.Millisecond})
 			}
-			l.service.places.take(time.Now(), l.service.led(), reservation.Message{Report: report})
+			l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: report})
 		}
 		report := reservation.Report{Node: "front", Sequence: 9, Heard: []reservation.Word{{Worker: "w1", Streams: 1, Step: 200 * time.Millisecond}, {Worker: "other", Streams: 1, Step: 1}}}
-		_, got := l.service.places.take(time.Now(), l.service.led(), reservation.Message{Report: report, Ask: asked("w1", 0)})
+		_, got := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: report, Ask: askFor("w1", 0)})
 		if got.Worker == "" || got.Worker == "w1" {
-			t.Errorf("told %v: %+v", told, got)
+			t.Errorf("reported pace %v: %+v", reported, got)
 		}
 		lines := 0
 		for _, line := range hook.AllEntries() {
@@ -203,52 +203,51 @@
 			}
 		}
 		if lines != 1 {
-			t.Errorf("told %v: %d lines", told, lines)
+			t.Errorf("reported pace %v: %d log lines, want 1", reported, lines)
 		}
 	}
 }
 
-// What a frontend heard of the start before says nothing of a worker that has started
-// again.
-func TestAWordIsOfOneStart(t *testing.T) {
+// Observations of an earlier incarnation do not apply to a restarted worker.
+func TestObservationOfEarlierIncarnationIsIgnored(t *testing.T) {
 	first := time.Unix(1_700_000_000, 0)
 	second := first.Add(time.Minute)
 	tests := []struct {
-		name         string
-		listed, word time.Time
-		taken        bool
+		name             string
+		listed, observed time.Time
+		accepted         bool
 	}{
-		{"the same", first, first, true},
-		{"the one before", second, first, false},
-		{"a later one, not yet listed", first, second, false},
-		{"a frontend that does not tell", first, time.Time{}, true},
-		{"a worker that does not tell", time.Time{}, first, true},
+		{"same incarnation", first, first, true},
+		{"earlier incarnation", second, first, false},
+		{"later incarnation that is not listed yet", first, second, false},
+		{"observation without start time", first, time.Time{}, true},
+		{"worker without start time", time.Time{}, first, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			l := testLeader(t, 0, 0)
 			l.service.pool.WorkersChanged([]catalog.Change{{ID: "w", Worker: worker.Worker{ID: "w", Service: "lm", Slots: 4, Born: test.listed}}})
-			report := tellingPaces(1, reservation.Word{Worker: "w", Born: test.word, Pace: 1.7})
-			l.service.places.take(time.Now(), l.service.led(), reservation.Message{Report: report})
-			if _, known := l.service.pool.PaceOf("w"); known != test.taken {
-				t.Errorf("taken %t", known)
+			report := observationReport(1, reservation.Word{Worker: "w", Born: test.observed, Pace: 1.7})
+			l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: report})
+			if _, known := l.service.pool.PaceOf("w"); known != test.accepted {
+				t.Errorf("observation accepted: %t", known)
 			}
 		})
 	}
 }
 
-func TestItemsTellOfTheirWorkers(t *testing.T) {
+func TestItemOutcomesAffectWorkerEjection(t *testing.T) {
 	tests := []struct {
 		name    string
 		verdict verdict
 		err     error
 		usable  bool
 	}{
-		{"broke off", verdictBroken, io.ErrUnexpectedEOF, false},
-		{"failed there", verdictFailed, nil, false},
-		{"gave way", verdictBroken, fmt.Errorf("read event: %w", context.Canceled), true},
-		{"was full", verdictNotRun, nil, true},
-		{"can never be done", verdictPointless, nil, true},
+		{"interrupted", verdictInterrupted, io.ErrUnexpectedEOF, false},
+		{"failed", verdictFailed, nil, false},
+		{"preempted", verdictInterrupted, fmt.Errorf("read event: %w", context.Canceled), true},
+		{"rejected as full", verdictNotRun, nil, true},
+		{"impossible", verdictImpossible, nil, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -258,31 +257,30 @@
 			}
 			for range 3 {
 				ticket, _ := l.service.pool.Take(worker.Query{Service: "lm", Excluded: []string{"w1", "w2"}})
-				l.noteRun(&item{}, ticket, test.verdict, test.err)
+				l.recordRun(&item{}, ticket, test.verdict, test.err)
 				ticket.End()
 			}
 			if got := l.service.pool.Occupancies("lm")[0].Usable; got != test.usable {
-				t.Errorf("usable %t", got)
+				t.Errorf("worker usable: %t", got)
 			}
 		})
 	}
 }
 
-// pacedProtocol tells the pace of an answer with a header "Pace".
-type pacedProtocol struct{ platform.Protocol }
+// paceProtocol reads a worker's pace from the response header "Pace".
+type paceProtocol struct{ platform.Protocol }
 
-func (pacedProtocol) ReadAnswer(_ int, header http.Header) backend.Answer {
+func (paceProtocol) ReadAnswer(_ int, header http.Header) backend.Answer {
 	pace, err := strconv.ParseFloat(header.Get("Pace"), 64)
 	return backend.Answer{Load: worker.Load{Pace: pace}, Loaded: err == nil}
 }
 
-// A worker that is asked for its load tells its pace in the header of the answer.
-func TestAPolledWorkerTellsItsPace(t *testing.T) {
-	const telling, silent = "w0", "w1"
+func TestPolledPaceIsRecorded(t *testing.T) {
+	const reporting, silent = "w0", "w1"
 	l := testLeader(t, 0, 0)
 	s := l.service
-	s.caller = backend.NewCaller(pacedProtocol{})
-	for id, header := range map[string]string{telling: "4.25", silent: ""} {
+	s.caller = backend.NewCaller(paceProtocol{})
+	for id, header := range map[string]string{reporting: "4.25", silent: ""} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			if header != "" {
 				w.Header().Set("Pace", header)
@@ -292,12 +290,12 @@
 		defer server.Close()
 		each := worker.Worker{ID: id, Service: "lm", Address: strings.TrimPrefix(server.URL, "http://"), Slots: 8}
 		s.pool.WorkersChanged([]catalog.Change{{ID: id, Worker: each}})
-		s.askLoad(context.Background(), each)
+		s.pollLoad(context.Background(), each)
 	}
-	if pace, known := s.pool.PaceOf(telling); !known || pace.Value != 4.25 {
+	if pace, known := s.pool.PaceOf(reporting); !known || pace.Value != 4.25 {
 		t.Errorf("%+v %t", pace, known)
 	}
 	if pace, known := s.pool.PaceOf(silent); known {
-		t.Errorf("told nothing: %+v", pace)
+		t.Errorf("worker without the header has pace %+v", pace)
 	}
 }
--- a/internal/batchrun/hidden.go
+++ b/internal/batchrun/hidden.go
@@ -11,7 +11,7 @@
 	"github.com/dykewing/dykewing/worker"
 )
 
-func (s *Service) led() []*Leader {
+func (s *Service) currentLeaders() []*Leader {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	leaders := make([]*Leader, 0, len(s.leaders))
@@ -21,12 +21,12 @@
 	return leaders
 }
 
-// filled tells whether one of the leaders fills a worker.
-func filled(leaders []*Leader, id string) bool {
-	return slices.ContainsFunc(leaders, func(leader *Leader) bool { return leader.mine(id) })
+// ownedByAny reports whether one of the leaders owns a worker.
+func ownedByAny(leaders []*Leader, id string) bool {
+	return slices.ContainsFunc(leaders, func(leader *Leader) bool { return leader.owns(id) })
 }
 
-// groupsOf are the groups whose workers some leaders fill; never nil.
+// groupsOf returns the sorted groups of the leaders, never nil.
 func groupsOf(leaders []*Leader) []int {
 	groups := make([]int, 0, len(leaders))
 	for _, leader := range leaders {
@@ -36,102 +36,100 @@
 	return groups
 }
 
-// polled takes a worker's own word: what is more than is known to be there is hidden. A
-// word of a later start than the listed one is the first news of it; one of an earlier
-// start says nothing.
-func (s *Service) polled(w worker.Worker, report backend.Report) {
-	told := worker.Incarnation{ID: w.ID, Born: report.Born}
-	if told.Before(w.Incarnation()) {
+// applyLoadReport processes a worker's own load report. A report of a later incarnation than the
+// listed one replaces it; a report of an earlier one is ignored.
+func (s *Service) applyLoadReport(w worker.Worker, report backend.Report) {
+	reported := worker.Incarnation{ID: w.ID, Born: report.Born}
+	if reported.Before(w.Incarnation()) {
 		return
 	}
-	if told.Succeeds(w.Incarnation()) {
-		w.Born = told.Born
+	if reported.Succeeds(w.Incarnation()) {
+		w.Born = reported.Born
 		s.pool.Put(w)
-		s.log.WithFields(logrus.Fields{"event": "worker_restarted", "worker": w.ID, "service": w.Service, "born": told.Born}).
-			Info("A worker has started again under its id; what was believed of it is over.")
+		s.log.WithFields(logrus.Fields{"event": "worker_restarted", "worker": w.ID, "service": w.Service, "born": reported.Born}).
+			Info("Worker restarted under the same ID; its recorded state was discarded.")
 	}
 	s.pool.TellPace(time.Now(), w.ID, report.Pace)
-	s.hidden.put(time.Now(), w.Incarnation(), report.Running+report.Waiting, s.pool.Held(w.ID)+s.places.online(w.ID))
+	s.unreported.observe(time.Now(), w.Incarnation(), report.Running+report.Waiting, s.pool.Held(w.ID)+s.slots.onlineAt(w.ID))
 }
 
-// reportLag is how old a worker's word of itself may be: what was held there within it,
-// and has ended since, may still be in it.
+// reportLag bounds the staleness of a worker's load report: it may still count requests that ended
+// within this time.
 const reportLag = time.Second
 
-// hidden is what workers have beyond what their callers tell: requests of frontends
-// that are cut off. A worker's word is compared with the most that was held there within
-// reportLag, and only what two words in a row show counts. Compared with what is held now, items that had just given way counted as
-// requests of others for two reports, and up to 59 of 120 slots stood empty at the
-// beginning of a step of the load.
-type hidden struct {
-	mutex   sync.Mutex // guards all below
-	workers map[string]*hiddenAt
-	changed []string // ids of workers
+// unreportedLoad tracks requests at workers that no frontend or leader reports, such as those of a
+// partitioned frontend. A worker's load is compared with the maximum held there within reportLag,
+// so that requests that have just ended do not count, and only what two successive reports show
+// counts. It is safe for concurrent use; the zero value is empty.
+type unreportedLoad struct {
+	mutex   sync.Mutex // guards the fields below
+	workers map[string]*workerLoad
+	changed []string // worker IDs
 }
 
-// hiddenAt is what is hidden at one worker.
-type hiddenAt struct {
-	of   worker.Incarnation
-	held []heldAt // within reportLag, the latest last
-	last int      // by the last word
-	n    int      // by the last two
+// workerLoad is the unreported load of one worker.
+type workerLoad struct {
+	incarnation worker.Incarnation
+	held        []heldSample // samples within reportLag, oldest first
+	lastExcess  int          // excess in the last report
+	unreported  int          // excess in both of the last two reports
 }
 
-type heldAt struct {
+type heldSample struct {
 	at time.Time
 	n  int
 }
 
-// put takes a worker's word of its load, and what is held there now.
-func (h *hidden) put(now time.Time, of worker.Incarnation, load, held int) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if h.workers == nil {
-		h.workers = map[string]*hiddenAt{}
+// observe adds a worker's reported load and the number of requests known to be held there.
+func (u *unreportedLoad) observe(now time.Time, incarnation worker.Incarnation, load, held int) {
+	u.mutex.Lock()
+	defer u.mutex.Unlock()
+	if u.workers == nil {
+		u.workers = map[string]*workerLoad{}
 	}
-	w := h.workers[of.ID]
-	if w == nil || w.of != of {
-		if w != nil && w.n > 0 {
-			h.changed = append(h.changed, of.ID)
+	w := u.workers[incarnation.ID]
+	if w == nil || w.incarnation != incarnation {
+		if w != nil && w.unreported > 0 {
+			u.changed = append(u.changed, incarnation.ID)
 		}
-		w = &hiddenAt{of: of}
-		h.workers[of.ID] = w
+		w = &workerLoad{incarnation: incarnation}
+		u.workers[incarnation.ID] = w
 	}
-	w.held = append(w.held, heldAt{at: now, n: held})
+	w.held = append(w.held, heldSample{at: now, n: held})
 	for now.Sub(w.held[0].at) > reportLag {
 		w.held = w.held[1:]
 	}
-	most := 0
+	maxHeld := 0
 	for _, each := range w.held {
-		most = max(most, each.n)
+		maxHeld = max(maxHeld, each.n)
 	}
-	more := max(load-most, 0)
-	before := w.n
-	w.n, w.last = min(more, w.last), more
-	if w.n != before {
-		h.changed = append(h.changed, of.ID)
+	excess := max(load-maxHeld, 0)
+	before := w.unreported
+	w.unreported, w.lastExcess = min(excess, w.lastExcess), excess
+	if w.unreported != before {
+		u.changed = append(u.changed, incarnation.ID)
 	}
 }
 
-// take gives the workers of which something else is hidden than when it was last called.
-func (h *hidden) take() []string {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	changed := h.changed
-	h.changed = nil
+// takeChanged returns the workers whose unreported load has changed since the last call.
+func (u *unreportedLoad) takeChanged() []string {
+	u.mutex.Lock()
+	defer u.mutex.Unlock()
+	changed := u.changed
+	u.changed = nil
 	return changed
 }
 
-func (h *hidden) of(id string) int {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if w := h.workers[id]; w != nil {
-		return w.n
+func (u *unreportedLoad) at(id string) int {
+	u.mutex.Lock()
+	defer u.mutex.Unlock()
+	if w := u.workers[id]; w != nil {
+		return w.unreported
 	}
 	return 0
 }
 
-// serviceNames lists the services whose workers run batch.
+// serviceNames returns the services whose workers run batch items.
 func (s *Service) serviceNames() []string {
 	configuration := s.catalog.Configuration()
 	if configuration == nil {
--- a/internal/batchrun/hidden_test.go
+++ b/internal/batchrun/hidden_test.go
@@ -8,20 +8,20 @@
 	"github.com/dykewing/dykewing/worker"
 )
 
-// A worker's own word of its start comes before its entry's; what was hidden at the start
-// before, and what was held there, is over with it.
-func TestAWordOfALaterStartEndsWhatWasBelieved(t *testing.T) {
+// A worker's load report may show a restart before its registry entry does. Unreported load and
+// held slots of the earlier incarnation must not carry over.
+func TestLoadReportOfLaterIncarnationResetsWorker(t *testing.T) {
 	first, second := time.UnixMilli(1_000), time.UnixMilli(2_000)
 	tests := []struct {
-		name  string
-		words []backend.Report
-		born  time.Time
-		want  int // hidden
+		name    string
+		reports []backend.Report
+		born    time.Time
+		want    int // unreported load
 	}{
-		{"one start", []backend.Report{{Born: first, Running: 5}, {Born: first, Running: 5}}, first, 5},
-		{"a start between", []backend.Report{{Born: first, Running: 5}, {Born: first, Running: 5}, {Born: second, Running: 3}}, second, 0},
-		{"an earlier start's late word", []backend.Report{{Born: second}, {Born: second}, {Born: first, Running: 5}, {Born: first, Running: 5}}, second, 0},
-		{"no start is told", []backend.Report{{Running: 5}, {Running: 5}}, first, 5},
+		{"same incarnation", []backend.Report{{Born: first, Running: 5}, {Born: first, Running: 5}}, first, 5},
+		{"restart between reports", []backend.Report{{Born: first, Running: 5}, {Born: first, Running: 5}, {Born: second, Running: 3}}, second, 0},
+		{"late report of an earlier incarnation", []backend.Report{{Born: second}, {Born: second}, {Born: first, Running: 5}, {Born: first, Running: 5}}, second, 0},
+		{"reports without start time", []backend.Report{{Running: 5}, {Running: 5}}, first, 5},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -29,14 +29,14 @@
 			listed := s.pool.Workers("lm")[0]
 			listed.Born = first
 			s.pool.Put(listed)
-			for _, word := range test.words {
-				s.polled(s.pool.Workers("lm")[0], word)
+			for _, report := range test.reports {
+				s.applyLoadReport(s.pool.Workers("lm")[0], report)
 			}
-			if got := s.hidden.of(listed.ID); got != test.want {
-				t.Errorf("%d hidden, want %d", got, test.want)
+			if got := s.unreported.at(listed.ID); got != test.want {
+				t.Errorf("unreported load %d, want %d", got, test.want)
 			}
 			if current, _ := s.pool.Current(listed.ID); current != (worker.Incarnation{ID: listed.ID, Born: test.born}) {
-				t.Errorf("current: %v", current)
+				t.Errorf("current incarnation: %v", current)
 			}
 		})
 	}
--- a/internal/batchrun/keep.go
+++ b/internal/batchrun/keep.go
@@ -7,64 +7,63 @@
 )
 
 const (
-	// keepInterval is how often what an item has given so far is kept, and at least
-	// keepPerItem for each that runs, on a whole core, so that what a leader spends on
-	// parts does not grow with them.
-	keepInterval = 600 * time.Millisecond
-	keepPerItem  = 16 * time.Millisecond
-	// keepTick is the time between two commands: a third of keepInterval, so that parts of
-	// many items share one, and a part waits 100 ms for its command in the mean. keptAtOnce
-	// are the bytes from which one takes no further item: large ones would hold up
-	// heartbeats.
-	keepTick   = 200 * time.Millisecond
-	keptAtOnce = 64 << 10
-	// leastKept bytes of an item are worth a part.
-	leastKept = 64
+	// checkpointInterval is the shortest time between two partial outputs of one item. It grows to
+	// checkpointCost for each running item, on a full core, so that a leader's load from partial
+	// outputs is bounded.
+	checkpointInterval = 600 * time.Millisecond
+	checkpointCost     = 16 * time.Millisecond
+	// checkpointTick is the time between two commands. It is shorter than checkpointInterval so that a
+	// command carries partial outputs of many items without delaying them much. A command that has
+	// reached maxCheckpointBytes takes no more text, as large commands delay heartbeats.
+	checkpointTick     = 200 * time.Millisecond
+	maxCheckpointBytes = 64 << 10
+	// minPartBytes is the least new text that is worth a partial output.
+	minPartBytes = 64
 )
 
-// keepLoop lets the group keep what items have given so far, and, at once, how
-// often their runs failed: another leader goes on from there. Invariant: an item's
-// failures count over all leaders, so that one that always fails is given up.
-func (l *Leader) keepLoop() {
-	ticker := time.NewTicker(keepTick)
+// checkpointLoop commits the partial output of items, and at once their failure counts, for the
+// next leader to resume from.
+// Invariant: an item's failures count across leaders, so that one that always fails is abandoned.
+func (l *Leader) checkpointLoop() {
+	ticker := time.NewTicker(checkpointTick)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-		case <-l.failed:
+		case <-l.checkpointNow:
 		case <-l.ctx.Done():
 			return
 		}
-		if parts, of := l.newParts(time.Now()); len(parts) > 0 {
+		if parts, items := l.dueParts(time.Now()); len(parts) > 0 {
 			if _, committed := l.commit(jobs.Command{KeepInline: &jobs.KeepInline{Parts: parts}}); committed {
-				keptFor(parts, of)
+				markCommitted(parts, items)
 			}
 		}
 	}
 }
 
-// keptFor notes that parts of items are committed: what lists these items later need not
-// repeat them.
-func keptFor(parts []jobs.InlinePart, of []*item) {
+// markCommitted records that partial outputs are committed, so that the results of their items
+// need not repeat the text.
+func markCommitted(parts []jobs.InlinePart, items []*item) {
 	for n, part := range parts {
-		of[n].received.Lock()
-		of[n].lasting = max(of[n].lasting, part.Offset+len(part.Text))
-		of[n].received.Unlock()
+		items[n].outputMutex.Lock()
+		items[n].committedBytes = max(items[n].committedBytes, part.Offset+len(part.Text))
+		items[n].outputMutex.Unlock()
 	}
 }
 
-// newParts gives the parts that are due, and the item of each.
-func (l *Leader) newParts(now time.Time) ([]jobs.InlinePart, []*item) {
+// dueParts returns the partial outputs that are due and, at the same positions, their items.
+func (l *Leader) dueParts(now time.Time) ([]jobs.InlinePart, []*item) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var parts []jobs.InlinePart
-	var of []*item
-	n := 0
-	every := keepEvery(len(l.running), l.service.core)
+	var items []*item
+	size := 0
+	interval := checkpointIntervalFor(len(l.running), l.service.cpuShare)
 	add := func(i *item) {
-		if part, ok := i.newPart(now, every, n < keptAtOnce); ok {
-			parts, of = append(parts, part), append(of, i)
-			n += len(part.Text)
+		if part, ok := i.nextPart(now, interval, size < maxCheckpointBytes); ok {
+			parts, items = append(parts, part), append(items, i)
+			size += len(part.Text)
 		}
 	}
 	for i := range l.running {
@@ -73,30 +72,30 @@
 	for _, i := range l.waiting {
 		add(i)
 	}
-	return parts, of
+	return parts, items
 }
 
-// keepEvery is the time between two parts of one item among so many that run, on so
-// much of a core (0: not known).
-func keepEvery(running int, core float64) time.Duration {
+// checkpointIntervalFor returns the time between two partial outputs of one item, given the number
+// of running items and the share of a core that is available; 0 means unknown.
+func checkpointIntervalFor(running int, core float64) time.Duration {
 	if core <= 0 || core > 1 {
 		core = 1
 	}
-	return max(keepInterval, time.Duration(float64(running)*float64(keepPerItem)/core))
+	return max(checkpointInterval, time.Duration(float64(running)*float64(checkpointCost)/core))
 }
 
-// newPart is what has come since the last one: at once when a run has failed, else
-// each time that every has passed, if there is room.
-func (i *item) newPart(now time.Time, every time.Duration, room bool) (jobs.InlinePart, bool) {
-	i.received.Lock()
-	defer i.received.Unlock()
-	due := room && len(i.text)-i.kept >= leastKept && now.Sub(i.keptAt) >= every
-	if !due && i.failures == i.keptFailures {
+// nextPart returns the output since the last call, if it is due: at once after a failed run,
+// otherwise once interval has passed and room permits more text.
+func (i *item) nextPart(now time.Time, interval time.Duration, room bool) (jobs.InlinePart, bool) {
+	i.outputMutex.Lock()
+	defer i.outputMutex.Unlock()
+	due := room && len(i.text)-i.proposedBytes >= minPartBytes && now.Sub(i.proposedAt) >= interval
+	if !due && i.failures == i.proposedFailures {
 		return jobs.InlinePart{}, false
 	}
 	part := jobs.InlinePart{
-		Job: i.job.ID, Index: i.index, Offset: i.kept, Text: string(i.text[i.kept:]), Last: i.last, Failures: i.failures,
+		Job: i.job.ID, Index: i.index, Offset: i.proposedBytes, Text: string(i.text[i.proposedBytes:]), Last: i.lastEventID, Failures: i.failures,
 	}
-	i.kept, i.keptFailures, i.keptAt = len(i.text), i.failures, now
+	i.proposedBytes, i.proposedFailures, i.proposedAt = len(i.text), i.failures, now
 	return part, true
 }
--- a/internal/batchrun/leader.go
+++ b/internal/batchrun/leader.go
@@ -18,85 +18,86 @@
 )
 
 const (
-	dispatchInterval = 100 * time.Millisecond // at the latest, while items wait
-	startsAtOnce     = 8                      // items sent in one go
-	startPause       = 25 * time.Millisecond  // between two full goes
-	expireInterval   = 10 * time.Second
-	proposeTimeout   = 3 * time.Second
-	proposePause     = 100 * time.Millisecond
-	maximumGathered  = 64 // results of one command
-	firstRetryPause  = 100 * time.Millisecond
-	lastRetryPause   = 2 * time.Second
+	dispatchInterval     = 100 * time.Millisecond // longest time between two passes
+	startBurst           = 8                      // items started in one pass
+	startBurstPause      = 25 * time.Millisecond  // between two passes that start startBurst items
+	expireInterval       = 10 * time.Second
+	proposeTimeout       = 3 * time.Second
+	proposeRetryDelay    = 100 * time.Millisecond
+	maxResultsPerCommand = 64
+	minRetryBackoff      = 100 * time.Millisecond
+	maxRetryBackoff      = 2 * time.Second
 )
 
-// item is one item that has no result yet.
+// item is a job item that has no committed result.
 type item struct {
-	job          jobs.InlineJob
-	index        int
-	path         string
-	host         string
-	digest       quarantine.Digest // with path
-	parts        []worker.Part
-	tokens       int
-	service      string
-	sends        int        // in all
-	notUntil     time.Time  // it waits before it is sent again
-	received     sync.Mutex // guards the next six while the item runs
-	failures     int        // answers that say that its run failed, at all leaders
-	text         []byte     // of whole events so far
-	last         string     // id of the last whole event
-	lastAt       time.Time  // when that came
-	kept         int        // bytes of text that other leaders know of
-	lasting      int        // of kept, those that are known to be committed
-	keptAt       time.Time  // when that was
-	keptFailures int        // failures that other leaders know of
-	avoid        string     // the worker that it was lost at
-	cancel       context.CancelFunc
-	worker       string        // where it runs
-	since        time.Time     // when it was sent there
-	yielding     bool          // it was told to give way
-	cuts         int           // how often it was
-	open         int           // items of its job without a result, at the last look
-	standing     fill.Standing // to when its result is due
+	job              jobs.InlineJob
+	index            int
+	path             string
+	host             string
+	digest           quarantine.Digest // set with path
+	parts            []worker.Part
+	tokens           int
+	service          string
+	attempts         int        // including retries
+	notBefore        time.Time  // retry backoff
+	outputMutex      sync.Mutex // guards the fields up to proposedFailures while the item runs
+	failures         int        // failed runs, under all leaders
+	text             []byte     // data of complete events so far
+	lastEventID      string     // ID of the last complete event
+	lastEventAt      time.Time  // when it arrived
+	proposedBytes    int        // bytes of text that were proposed as partial output
+	committedBytes   int        // of proposedBytes, those known to be committed
+	proposedAt       time.Time  // when proposedBytes last changed
+	proposedFailures int        // failures that were proposed
+	avoidWorker      string     // worker of the previous attempt
+	cancel           context.CancelFunc
+	worker           string        // ID of the worker that runs it
+	startedAt        time.Time     // start of the current run
+	preempted        bool          // the current run was preempted
+	preemptions      int           // number of preempted runs
+	openInJob        int           // unfinished items of its job
+	standing         fill.Standing // relative to the deadline
 }
 
-// Leader runs the open jobs of one group while this process leads it.
+// Leader runs the open inline jobs of one group while this process leads it. It is safe for
+// concurrent use.
 type Leader struct {
-	service *Service
-	group   api.GroupID
-	state   *jobs.State
-	propose dispatch.Propose
-	log     *logrus.Entry
-	began   time.Time
-	ctx     context.Context
-	cancel  context.CancelFunc
-	wake    chan struct{}
-	results chan jobs.InlineResult
-	failed  chan struct{} // the failures of an item are to be kept
-
-	mutex    sync.Mutex // guards all below
-	waiting  []*item    // the most urgent first
-	running  map[*item]bool
-	ended    map[jobs.JobID]bool
-	queued   *queued
-	plan     *plan
-	lengths  *fill.Lengths
-	suspects suspects
-	asked    int // workers for their load, in all rounds
+	service       *Service
+	group         api.GroupID
+	state         *jobs.State
+	propose       dispatch.Propose
+	log           *logrus.Entry
+	startedAt     time.Time
+	ctx           context.Context
+	cancel        context.CancelFunc
+	wake          chan struct{}
+	results       chan jobs.InlineResult
+	checkpointNow chan struct{} // signals that failures have to be committed
+
+	mutex      sync.Mutex // guards the fields below
+	waiting    []*item    // by urgency, most urgent first
+	running    map[*item]bool
+	ended      map[jobs.JobID]bool
+	backlog    *backlog
+	plan       *plan
+	lengths    *fill.Lengths
+	suspects   suspects
+	pollOffset int // position in the rotation of load polls
 }
 
 func newLeader(service *Service, group api.GroupID, state *jobs.State, propose dispatch.Propose) *Leader {
 	l := &Leader{
 		service: service, group: group, state: state, propose: propose, log: service.log.WithField("group", group),
-		wake: make(chan struct{}, 1), failed: make(chan struct{}, 1), results: make(chan jobs.InlineResult, maximumGathered),
-		lengths: fill.NewLengths(), began: time.Now(), running: map[*item]bool{}, ended: map[jobs.JobID]bool{}, queued: newQueued(), plan: newPlan(),
+		wake: make(chan struct{}, 1), checkpointNow: make(chan struct{}, 1), results: make(chan jobs.InlineResult, maxResultsPerCommand),
+		lengths: fill.NewLengths(), startedAt: time.Now(), running: map[*item]bool{}, ended: map[jobs.JobID]bool{}, backlog: newBacklog(), plan: newPlan(),
 	}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
 	return l
 }
 
-// load reads the open jobs.
-func (l *Leader) load() error {
+// loadJobs loads the open jobs from the state.
+func (l *Leader) loadJobs() error {
 	open, err := l.state.OpenInline()
 	if err != nil {
 		return err
@@ -106,7 +107,7 @@
 		return err
 	}
 	for _, queue := range queues {
-		l.queued.expect(time.Now(), queue)
+		l.backlog.trackQueue(time.Now(), queue)
 	}
 	for _, job := range open {
 		indexes, err := l.state.UnlistedInline(job)
@@ -117,37 +118,38 @@
 		if err != nil {
 			return err
 		}
-		l.queued.add(job, tokens, indexes)
+		l.backlog.addOpen(job, tokens, indexes)
 		for _, index := range indexes {
 			l.waiting = append(l.waiting, &item{job: job, index: index, standing: fill.Usual})
 		}
 	}
 	l.sortWaiting()
-	l.log.WithFields(logrus.Fields{"event": "batch_leading", "jobs": len(open), "items": len(l.waiting)}).Info("Running the group's open jobs.")
+	l.log.WithFields(logrus.Fields{"event": "batch_leading", "jobs": len(open), "items": len(l.waiting)}).Info("Leadership started; running the group's open inline jobs.")
 	return nil
 }
 
 func (l *Leader) start() {
 	go l.dispatchLoop()
 	go l.commitLoop()
-	go l.keepLoop()
+	go l.checkpointLoop()
 	go l.expireLoop()
 	go l.reportQueuesLoop()
 }
 
-// Stop ends all that runs; what has no committed result is run by the next leader.
+// Stop ends the loops and cancels all runs, without waiting for them. The next leader runs the
+// items that have no committed result.
 func (l *Leader) Stop() {
 	l.cancel()
-	go l.service.forget(l)
+	go l.service.removeLeader(l)
 }
 
-// Applied takes a command that took effect.
+// Applied processes a committed command and its result. It must be called in commit order.
 func (l *Leader) Applied(command jobs.Command, result jobs.Result) {
 	switch {
 	case command.SubmitInline != nil && result.Inline != nil && !result.Duplicate:
 		l.add(*result.Inline, command.SubmitInline.Items)
 	case command.SubmitInline != nil && result.Inline != nil:
-		l.resent(*result.Inline)
+		l.resubmitted(*result.Inline)
 	case command.EndInline != nil && result.Code == "" && !result.Duplicate:
 		l.endJob(command.EndInline.Job)
 	}
@@ -155,7 +157,7 @@
 
 func (l *Leader) add(job jobs.InlineJob, items []jobs.InlineItem) {
 	l.mutex.Lock()
-	l.queued.submitted(job, items)
+	l.backlog.addSubmitted(job, items)
 	for index := range items {
 		l.waiting = append(l.waiting, &item{job: job, index: index, standing: fill.Usual})
 	}
@@ -164,27 +166,28 @@
 	l.wakeUp()
 }
 
-// resent notes that a job was submitted again: its queue may have counted it anew.
-func (l *Leader) resent(job jobs.InlineJob) {
+// resubmitted reports a job's backlog again, since its queue may have counted the duplicate
+// submission.
+func (l *Leader) resubmitted(job jobs.InlineJob) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.queued.resent(job)
+	l.backlog.resend(job)
 }
 
-// sortWaiting orders by when results are due, what can't be in time last; the mutex
-// is held.
+// sortWaiting orders waiting items by deadline; those that will miss it come last. The caller
+// holds the mutex.
 func (l *Leader) sortWaiting() {
 	slices.SortStableFunc(l.waiting, func(a, b *item) int {
-		return cmp.Or(cmp.Compare(a.missed(), b.missed()), a.job.Due().Compare(b.job.Due()), cmp.Compare(a.job.ID, b.job.ID), cmp.Compare(a.index, b.index))
+		return cmp.Or(cmp.Compare(a.missedRank(), b.missedRank()), a.job.Due().Compare(b.job.Due()), cmp.Compare(a.job.ID, b.job.ID), cmp.Compare(a.index, b.index))
 	})
 }
 
-// endJob stops what runs and waits of a job.
+// endJob cancels a job's running items and drops those that wait.
 func (l *Leader) endJob(id jobs.JobID) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.ended[id] = true
-	l.queued.drop(id)
+	l.backlog.remove(id)
 	l.waiting = slices.DeleteFunc(l.waiting, func(i *item) bool { return i.job.ID == id })
 	stopped := 0
 	for i := range l.running {
@@ -193,11 +196,11 @@
 			stopped++
 		}
 	}
-	l.log.WithFields(logrus.Fields{"event": "job_stopped", "request": id, "items_stopped": stopped}).Info("A job was ended; its items stop.")
+	l.log.WithFields(logrus.Fields{"event": "job_stopped", "request": id, "items_stopped": stopped}).Info("Job ended; its items were cancelled.")
 }
 
-// missed is 1 for an item that can't be in time any more, else 0.
-func (i *item) missed() int {
+// missedRank is 1 for an item that will miss its deadline, else 0.
+func (i *item) missedRank() int {
 	if i.standing == fill.Missed {
 		return 1
 	}
@@ -206,7 +209,7 @@
 
 func (l *Leader) wakeUp() { signal(l.wake) }
 
-// signal sets a channel that holds one signal.
+// signal does a non-blocking send.
 func signal(set chan<- struct{}) {
 	select {
 	case set <- struct{}{}:
--- a/internal/batchrun/leader_test.go
+++ b/internal/batchrun/leader_test.go
@@ -22,7 +22,7 @@
 const testConfiguration = `{"version": 1, "services": [{"name": "lm"}], "routes": [
 	{"name": "batch", "host": "h", "pathPrefix": "/batch/", "routeKind": "batch", "service": "lm", "maxAttempts": 3}]}`
 
-// testLeader leads one job of n items before workers that refuse connections.
+// testLeader returns the leader of one job of n items, whose workers refuse connections.
 func testLeader(t *testing.T, n, workers int) *Leader {
 	t.Helper()
 	logger := logrus.New()
@@ -56,22 +56,22 @@
 		changes = append(changes, catalog.Change{ID: id, Worker: worker.Worker{ID: id, Service: "lm", Address: "127.0.0.1:1", Slots: 12}})
 	}
 	s.pool.WorkersChanged(changes)
-	s.places, s.near = newPlaces(s), newNearby("")
+	s.slots, s.zoneWorkers = newSlotBroker(s), newZoneWorkers("")
 	l := newLeader(s, 0, state, nil)
-	l.began = time.Now().Add(-2 * blindTime)
+	l.startedAt = time.Now().Add(-2 * warmUp)
 	s.leaders[l] = true
 	t.Cleanup(l.cancel)
-	if err := l.load(); err != nil {
+	if err := l.loadJobs(); err != nil {
 		t.Fatal(err)
 	}
 	return l
 }
 
-// TestALeaderStartsFewItemsAtOnce: on the bench a new leader that started 450 items
-// at once sent no heartbeat in time and was replaced.
-func TestALeaderStartsFewItemsAtOnce(t *testing.T) {
+// TestDispatchLimitsStartsPerPass guards against a new leader that starts all open items in one
+// pass and is replaced because its heartbeats are late.
+func TestDispatchLimitsStartsPerPass(t *testing.T) {
 	for _, test := range []struct{ items, workers, want int }{
-		{30, 10, startsAtOnce}, {3, 10, 3}, {30, 0, 0},
+		{30, 10, startBurst}, {3, 10, 3}, {30, 0, 0},
 	} {
 		if n := testLeader(t, test.items, test.workers).dispatch(); n != test.want {
 			t.Errorf("%d items and %d workers: %d started, want %d", test.items, test.workers, n, test.want)
@@ -79,35 +79,35 @@
 	}
 }
 
-// TestEachWorkerIsFilledByOneGroup: two leaders would each see half of the batch at
-// a worker, and both would give way to the same request.
-func TestEachWorkerIsFilledByOneGroup(t *testing.T) {
+// TestEachWorkerBelongsToOneGroup guards against two leaders that both run items at a worker and
+// both preempt for the same request.
+func TestEachWorkerBelongsToOneGroup(t *testing.T) {
 	const groups, workers = 5, 200
 	var leaders []*Leader
 	for group := range api.GroupID(groups) {
 		leaders = append(leaders, &Leader{service: &Service{groups: groups}, group: group})
 	}
-	filled := make([]int, groups)
+	owned := make([]int, groups)
 	for i := range workers {
 		owners := 0
 		for group, l := range leaders {
-			if l.mine(fmt.Sprint("worker-", i)) {
+			if l.owns(fmt.Sprint("worker-", i)) {
 				owners++
-				filled[group]++
+				owned[group]++
 			}
 		}
 		if owners != 1 {
-			t.Errorf("worker %d is filled by %d groups", i, owners)
+			t.Errorf("worker %d belongs to %d groups", i, owners)
 		}
 	}
-	for group, n := range filled {
+	for group, n := range owned {
 		if n < workers/groups/2 {
-			t.Errorf("group %d fills %d of %d workers", group, n, workers)
+			t.Errorf("group %d owns %d of %d workers", group, n, workers)
 		}
 	}
 }
 
-// queryOf is a query that only one worker fits.
-func (l *Leader) queryOf(id string) worker.Query {
+// queryOnly returns a query that only one worker matches.
+func (l *Leader) queryOnly(id string) worker.Query {
 	return worker.Query{Service: "lm", Only: func(other string) bool { return other == id }}
 }
--- a/internal/batchrun/near.go
+++ b/internal/batchrun/near.go
@@ -9,55 +9,57 @@
 	"github.com/dykewing/dykewing/worker"
 )
 
-// nearLife is how long the list of a zone's workers is used: zones don't change, and a
-// worker that has come since is taken as any other until then.
-const nearLife = time.Second
+// zoneCacheTTL is how long the list of a zone's workers is cached. Until it expires, a new worker
+// is not preferred.
+const zoneCacheTTL = time.Second
 
-// nearby knows the workers of this process's zone.
-type nearby struct {
-	zone string // empty: not known, and none is near
+// zoneWorkers caches which workers are in this process's zone. It is safe for concurrent use.
+type zoneWorkers struct {
+	zone string // empty if unknown: no worker is preferred
 
 	mutex    sync.Mutex // guards services
-	services map[string]nearWorkers
+	services map[string]cachedZone
 }
 
-type nearWorkers struct {
-	at  time.Time
-	ids map[string]bool
+type cachedZone struct {
+	fetchedAt time.Time
+	ids       map[string]bool
 }
 
-func newNearby(zone string) *nearby { return &nearby{zone: zone, services: map[string]nearWorkers{}} }
+func newZoneWorkers(zone string) *zoneWorkers {
+	return &zoneWorkers{zone: zone, services: map[string]cachedZone{}}
+}
 
-// of gives a service's workers of this zone; it must not be changed.
-func (n *nearby) of(now time.Time, service string, workers func(service string) []worker.Worker) map[string]bool {
-	if n.zone == "" {
+// ids returns the IDs of a service's workers in this zone. The caller must not modify the map.
+func (z *zoneWorkers) ids(now time.Time, service string, workers func(service string) []worker.Worker) map[string]bool {
+	if z.zone == "" {
 		return nil
 	}
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	known, ok := n.services[service]
-	if ok && now.Sub(known.at) < nearLife {
+	z.mutex.Lock()
+	defer z.mutex.Unlock()
+	known, ok := z.services[service]
+	if ok && now.Sub(known.fetchedAt) < zoneCacheTTL {
 		return known.ids
 	}
 	ids := map[string]bool{}
 	for _, w := range workers(service) {
-		if w.Zone == n.zone {
+		if w.Zone == z.zone {
 			ids[w.ID] = true
 		}
 	}
-	n.services[service] = nearWorkers{at: now, ids: ids}
+	z.services[service] = cachedZone{fetchedAt: now, ids: ids}
 	return ids
 }
 
-// take takes a worker for an item: of this process's zone while one has room, as its
-// prompt and its text, which comes event by event, then cross no zones. An item that has
-// to run now to be in time gets the best worker of all.
-func (l *Leader) take(now time.Time, standing fill.Standing, query worker.Query) (*backend.Ticket, bool) {
+// takeWorker reserves a worker for an item. It prefers this process's zone, so that prompts and
+// output do not cross zones, except for items that must start now to meet their deadline: they get
+// the best worker of any zone.
+func (l *Leader) takeWorker(now time.Time, standing fill.Standing, query worker.Query) (*backend.Ticket, bool) {
 	query.Groups = []int{int(l.group)}
-	near := l.service.near.of(now, query.Service, func(service string) []worker.Worker { return l.service.pool.Workers(service) })
-	if standing != fill.Pressed && len(near) > 0 {
+	local := l.service.zoneWorkers.ids(now, query.Service, func(service string) []worker.Worker { return l.service.pool.Workers(service) })
+	if standing != fill.Pressed && len(local) > 0 {
 		all := query.Only
-		query.Only = func(id string) bool { return near[id] && all(id) }
+		query.Only = func(id string) bool { return local[id] && all(id) }
 		if ticket, ok := l.service.pool.Take(query); ok {
 			return ticket, true
 		}
--- a/internal/batchrun/near_test.go
+++ b/internal/batchrun/near_test.go
@@ -10,25 +10,25 @@
 	"github.com/dykewing/dykewing/worker"
 )
 
-// TestItemsRunInTheLeadersZoneWhileThatHasRoom: an item's text came from a worker of
-// another zone though those of its leader's zone were idle.
-func TestItemsRunInTheLeadersZoneWhileThatHasRoom(t *testing.T) {
+// TestItemsPreferTheLeadersZone guards against items that run in another zone while workers in the
+// leader's zone are idle.
+func TestItemsPreferTheLeadersZone(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		zone      string
 		near, far int // free slots
 		items     int
 		standing  fill.Standing
-		wantNear  int // -1: any number
+		wantNear  int // -1: not checked
 	}{
-		{"room near", "a", 10, 10, 8, fill.Usual, 8},
-		{"the rest goes elsewhere", "a", 3, 10, 8, fill.Usual, 3},
-		{"nothing near", "a", 0, 10, 8, fill.Usual, 0},
-		{"no zone is known", "", 10, 10, 8, fill.Usual, -1},
-		{"they have to run now", "a", 10, 10, 8, fill.Pressed, -1},
+		{"enough slots in the zone", "a", 10, 10, 8, fill.Usual, 8},
+		{"overflow to other zones", "a", 3, 10, 8, fill.Usual, 3},
+		{"no slots in the zone", "a", 0, 10, 8, fill.Usual, 0},
+		{"unknown zone", "", 10, 10, 8, fill.Usual, -1},
+		{"pressed items", "a", 10, 10, 8, fill.Pressed, -1},
 	} {
 		l := testLeader(t, 0, 0)
-		l.service.near = newNearby(test.zone)
+		l.service.zoneWorkers = newZoneWorkers(test.zone)
 		var changes []catalog.Change
 		for n, zone := range []string{"a", "b", "c", "d"} {
 			id := fmt.Sprint("w", n)
@@ -38,9 +38,9 @@
 		free := map[string]int{"w0": test.near, "w1": test.far, "w2": test.far, "w3": test.far}
 		near := 0
 		for n := range test.items {
-			ticket, ok := l.take(time.Unix(0, 0), test.standing, worker.Query{Service: "lm", Only: func(id string) bool { return free[id] > 0 }})
+			ticket, ok := l.takeWorker(time.Unix(0, 0), test.standing, worker.Query{Service: "lm", Only: func(id string) bool { return free[id] > 0 }})
 			if !ok {
-				t.Fatalf("%s: item %d had no worker", test.name, n)
+				t.Fatalf("%s: no worker for item %d", test.name, n)
 			}
 			free[ticket.Worker.ID]--
 			if ticket.Worker.Zone == "a" {
@@ -49,20 +49,20 @@
 			ticket.End()
 		}
 		if test.wantNear >= 0 && near != test.wantNear {
-			t.Errorf("%s: %d of %d items ran near, want %d", test.name, near, test.items, test.wantNear)
+			t.Errorf("%s: %d of %d items ran in the zone, want %d", test.name, near, test.items, test.wantNear)
 		}
 	}
 }
 
-func TestWorkersThatComeLaterAreFoundNear(t *testing.T) {
-	n, now := newNearby("a"), time.Unix(0, 0)
+func TestZoneWorkersExpire(t *testing.T) {
+	n, now := newZoneWorkers("a"), time.Unix(0, 0)
 	workers := []worker.Worker{{ID: "w0", Zone: "a"}}
 	list := func(string) []worker.Worker { return workers }
-	if near := n.of(now, "lm", list); !near["w0"] || len(near) != 1 {
+	if near := n.ids(now, "lm", list); !near["w0"] || len(near) != 1 {
 		t.Errorf("%v", near)
 	}
 	workers = append(workers, worker.Worker{ID: "w1", Zone: "a"}, worker.Worker{ID: "w2", Zone: "b"})
-	if near := n.of(now.Add(nearLife), "lm", list); !near["w1"] || near["w2"] {
+	if near := n.ids(now.Add(zoneCacheTTL), "lm", list); !near["w1"] || near["w2"] {
 		t.Errorf("%v", near)
 	}
 }
--- a/internal/batchrun/paced.go
+++ b/internal/batchrun/paced.go
@@ -8,21 +8,21 @@
 	"github.com/dykewing/dykewing/internal/pause"
 )
 
-// readInterval is the time between two reads of an item's stream. Nobody waits for
-// its single events, and a leader runs hundreds of items: a wake-up for each event
-// would take most of a small processor.
+// readInterval is the time between two reads of an item's stream. Batch output is not
+// latency-sensitive, and with hundreds of running items a wake-up for each event would use most of
+// a small CPU.
 const readInterval = 200 * time.Millisecond
 
-// pacedReader reads at most once an interval; what comes meanwhile waits in the
-// connection. Use it from one goroutine.
+// pacedReader reads from source at most once per interval; unread data stays in the connection. It
+// is not safe for concurrent use.
 type pacedReader struct {
-	ctx      context.Context // ends a wait
+	ctx      context.Context // cancels the delay
 	source   io.Reader
 	interval time.Duration
 	next     time.Time
 }
 
-// Read waits for its turn, then reads what is there.
+// Read waits until the interval since the last read has passed, then reads once from source.
 func (p *pacedReader) Read(into []byte) (int, error) {
 	if wait := time.Until(p.next); wait > 0 {
 		pause.For(p.ctx, wait)
--- a/internal/batchrun/paced_test.go
+++ b/internal/batchrun/paced_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// countedReader counts the reads of what is behind it.
+// countedReader counts reads.
 type countedReader struct {
 	io.Reader
 	reads int
@@ -20,7 +20,7 @@
 	return c.Reader.Read(into)
 }
 
-func TestAPacedReaderGivesAllBytesAndWaitsBetweenReads(t *testing.T) {
+func TestPacedReaderReturnsAllBytesAndWaitsBetweenReads(t *testing.T) {
 	const interval = 20 * time.Millisecond
 	source := &countedReader{Reader: iotest.OneByteReader(strings.NewReader("abcd"))}
 	began := time.Now()
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestAPacedReaderDoesNotWaitWhenItsContextHasEnded(t *testing.T) {
+func TestPacedReaderDoesNotWaitAfterContextEnds(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	reader := &pacedReader{ctx: ctx, source: iotest.OneByteReader(strings.NewReader("ab")), interval: time.Hour}
--- a/internal/batchrun/places.go
+++ b/internal/batchrun/places.go
@@ -14,306 +14,305 @@
 	"github.com/dykewing/dykewing/worker"
 )
 
-// observeInterval is between two counts of slots, holdings and ends, and between two
-// looks at whether those that wait have hope: a tenth of the time that a request which
-// is refused may have waited.
+// observeInterval is the shortest time between two observations of slots and completions, and
+// between two checks of which waiting requests can still get a slot in time.
 const observeInterval = 10 * time.Millisecond
 
-// maximumPlaceBytes of a frontend's message: an entry a worker, and a prompt's parts.
-const maximumPlaceBytes = 1 << 20
+// maxMessageBytes limits the body of a frontend's message, which has an entry per worker and the
+// parts of a prompt.
+const maxMessageBytes = 1 << 20
 
-// places gives places at the workers that this process fills to the frontends that ask
-// for them.
-type places struct {
+// slotBroker grants slots at this process's workers to online requests, on behalf of the frontends
+// that ask. It is safe for concurrent use.
+type slotBroker struct {
 	service *Service
 
-	mutex     sync.Mutex // guards all below; leaders' mutexes are taken after it
-	book      *reservation.Book
-	queues    map[string]*reservation.Queue // by service
-	seenAt    time.Time                     // when slots were last counted
-	counted   int                           // workers, then
-	spreadFor []int                         // groups whose workers' choices see what frontends hold
-	spreadOf  uint64                        // generation of the list of workers, then
-	heard     heard
+	mutex            sync.Mutex // guards the fields below; acquired before leaders' mutexes
+	book             *reservation.Book
+	queues           map[string]*reservation.Queue // by service
+	observedAt       time.Time                     // last observation of slots
+	observedWorkers  int                           // workers in that observation
+	syncedGroups     []int                         // groups whose workers the pool has held counts for
+	syncedGeneration uint64                        // generation of the worker list at that time
+	observationLog   observationLog
 
-	counts sync.Map // of requests that wait, by service; for readers without the mutex
+	waitingCounts sync.Map // waiting requests by service, readable without the mutex
 }
 
-func newPlaces(service *Service) *places {
-	return &places{service: service, book: reservation.New(), queues: map[string]*reservation.Queue{}}
+func newSlotBroker(service *Service) *slotBroker {
+	return &slotBroker{service: service, book: reservation.New(), queues: map[string]*reservation.Queue{}}
 }
 
-// waiting is how many requests of a service wait here.
-func (p *places) waiting(service string) int {
-	if n, ok := p.counts.Load(service); ok {
+// waitingCount returns how many requests for a service wait here.
+func (b *slotBroker) waitingCount(service string) int {
+	if n, ok := b.waitingCounts.Load(service); ok {
 		return n.(int)
 	}
 	return 0
 }
 
-// online is what frontends hold at a worker.
-func (p *places) online(id string) int {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	return p.book.Online(id)
+// onlineAt returns how many requests frontends hold at a worker.
+func (b *slotBroker) onlineAt(id string) int {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return b.book.Online(id)
 }
 
-// servePlaces takes a frontend's report and gives a place if it asks for one.
-func (s *Service) servePlaces(w http.ResponseWriter, r *http.Request) {
+// serveSlots handles a frontend's report and its request for a slot, if there is one.
+func (s *Service) serveSlots(w http.ResponseWriter, r *http.Request) {
 	var message reservation.Message
-	if failure := transport.ReadJSON(w, r, "read question for a place", maximumPlaceBytes, &message); failure != nil {
+	if failure := transport.ReadJSON(w, r, "read question for a place", maxMessageBytes, &message); failure != nil {
 		transport.WriteError(w, failure)
 		return
 	}
-	leaders := s.led()
+	leaders := s.currentLeaders()
 	if len(leaders) == 0 {
-		transport.WriteError(w, api.NewError("give place", "", api.CodeNotLeader, api.OutcomeNotRun, "no group is led here"))
+		transport.WriteError(w, api.NewError("give place", "", api.CodeNotLeader, api.OutcomeNotRun, "this process leads no group"))
 		return
 	}
-	p := s.places
+	b := s.slots
 	now := time.Now()
-	waits, answer := p.take(now, leaders, message)
-	if waits != nil {
-		answer = p.await(r, waits, message.Ask.Wait)
+	waiter, answer := b.handle(now, leaders, message)
+	if waiter != nil {
+		answer = b.await(r, waiter, message.Ask.Wait)
 	}
 	if message.Ask != nil {
-		answer.Paces = p.answerPaces(leaders, message.Ask.Service)
+		answer.Paces = b.pacesForAnswer(leaders, message.Ask.Service)
 	}
 	transport.WriteJSON(w, http.StatusOK, answer)
 }
 
-// take takes a message and answers it, or lets its request wait.
-func (p *places) take(now time.Time, leaders []*Leader, message reservation.Message) (*reservation.Waiting, reservation.Answer) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.book.Report(now, message.Report)
-	p.hear(now, leaders, message.Report)
-	p.placeWaiting(now, leaders)
+// handle processes a message. It returns the answer, or the queued request if that has to wait.
+func (b *slotBroker) handle(now time.Time, leaders []*Leader, message reservation.Message) (*reservation.Waiting, reservation.Answer) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.book.Report(now, message.Report)
+	b.applyObservations(now, leaders, message.Report)
+	b.grantWaiting(now, leaders)
 	if message.Ask == nil {
 		return nil, reservation.Answer{}
 	}
 	for _, leader := range leaders {
-		if leader.blind(now) {
+		if leader.warmingUp(now) {
 			return nil, reservation.Answer{Blind: true}
 		}
 	}
 	ask := *message.Ask
-	queue := p.queue(ask.Service)
-	waits := reservation.Wait(now, message.Report.Node, ask)
+	queue := b.queue(ask.Service)
+	waiter := reservation.Wait(now, message.Report.Node, ask)
 	if ask.Wait > 0 && ask.Returned {
-		queue.Arrived(now, waits) // its promise counts
+		queue.Arrived(now, waiter) // before placing, so that an earlier promise counts
 	}
 	if queue.Len() == 0 {
-		if answer, ok := p.place(now, leaders, waits); ok {
-			p.arrived(now, queue, waits)
+		if answer, ok := b.grant(now, leaders, waiter); ok {
+			b.recordArrival(now, queue, waiter)
 			return nil, answer
 		}
 	}
 	if ask.Wait <= 0 {
-		return nil, queue.Full(now, waits)
+		return nil, queue.Full(now, waiter)
 	}
-	verdict := queue.Decide(now, waits)
+	verdict := queue.Decide(now, waiter)
 	if verdict.Refuse && ask.Elsewhere {
 		return nil, reservation.Answer{Hopeless: true, Waiting: queue.Len(), Until: verdict.Until}
 	}
-	p.arrived(now, queue, waits)
+	b.recordArrival(now, queue, waiter)
 	if verdict.Refuse {
-		return nil, p.refuse(now, reservation.Refused{Waiting: waits, Verdict: verdict})
+		return nil, b.refuse(now, reservation.Refused{Waiting: waiter, Verdict: verdict})
 	}
-	queue.Add(waits)
+	queue.Add(waiter)
 	queue.Line.Waits(now, true)
-	p.counts.Store(ask.Service, queue.Len())
+	b.waitingCounts.Store(ask.Service, queue.Len())
 	for _, leader := range leaders {
 		leader.wakeUp()
 	}
-	return waits, reservation.Answer{}
+	return waiter, reservation.Answer{}
 }
 
-// arrived notes a request where it is placed, waits or is refused for good, once.
-func (p *places) arrived(now time.Time, queue *reservation.Queue, waits *reservation.Waiting) {
-	if !waits.Ask.Returned || waits.Ask.Wait <= 0 {
-		queue.Arrived(now, waits)
+// recordArrival counts a request once: when it is granted a slot, queued or finally refused.
+func (b *slotBroker) recordArrival(now time.Time, queue *reservation.Queue, waiter *reservation.Waiting) {
+	if !waiter.Ask.Returned || waiter.Ask.Wait <= 0 {
+		queue.Arrived(now, waiter)
 	}
 }
 
-// refuse answers a request that can't have a place in time; the mutex is held.
-func (p *places) refuse(now time.Time, r reservation.Refused) reservation.Answer {
-	queue := p.queue(r.Ask.Service)
-	p.service.metrics.refused.Inc()
-	p.service.log.WithFields(logrus.Fields{
+// refuse answers a request that cannot get a slot in time. The caller holds the mutex.
+func (b *slotBroker) refuse(now time.Time, r reservation.Refused) reservation.Answer {
+	queue := b.queue(r.Ask.Service)
+	b.service.metrics.refused.Inc()
+	b.service.log.WithFields(logrus.Fields{
 		"event": "place_refused", "peer": r.Node, "service": r.Ask.Service, "waiting": queue.Len(), "ahead": r.Verdict.Ahead, "told": r.Verdict.Told,
 		"rate": r.Verdict.PerSecond, "until_ms": r.Verdict.Until.Milliseconds(), "begin_ms": r.Order.Begin.Sub(now).Milliseconds(),
 		"last_ms": r.Order.Last.Sub(now).Milliseconds(), "waited_ms": now.Sub(r.Since).Milliseconds(), "returned": r.Ask.Returned,
 		"promised": !r.Order.Promised.IsZero(), "return_ms": r.Verdict.Return.Milliseconds(),
-	}).Info("A request can't have a place in time.")
+	}).Info("Refused a request that cannot get a slot in time.")
 	return reservation.Answer{Hopeless: true, RetryAfter: r.Verdict.Return, Waiting: queue.Len(), Until: r.Verdict.Until}
 }
 
-// await gives the place of a request that waits, as soon as there is one.
-func (p *places) await(r *http.Request, waits *reservation.Waiting, longest time.Duration) reservation.Answer {
+// await waits until a queued request is answered, the time longest has passed or the client
+// disconnects.
+func (b *slotBroker) await(r *http.Request, waiter *reservation.Waiting, longest time.Duration) reservation.Answer {
 	timer := time.NewTimer(longest)
 	defer timer.Stop()
 	select {
-	case answer := <-waits.Place:
+	case answer := <-waiter.Place:
 		return answer
 	case <-timer.C:
 	case <-r.Context().Done():
 	}
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	queue := p.queue(waits.Ask.Service)
-	if !queue.Remove(waits) {
-		return <-waits.Place
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	queue := b.queue(waiter.Ask.Service)
+	if !queue.Remove(waiter) {
+		return <-waiter.Place
 	}
-	p.counts.Store(waits.Ask.Service, queue.Len())
-	return queue.Full(time.Now(), waits)
+	b.waitingCounts.Store(waiter.Ask.Service, queue.Len())
+	return queue.Full(time.Now(), waiter)
 }
 
-func (p *places) queue(service string) *reservation.Queue {
-	queue := p.queues[service]
+func (b *slotBroker) queue(service string) *reservation.Queue {
+	queue := b.queues[service]
 	if queue == nil {
 		queue = &reservation.Queue{}
-		p.queues[service] = queue
+		b.queues[service] = queue
 	}
 	return queue
 }
 
-// kick brings what is believed of workers up to date and gives places that have come
-// free to those that wait.
-func (p *places) kick(now time.Time) {
-	leaders := p.service.led()
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.book.Expire(now)
-	p.placeWaiting(now, leaders)
+// refresh expires stale reports and grants free slots to waiting requests.
+func (b *slotBroker) refresh(now time.Time) {
+	leaders := b.service.currentLeaders()
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.book.Expire(now)
+	b.grantWaiting(now, leaders)
 }
 
-// placeWaiting gives places to those that wait, in their order; the mutex is held.
-func (p *places) placeWaiting(now time.Time, leaders []*Leader) {
-	p.spread(leaders)
-	counted := p.countSlots(now, leaders)
-	for service, queue := range p.queues {
+// grantWaiting grants slots to waiting requests in queue order and refuses those that cannot get
+// one in time. The caller holds the mutex.
+func (b *slotBroker) grantWaiting(now time.Time, leaders []*Leader) {
+	b.syncHeld(leaders)
+	counted := b.observeSlots(now, leaders)
+	for service, queue := range b.queues {
 		if queue.Len() == 0 {
 			queue.Line.Waits(now, false)
 			continue
 		}
-		for _, waits := range queue.Sorted(now) {
-			answer, ok := p.place(now, leaders, waits)
+		for _, waiter := range queue.Sorted(now) {
+			answer, ok := b.grant(now, leaders, waiter)
 			if !ok {
 				break
 			}
-			queue.Remove(waits)
-			waits.Place <- answer
+			queue.Remove(waiter)
+			waiter.Place <- answer
 		}
 		if counted {
 			queue.Line.Waits(now, queue.Len() > 0)
 			for _, refused := range queue.Refuse(now) {
-				refused.Place <- p.refuse(now, refused)
+				refused.Place <- b.refuse(now, refused)
 			}
 		}
-		p.counts.Store(service, queue.Len())
+		b.waitingCounts.Store(service, queue.Len())
 	}
 }
 
-// countedAtOnce is how many workers are counted each observeInterval; more are counted less
-// often, so that counting takes no more of a core on a larger fleet.
-const countedAtOnce = 256
+// workersPerInterval is how many workers may be observed per observeInterval. With more workers
+// the interval grows, so that the CPU load stays constant.
+const workersPerInterval = 256
 
-// countSlots counts slots, what requests hold of them and what has ended, for the decisions
-// about waits; false when it did so a moment ago. The mutex is held.
-func (p *places) countSlots(now time.Time, leaders []*Leader) bool {
-	if now.Sub(p.seenAt) < observeInterval*time.Duration(1+p.counted/countedAtOnce) {
+// observeSlots records slots, held slots and completions for the admission decisions. It returns
+// false if the last observation is too recent. The caller holds the mutex.
+func (b *slotBroker) observeSlots(now time.Time, leaders []*Leader) bool {
+	if now.Sub(b.observedAt) < observeInterval*time.Duration(1+b.observedWorkers/workersPerInterval) {
 		return false
 	}
-	p.seenAt, p.counted = now, 0
-	ended := p.book.Ended()
-	for _, name := range p.service.serviceNames() {
+	b.observedAt, b.observedWorkers = now, 0
+	ended := b.book.Ended()
+	for _, name := range b.service.serviceNames() {
 		slots, held, ends := 0, 0, 0
-		p.service.pool.EachOccupancy(name, groupsOf(leaders), func(seen worker.Occupancy) {
-			p.counted++
-			ends += ended[seen.ID]
-			if seen.Usable {
-				slots += seen.Slots
-				held += min(p.book.Online(seen.ID), seen.Slots)
+		b.service.pool.EachOccupancy(name, groupsOf(leaders), func(occupancy worker.Occupancy) {
+			b.observedWorkers++
+			ends += ended[occupancy.ID]
+			if occupancy.Usable {
+				slots += occupancy.Slots
+				held += min(b.book.Online(occupancy.ID), occupancy.Slots)
 			}
 		})
-		p.queue(name).Line.Observe(now, slots, held, ends)
+		b.queue(name).Line.Observe(now, slots, held, ends)
 	}
 	return true
 }
 
-// spread lets choices of workers see what frontends hold: at those workers of which
-// something was told, and at all where this process has begun to fill them or the list of
-// workers has changed. The mutex is held.
-func (p *places) spread(leaders []*Leader) {
-	groups, generation := groupsOf(leaders), p.service.pool.Generation()
+// syncHeld copies the counts of held slots to the pool: those that changed, or all if the owned
+// groups or the list of workers changed. The caller holds the mutex.
+func (b *slotBroker) syncHeld(leaders []*Leader) {
+	groups, generation := groupsOf(leaders), b.service.pool.Generation()
 	held := map[string]int{}
-	if !slices.Equal(groups, p.spreadFor) || generation != p.spreadOf {
-		if !slices.Equal(groups, p.spreadFor) {
-			p.service.pool.ForgetHeld()
+	if !slices.Equal(groups, b.syncedGroups) || generation != b.syncedGeneration {
+		if !slices.Equal(groups, b.syncedGroups) {
+			b.service.pool.ForgetHeld()
 		}
-		p.spreadFor, p.spreadOf = groups, generation
-		p.book.Touched()
-		p.service.hidden.take()
-		for _, name := range p.service.serviceNames() {
-			for _, w := range p.service.pool.Workers(name, groups...) {
-				p.book.Began(w.Incarnation())
-				held[w.ID] = p.held(w.ID)
+		b.syncedGroups, b.syncedGeneration = groups, generation
+		b.book.Touched()
+		b.service.unreported.takeChanged()
+		for _, name := range b.service.serviceNames() {
+			for _, w := range b.service.pool.Workers(name, groups...) {
+				b.book.Began(w.Incarnation())
+				held[w.ID] = b.heldAt(w.ID)
 			}
 		}
 	}
-	touched := p.book.Touched()
-	for _, id := range p.service.hidden.take() {
+	touched := b.book.Touched()
+	for _, id := range b.service.unreported.takeChanged() {
 		touched[id] = true
 	}
 	for id := range touched {
-		if filled(leaders, id) {
-			held[id] = p.held(id)
+		if ownedByAny(leaders, id) {
+			held[id] = b.heldAt(id)
 		}
 	}
 	if len(held) > 0 {
-		p.service.pool.SetHeld(held)
+		b.service.pool.SetHeld(held)
 	}
 }
 
-// held is what others than this process have at a worker; the mutex is held.
-func (p *places) held(id string) int { return p.book.Online(id) + p.service.hidden.of(id) }
+// heldAt returns the requests at a worker that are not this process's own. The caller holds the
+// mutex.
+func (b *slotBroker) heldAt(id string) int { return b.book.Online(id) + b.service.unreported.at(id) }
 
-// place gives a request a slot: one that is free, else one of an item, which gives
-// way. The mutex is held.
-func (p *places) place(now time.Time, leaders []*Leader, waits *reservation.Waiting) (reservation.Answer, bool) {
-	stopping := stopping(leaders)
-	free := func(seen worker.Occupancy) bool {
-		return seen.Usable && seen.Others+seen.Taken-stopping[seen.ID] < seen.Slots
+// grant grants a request a free slot, else preempts an item for it. The caller holds the mutex.
+func (b *slotBroker) grant(now time.Time, leaders []*Leader, waiter *reservation.Waiting) (reservation.Answer, bool) {
+	leaving := preemptedItems(leaders)
+	free := func(occupancy worker.Occupancy) bool {
+		return occupancy.Usable && occupancy.Others+occupancy.Taken-leaving[occupancy.ID] < occupancy.Slots
 	}
-	yields := func(seen worker.Occupancy) bool {
-		return seen.Usable && seen.Others < seen.Slots && seen.Taken > stopping[seen.ID]
+	preemptible := func(occupancy worker.Occupancy) bool {
+		return occupancy.Usable && occupancy.Others < occupancy.Slots && occupancy.Taken > leaving[occupancy.ID]
 	}
-	id, ok := p.choose(leaders, waits.Ask, free)
+	id, ok := b.chooseWorker(leaders, waiter.Ask, free)
 	if !ok {
-		if id, ok = p.choose(leaders, waits.Ask, yields); !ok {
+		if id, ok = b.chooseWorker(leaders, waiter.Ask, preemptible); !ok {
 			return reservation.Answer{}, false
 		}
 		for _, leader := range leaders {
-			if leader.mine(id) {
-				leader.giveWay(id)
+			if leader.owns(id) {
+				leader.preemptOne(id)
 			}
 		}
 	}
-	grant := p.book.Give(now, waits.Node, id)
-	p.queue(waits.Ask.Service).Placed(now, waits)
-	p.service.pool.Read(id, waits.Ask.Parts)
-	p.service.pool.SetHeld(map[string]int{id: p.held(id)})
+	grant := b.book.Give(now, waiter.Node, id)
+	b.queue(waiter.Ask.Service).Placed(now, waiter)
+	b.service.pool.Read(id, waiter.Ask.Parts)
+	b.service.pool.SetHeld(map[string]int{id: b.heldAt(id)})
 	return reservation.Answer{Worker: id, Grant: grant}, true
 }
 
-// choose gives the worker that the frontend would choose if it fits, else the best of
-// those that do. Where workers tell their pace the frontend has only drawn a leader: this
-// process knows all that is held at its workers and what all frontends heard there, and
-// chooses the one with the least expected time.
-func (p *places) choose(leaders []*Leader, ask reservation.Ask, fits func(worker.Occupancy) bool) (string, bool) {
-	pool := p.service.pool
-	if wanted, listed := pool.OccupancyOf(ask.Worker); listed && wanted.Service == ask.Service && filled(leaders, ask.Worker) &&
+// chooseWorker returns the frontend's preferred worker if that fits and is not slow, else the best
+// one that fits. For services whose workers report their pace it ignores the preference, since
+// this process has fresher data on its workers than a frontend.
+func (b *slotBroker) chooseWorker(leaders []*Leader, ask reservation.Ask, fits func(worker.Occupancy) bool) (string, bool) {
+	pool := b.service.pool
+	if wanted, listed := pool.OccupancyOf(ask.Worker); listed && wanted.Service == ask.Service && ownedByAny(leaders, ask.Worker) &&
 		!slices.Contains(ask.Excluded, ask.Worker) && fits(wanted) && !pool.Paced(ask.Service) && pool.Slowness(ask.Worker) == 1 {
 		return ask.Worker, true
 	}
@@ -322,35 +321,35 @@
 		Groups: groupsOf(leaders), Fits: fits,
 	})
 	if ok && choice.Pace.Source != worker.PaceUnknown {
-		p.service.metrics.heard.placePace.Observe(choice.Pace.Value)
+		b.service.metrics.workers.placePace.Observe(choice.Pace.Value)
 	}
 	return choice.Worker.ID, ok
 }
 
-// stopping counts the items at each worker that have been told to give way.
-func stopping(leaders []*Leader) map[string]int {
-	stopping := map[string]int{}
+// preemptedItems counts the running items at each worker that were preempted.
+func preemptedItems(leaders []*Leader) map[string]int {
+	counts := map[string]int{}
 	for _, leader := range leaders {
 		leader.mutex.Lock()
 		for i := range leader.running {
-			if i.yielding {
-				stopping[i.worker]++
+			if i.preempted {
+				counts[i.worker]++
 			}
 		}
 		leader.mutex.Unlock()
 	}
-	return stopping
+	return counts
 }
 
-// giveWay lets one more item at a worker give way to a request.
-func (l *Leader) giveWay(workerID string) {
+// preemptOne preempts one more item at a worker.
+func (l *Leader) preemptOne(workerID string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	yielding := 0
+	preempting := 0
 	for i := range l.running {
-		if i.yielding && i.worker == workerID {
-			yielding++
+		if i.preempted && i.worker == workerID {
+			preempting++
 		}
 	}
-	l.giveWayLocked(workerID, yielding+1, true)
+	l.preemptLocked(workerID, preempting+1, true)
 }
--- a/internal/batchrun/places_test.go
+++ b/internal/batchrun/places_test.go
@@ -11,18 +11,18 @@
 	"github.com/dykewing/dykewing/reservation"
 )
 
-// asked is a question for a place at a worker of the tests' service.
-func asked(worker string, wait time.Duration) *reservation.Ask {
+// askFor returns a request for a slot of the test service that prefers a worker.
+func askFor(worker string, wait time.Duration) *reservation.Ask {
 	return &reservation.Ask{Service: "lm", Worker: worker, Begin: time.Second, Last: time.Minute, Wait: wait}
 }
 
-// holding is a report of one frontend.
-func holding(sequence uint64, held map[string]int) reservation.Report {
+// heldReport returns a frontend's report of held slots.
+func heldReport(sequence uint64, held map[string]int) reservation.Report {
 	return reservation.Report{Node: "front", Sequence: sequence, Held: held}
 }
 
 // Workers have 12 slots each.
-func TestAPlaceIsWhereASlotIsFree(t *testing.T) {
+func TestGrantUsesFreeSlot(t *testing.T) {
 	tests := []struct {
 		name    string
 		workers int
@@ -31,17 +31,17 @@
 		want    string
 		full    bool
 	}{
-		{"where the frontend would send it", 3, nil, asked("w1", 0), "w1", false},
-		{"another, where that is full", 2, map[string]int{"w1": 12}, asked("w1", 0), "w0", false},
-		{"one slot is left", 1, map[string]int{"w0": 11}, asked("w0", 0), "w0", false},
-		{"none", 2, map[string]int{"w0": 12, "w1": 13}, asked("w1", 0), "", true},
-		{"not where it was turned away", 2, map[string]int{"w1": 12}, &reservation.Ask{Service: "lm", Worker: "w1", Excluded: []string{"w0"}, Begin: time.Second, Last: time.Minute}, "", true},
-		{"an unknown service", 2, nil, &reservation.Ask{Service: "other", Worker: "w0", Last: time.Minute}, "", true},
+		{"preferred worker", 3, nil, askFor("w1", 0), "w1", false},
+		{"preferred worker is full", 2, map[string]int{"w1": 12}, askFor("w1", 0), "w0", false},
+		{"one free slot", 1, map[string]int{"w0": 11}, askFor("w0", 0), "w0", false},
+		{"no free slot", 2, map[string]int{"w0": 12, "w1": 13}, askFor("w1", 0), "", true},
+		{"other worker is excluded", 2, map[string]int{"w1": 12}, &reservation.Ask{Service: "lm", Worker: "w1", Excluded: []string{"w0"}, Begin: time.Second, Last: time.Minute}, "", true},
+		{"unknown service", 2, nil, &reservation.Ask{Service: "other", Worker: "w0", Last: time.Minute}, "", true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			l := testLeader(t, 0, test.workers)
-			_, got := l.service.places.take(time.Now(), l.service.led(), reservation.Message{Report: holding(1, test.held), Ask: test.ask})
+			_, got := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: heldReport(1, test.held), Ask: test.ask})
 			if got.Worker != test.want || got.Full != test.full {
 				t.Errorf("%+v", got)
 			}
@@ -49,111 +49,111 @@
 	}
 }
 
-func TestAsManyPlacesAsSlots(t *testing.T) {
+func TestGrantsAreLimitedBySlots(t *testing.T) {
 	l := testLeader(t, 0, 2)
-	given := 0
+	granted := 0
 	for range 30 {
-		if _, got := l.service.places.take(time.Now(), l.service.led(), reservation.Message{Report: holding(1, nil), Ask: asked("w0", 0)}); got.Worker != "" {
-			given++
+		if _, got := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: heldReport(1, nil), Ask: askFor("w0", 0)}); got.Worker != "" {
+			granted++
 		}
 	}
-	if given != 24 {
-		t.Errorf("%d places at 24 slots", given)
+	if granted != 24 {
+		t.Errorf("%d grants for 24 slots", granted)
 	}
 }
 
-func TestANewLeaderGivesNoPlaceOnAGuess(t *testing.T) {
+func TestNewLeaderGrantsNothingDuringWarmUp(t *testing.T) {
 	l := testLeader(t, 0, 2)
-	l.began = time.Now()
-	if _, got := l.service.places.take(time.Now(), l.service.led(), reservation.Message{Report: holding(1, nil), Ask: asked("w0", 0)}); !got.Blind {
+	l.startedAt = time.Now()
+	if _, got := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: heldReport(1, nil), Ask: askFor("w0", 0)}); !got.Blind {
 		t.Errorf("%+v", got)
 	}
 }
 
-// An item gives way to a request that finds no free slot, one for each.
-func TestAnItemGivesWayToARequest(t *testing.T) {
+// Each request that finds no free slot preempts one item.
+func TestRequestPreemptsItem(t *testing.T) {
 	l := testLeader(t, 12, 1)
 	for _, i := range l.waiting {
 		i.worker, i.cancel, i.standing = "w0", func() {}, fill.Usual
 		l.running[i] = true
-		if _, ok := l.service.pool.Take(l.queryOf("w0")); !ok {
-			t.Fatal("no worker")
+		if _, ok := l.service.pool.Take(l.queryOnly("w0")); !ok {
+			t.Fatal("no worker available")
 		}
 	}
 	for n := 1; n <= 13; n++ {
-		_, got := l.service.places.take(time.Now(), l.service.led(), reservation.Message{Report: holding(1, nil), Ask: asked("w0", 0)})
-		yielding := stopping(l.service.led())["w0"]
-		if want := min(n, 12); yielding != want || (got.Worker == "w0") != (n <= 12) {
-			t.Errorf("request %d: %+v, %d items give way", n, got, yielding)
+		_, got := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: heldReport(1, nil), Ask: askFor("w0", 0)})
+		preempted := preemptedItems(l.service.currentLeaders())["w0"]
+		if want := min(n, 12); preempted != want || (got.Worker == "w0") != (n <= 12) {
+			t.Errorf("request %d: %+v, %d items preempted", n, got, preempted)
 		}
 	}
 }
 
-// Requests that wait get the slots that come free, those that can be in time first.
-func TestThoseThatWaitGetPlacesInTheirOrder(t *testing.T) {
+// Waiting requests get freed slots in queue order: those that can still be in time first.
+func TestWaitingRequestsAreGrantedInQueueOrder(t *testing.T) {
 	l := testLeader(t, 0, 1)
-	p, now := l.service.places, time.Now()
-	full := holding(1, map[string]int{"w0": 12})
-	late, inTime, urgent := asked("w0", time.Minute), asked("w0", time.Minute), asked("w0", time.Minute)
+	broker, now := l.service.slots, time.Now()
+	full := heldReport(1, map[string]int{"w0": 12})
+	late, inTime, urgent := askFor("w0", time.Minute), askFor("w0", time.Minute), askFor("w0", time.Minute)
 	late.Begin = -time.Millisecond
 	urgent.Rank = hold.Rank{Tenant: -1}
-	var waits []*reservation.Waiting
+	var waiters []*reservation.Waiting
 	for _, ask := range []*reservation.Ask{late, inTime, urgent} {
-		waiting, got := p.take(now, l.service.led(), reservation.Message{Report: full, Ask: ask})
-		if waiting == nil {
+		waiter, got := broker.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Ask: ask})
+		if waiter == nil {
 			t.Fatalf("%+v", got)
 		}
-		waits = append(waits, waiting)
+		waiters = append(waiters, waiter)
 	}
-	if _, got := p.take(now, l.service.led(), reservation.Message{Report: full, Ask: asked("w0", 0)}); !got.Full || got.Waiting != 3 {
-		t.Errorf("one that comes later: %+v", got)
+	if _, got := broker.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Ask: askFor("w0", 0)}); !got.Full || got.Waiting != 3 {
+		t.Errorf("later request: %+v", got)
 	}
 	for n, want := range []int{2, 1, 0} {
-		p.take(now, l.service.led(), reservation.Message{Report: holding(uint64(n+2), map[string]int{"w0": 11 - n})})
-		for i, each := range waits {
-			if placed := len(each.Place) == 1; placed != (i == want) {
-				t.Errorf("slot %d: request %d placed: %t", n, i, placed)
+		broker.handle(now, l.service.currentLeaders(), reservation.Message{Report: heldReport(uint64(n+2), map[string]int{"w0": 11 - n})})
+		for i, each := range waiters {
+			if granted := len(each.Place) == 1; granted != (i == want) {
+				t.Errorf("slot %d: request %d granted: %t", n, i, granted)
 			}
 		}
-		<-waits[want].Place
+		<-waiters[want].Place
 	}
 }
 
-func TestWhatCannotHaveAPlaceInTimeIsRefusedAtOnce(t *testing.T) {
+func TestRequestThatCannotBeInTimeIsRefusedAtOnce(t *testing.T) {
 	l := testLeader(t, 0, 1)
-	ask := asked("w0", time.Minute)
+	ask := askFor("w0", time.Minute)
 	ask.Last = 10 * time.Millisecond
 	now := time.Now()
-	for i := range 20 { // twelve slots a second come free
-		l.service.places.queue("lm").Line.Observe(now.Add(time.Duration(i-20)*time.Second/12), 12, 12, 1)
+	for i := range 20 { // 12 slots are freed per second
+		l.service.slots.queue("lm").Line.Observe(now.Add(time.Duration(i-20)*time.Second/12), 12, 12, 1)
 	}
-	waits, got := l.service.places.take(now, l.service.led(), reservation.Message{Report: holding(1, map[string]int{"w0": 12}), Ask: ask})
-	if waits != nil || !got.Hopeless || got.RetryAfter <= ask.Last {
+	waiter, got := l.service.slots.handle(now, l.service.currentLeaders(), reservation.Message{Report: heldReport(1, map[string]int{"w0": 12}), Ask: ask})
+	if waiter != nil || !got.Hopeless || got.RetryAfter <= ask.Last {
 		t.Errorf("%+v", got)
 	}
 }
 
-// A frontend that gives up a question waits no longer.
-func TestAQuestionThatIsGivenUpWaitsNoLonger(t *testing.T) {
+// A request whose wait has ended leaves the queue.
+func TestRequestLeavesQueueAfterWait(t *testing.T) {
 	l := testLeader(t, 0, 1)
-	p := l.service.places
-	waits, got := p.take(time.Now(), l.service.led(), reservation.Message{Report: holding(1, map[string]int{"w0": 12}), Ask: asked("w0", time.Minute)})
-	if waits == nil {
+	broker := l.service.slots
+	waiter, got := broker.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: heldReport(1, map[string]int{"w0": 12}), Ask: askFor("w0", time.Minute)})
+	if waiter == nil {
 		t.Fatalf("%+v", got)
 	}
 	request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, reservation.Path, nil)
-	if got := p.await(request, waits, time.Millisecond); !got.Full || p.waiting("lm") != 0 {
-		t.Errorf("%+v, %d wait", got, p.waiting("lm"))
+	if got := broker.await(request, waiter, time.Millisecond); !got.Full || broker.waitingCount("lm") != 0 {
+		t.Errorf("%+v, %d requests wait", got, broker.waitingCount("lm"))
 	}
 }
 
-// What a frontend that is gone held comes free.
-func TestALostFrontendsPlacesComeFree(t *testing.T) {
+// The slots of a frontend that stopped reporting are freed.
+func TestSlotsOfLostFrontendAreFreed(t *testing.T) {
 	l := testLeader(t, 0, 1)
-	p, now := l.service.places, time.Now()
-	p.take(now, l.service.led(), reservation.Message{Report: holding(1, map[string]int{"w0": 12})})
-	p.kick(now.Add(10 * time.Second))
-	if _, got := p.take(now, l.service.led(), reservation.Message{Report: reservation.Report{Node: "other", Sequence: 1}, Ask: asked("w0", 0)}); got.Worker != "w0" {
+	broker, now := l.service.slots, time.Now()
+	broker.handle(now, l.service.currentLeaders(), reservation.Message{Report: heldReport(1, map[string]int{"w0": 12})})
+	broker.refresh(now.Add(10 * time.Second))
+	if _, got := broker.handle(now, l.service.currentLeaders(), reservation.Message{Report: reservation.Report{Node: "other", Sequence: 1}, Ask: askFor("w0", 0)}); got.Worker != "w0" {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/batchrun/plan.go
+++ b/internal/batchrun/plan.go
@@ -11,153 +11,152 @@
 )
 
 const (
-	// standInterval is between two looks at how items stand.
-	standInterval = 100 * time.Millisecond
-	// roomMemory is over how long the room of batch is averaged.
-	roomMemory   = 10 * time.Second
-	tellInterval = time.Second
-	// blindTime is how long a new leader waits for frontends' reports.
-	blindTime = 500 * time.Millisecond
+	// standingInterval is the time between two updates of the items' standings.
+	standingInterval = 100 * time.Millisecond
+	// roomTimeConstant is the time constant of the moving average of the slots available to batch.
+	roomTimeConstant = 10 * time.Second
+	planLogInterval  = time.Second
+	// warmUp is how long a new leader waits for frontends' reports.
+	warmUp = 500 * time.Millisecond
 )
 
-// plan is what a leader decides by, from one look to the next; its leader's mutex
-// guards it.
+// plan is a leader's scheduling state. The leader's mutex guards it.
 type plan struct {
-	demand  map[string]*fill.Demand // by service
-	room    map[string]float64      // slots that batch has on average, by service
-	roomAt  map[string]time.Time
-	need    map[string]int // items that have to run at once, by service
-	stoodAt time.Time
-	toldAt  map[string]time.Time     // when the log last told of a service
-	period  map[string]time.Duration // that the log last told of, by service
+	demand       map[string]*fill.Demand // by service
+	room         map[string]float64      // moving average of slots available to batch, by service
+	roomAt       map[string]time.Time
+	need         map[string]int // items that must run concurrently to meet deadlines, by service
+	standingsAt  time.Time
+	loggedAt     map[string]time.Time     // last log line of the plan, by service
+	loggedPeriod map[string]time.Duration // last logged, by service
 }
 
 func newPlan() *plan {
 	return &plan{
 		demand: map[string]*fill.Demand{}, room: map[string]float64{}, roomAt: map[string]time.Time{}, need: map[string]int{},
-		toldAt: map[string]time.Time{}, period: map[string]time.Duration{},
+		loggedAt: map[string]time.Time{}, loggedPeriod: map[string]time.Duration{},
 	}
 }
 
-// rooms is what is left for items to start.
-type rooms struct {
-	seen     map[string]bool       // services that were looked at
-	free     map[string]int        // slots that nothing takes, by worker
-	services map[string]*roomsLeft // by service
-	trials   map[string]string     // service of workers that one item may try
+// budget limits which items may start in one scheduling pass.
+type budget struct {
+	planned  map[string]bool           // services planned in this pass
+	free     map[string]int            // free slots, by worker
+	services map[string]*serviceBudget // per service
+	probes   map[string]string         // service of each suspected worker that one item may probe
 }
 
-// roomsLeft is what is left of a service.
-type roomsLeft struct {
-	usual, pressed int // items that may start beside the reserve; that have to run now
+// serviceBudget is what remains of one service's budget.
+type serviceBudget struct {
+	usual, pressed int // slots for usual items, outside the reserve; for pressed items
 	running        int
 	start          fill.Start
-	held           int // items that wait for a rise to pass
+	heldBack       int // items held back before an expected rise in demand
 }
 
-func newRooms() rooms {
-	return rooms{seen: map[string]bool{}, free: map[string]int{}, services: map[string]*roomsLeft{}, trials: map[string]string{}}
+func newBudget() budget {
+	return budget{planned: map[string]bool{}, free: map[string]int{}, services: map[string]*serviceBudget{}, probes: map[string]string{}}
 }
 
-// allows tells whether an item may start at a worker, where it will run for left.
-func (r rooms) allows(id, service string, pressed bool, left time.Duration) bool {
-	room := r.services[service]
-	if r.free[id] <= 0 || room == nil {
+// allows reports whether an item that would run for left may start at a worker.
+func (b budget) allows(id, service string, pressed bool, left time.Duration) bool {
+	sb := b.services[service]
+	if b.free[id] <= 0 || sb == nil {
 		return false
 	}
-	if r.trials[id] == service {
+	if b.probes[id] == service {
 		return true
 	}
 	if pressed {
-		return room.pressed > 0
+		return sb.pressed > 0
 	}
-	return room.usual > 0 && room.start.Allows(room.running, left)
+	return sb.usual > 0 && sb.start.Allows(sb.running, left)
 }
 
-// holds tells whether an item that would run for left waits for a rise to pass though
-// there is room for it.
-func (r rooms) holds(service string, pressed bool, left time.Duration) bool {
-	room := r.services[service]
-	if room == nil || pressed || room.usual <= 0 || room.start.Allows(room.running, left) {
+// holdsBack reports whether an item that would run for left is held back, despite free slots,
+// because of an expected rise in demand. It counts such items.
+func (b budget) holdsBack(service string, pressed bool, left time.Duration) bool {
+	sb := b.services[service]
+	if sb == nil || pressed || sb.usual <= 0 || sb.start.Allows(sb.running, left) {
 		return false
 	}
-	room.held++
+	sb.heldBack++
 	return true
 }
 
-// held counts the items that wait so.
-func (r rooms) held() (n int) {
-	for _, room := range r.services {
-		n += room.held
+// heldBack returns the number of items held back.
+func (b budget) heldBack() (n int) {
+	for _, sb := range b.services {
+		n += sb.heldBack
 	}
 	return n
 }
 
-// take takes a slot of a worker.
-func (r rooms) take(id, service string) {
-	r.free[id]--
-	delete(r.trials, id)
-	room := r.services[service]
-	room.usual--
-	room.pressed--
-	room.running++
+// use takes one slot of a worker.
+func (b budget) use(id, service string) {
+	b.free[id]--
+	delete(b.probes, id)
+	sb := b.services[service]
+	sb.usual--
+	sb.pressed--
+	sb.running++
 }
 
-// look brings the plan up to date with what is believed of a service's workers,
-// lets items give way, and notes the room that is left. The mutex is held.
-func (l *Leader) look(now time.Time, service string, into rooms) {
-	if into.seen[service] {
+// planService updates the plan of a service from the current occupancy of its workers, preempts
+// items where needed, and adds the remaining slots to the budget. The caller holds the mutex.
+func (l *Leader) planService(now time.Time, service string, b budget) {
+	if b.planned[service] {
 		return
 	}
-	into.seen[service] = true
-	if l.blind(now) {
+	b.planned[service] = true
+	if l.warmingUp(now) {
 		return
 	}
-	var own []fill.Worker
+	var workers []fill.Worker
 	var ids []string
 	slots, online, running := 0, 0, 0
-	l.service.pool.EachOccupancy(service, []int{int(l.group)}, func(seen worker.Occupancy) {
-		if !seen.Usable {
+	l.service.pool.EachOccupancy(service, []int{int(l.group)}, func(occupancy worker.Occupancy) {
+		if !occupancy.Usable {
 			return
 		}
-		w := fill.Worker{Slots: seen.Slots, Online: seen.Others, Batch: seen.Taken}
-		into.free[seen.ID] = w.Free()
-		own, ids = append(own, w), append(ids, seen.ID)
-		if l.suspects.wants(now, seen.ID) {
-			into.trials[seen.ID] = service
+		w := fill.Worker{Slots: occupancy.Slots, Online: occupancy.Others, Batch: occupancy.Taken}
+		b.free[occupancy.ID] = w.Free()
+		workers, ids = append(workers, w), append(ids, occupancy.ID)
+		if l.suspects.needsProbe(now, occupancy.ID) {
+			b.probes[occupancy.ID] = service
 		}
 		slots += w.Slots
 		online += w.Online
 		running += w.Batch
 	})
-	waiting := l.service.places.waiting(service)
-	demand := l.plan.demandOf(service)
+	waiting := l.service.slots.waitingCount(service)
+	demand := l.plan.demandFor(service)
 	demand.Observe(now, online+waiting)
 	reserve := demand.Reserve(slots)
-	l.plan.average(now, service, max(float64(slots-online)-reserve, 1))
-	left := &roomsLeft{
-		usual: fill.Room(own, reserve, waiting), pressed: fill.RoomPressed(own, reserve, waiting), running: running,
+	l.plan.averageRoom(now, service, max(float64(slots-online)-reserve, 1))
+	left := &serviceBudget{
+		usual: fill.Room(workers, reserve, waiting), pressed: fill.RoomPressed(workers, reserve, waiting), running: running,
 		start: demand.Start(now, slots, l.plan.need[service], l.plan.room[service]),
 	}
-	into.services[service] = left
-	l.tellRhythm(service, demand, online)
-	l.tell(now, service, planned{slots: slots, online: online, waiting: waiting, reserve: reserve, start: left.start})
-	must := fill.Excess(own, waiting)
-	for i, early := range fill.Early(own, reserve, waiting) {
-		if must[i] > 0 {
-			l.giveWayLocked(ids[i], must[i], true)
+	b.services[service] = left
+	l.logPeriod(service, demand, online)
+	l.logPlan(now, service, planSummary{slots: slots, online: online, waiting: waiting, reserve: reserve, start: left.start})
+	excess := fill.Excess(workers, waiting)
+	for i, early := range fill.Early(workers, reserve, waiting) {
+		if excess[i] > 0 {
+			l.preemptLocked(ids[i], excess[i], true)
 		}
-		if early > must[i] {
-			l.giveWayLocked(ids[i], early, false)
+		if early > excess[i] {
+			l.preemptLocked(ids[i], early, false)
 		}
 	}
 }
 
-// blind tells that this leader has just begun and does not know yet what frontends
-// hold: nothing is started on a guess.
-func (l *Leader) blind(now time.Time) bool { return now.Sub(l.began) < blindTime }
+// warmingUp reports whether this leader is too new to have received the frontends' reports. Until
+// then it starts nothing, as it does not know which slots they use.
+func (l *Leader) warmingUp(now time.Time) bool { return now.Sub(l.startedAt) < warmUp }
 
-func (p *plan) demandOf(service string) *fill.Demand {
+func (p *plan) demandFor(service string) *fill.Demand {
 	demand := p.demand[service]
 	if demand == nil {
 		demand = &fill.Demand{}
@@ -166,24 +165,24 @@
 	return demand
 }
 
-// average takes the room that batch has now into the mean.
-func (p *plan) average(now time.Time, service string, room float64) {
+// averageRoom adds a sample to the moving average of the slots available to batch.
+func (p *plan) averageRoom(now time.Time, service string, room float64) {
 	last, known := p.roomAt[service]
 	p.roomAt[service] = now
 	if !known {
 		p.room[service] = room
 		return
 	}
-	weight := min(float64(now.Sub(last))/float64(roomMemory), 1)
+	weight := min(float64(now.Sub(last))/float64(roomTimeConstant), 1)
 	p.room[service] += weight * (room - p.room[service])
 }
 
-// stand brings up to date how items stand to when they are due; the mutex is held.
-func (l *Leader) stand(now time.Time) {
-	if now.Sub(l.plan.stoodAt) < standInterval {
+// updateStandings classifies items by their deadlines. The caller holds the mutex.
+func (l *Leader) updateStandings(now time.Time) {
+	if now.Sub(l.plan.standingsAt) < standingInterval {
 		return
 	}
-	l.plan.stoodAt = now
+	l.plan.standingsAt = now
 	clear(l.plan.need)
 	byService, open := map[string][]*item{}, map[jobs.JobID]int{}
 	for _, i := range l.waiting {
@@ -195,12 +194,12 @@
 		open[i.job.ID]++
 	}
 	for service, items := range byService {
-		l.standIn(now, service, items, open)
+		l.updateServiceStandings(now, service, items, open)
 	}
 	l.sortWaiting()
 }
 
-func (l *Leader) standIn(now time.Time, service string, items []*item, open map[jobs.JobID]int) {
+func (l *Leader) updateServiceStandings(now time.Time, service string, items []*item, open map[jobs.JobID]int) {
 	slices.SortFunc(items, func(a, b *item) int {
 		return cmp.Or(a.job.Due().Compare(b.job.Due()), cmp.Compare(a.job.ID, b.job.ID), cmp.Compare(a.index, b.index))
 	})
@@ -214,15 +213,15 @@
 	}
 	l.plan.need[service] = fill.Need(now, list)
 	for n, standing := range fill.Stand(now, list, l.plan.room[service]) {
-		items[n].standing, items[n].open = standing, open[items[n].job.ID]
+		items[n].standing, items[n].openInJob = standing, open[items[n].job.ID]
 	}
 }
 
-// left is how long an item still has to run at a usual worker, by the text that it has
-// given.
+// left estimates the remaining run time of an item at a typical worker from the length of its
+// output so far.
 func (l *Leader) left(i *item) time.Duration {
-	i.received.Lock()
+	i.outputMutex.Lock()
 	given := len(i.text)
-	i.received.Unlock()
+	i.outputMutex.Unlock()
 	return l.lengths.Left(given)
 }
--- a/internal/batchrun/plan_test.go
+++ b/internal/batchrun/plan_test.go
@@ -10,21 +10,21 @@
 	"github.com/dykewing/dykewing/worker"
 )
 
-// TestANewLeaderStartsNothingOnAGuess: after all processes were killed, a new leader
-// filled all workers at once, just when all callers came back.
-func TestANewLeaderStartsNothingOnAGuess(t *testing.T) {
+// TestNewLeaderStartsNothingDuringWarmUp guards against a new leader that fills all workers before
+// frontends have reported the slots they hold.
+func TestNewLeaderStartsNothingDuringWarmUp(t *testing.T) {
 	tests := []struct {
-		name  string
-		began time.Duration // before now
-		want  int
+		name string
+		age  time.Duration // time since the leader started
+		want int
 	}{
-		{"just begun", 0, 0},
-		{"frontends have had time to tell what they hold", 2 * blindTime, 3},
+		{"during warm-up", 0, 0},
+		{"after warm-up", 2 * warmUp, 3},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			l := testLeader(t, 3, 10)
-			l.began = time.Now().Add(-test.began)
+			l.startedAt = time.Now().Add(-test.age)
 			if n := l.dispatch(); n != test.want {
 				t.Errorf("%d items started, want %d", n, test.want)
 			}
@@ -32,51 +32,49 @@
 	}
 }
 
-// TestItemsGoOnlyWhereNothingElseIs: 10 workers of 12 slots.
-func TestItemsGoOnlyWhereNothingElseIs(t *testing.T) {
+func TestItemsRunOnlyInFreeSlots(t *testing.T) {
 	l := testLeader(t, 30, 10)
 	held := map[string]int{}
 	for _, w := range l.service.pool.Workers("lm") {
 		held[w.ID] = 12
 	}
 	held["w3"] = 10
-	l.service.places.book.Report(time.Now(), reservation.Report{Node: "front", Sequence: 1, Held: held})
+	l.service.slots.book.Report(time.Now(), reservation.Report{Node: "front", Sequence: 1, Held: held})
 	l.dispatch()
-	l.mutex.Lock() // sends to the refusing workers end meanwhile
+	l.mutex.Lock() // attempts at the refusing workers end concurrently
 	defer l.mutex.Unlock()
 	for i := range l.running {
 		if i.worker != "w3" {
-			t.Errorf("an item runs at %s, which is full", i.worker)
+			t.Errorf("item runs at %s, which is full", i.worker)
 		}
 	}
 	if len(l.running) > 2 {
-		t.Errorf("%d items run in 2 slots", len(l.running))
+		t.Errorf("%d items run in 2 free slots", len(l.running))
 	}
 }
 
-// TestWhatCannotBeInTimeGoesLast and gives way first.
-func TestWhatCannotBeInTimeGoesLast(t *testing.T) {
+// Items that will miss their deadline start last and are preempted first.
+func TestMissedItemsRunLast(t *testing.T) {
 	l := testLeader(t, 3, 1)
 	l.waiting[0].standing = fill.Missed
 	l.sortWaiting()
 	if l.waiting[2].standing != fill.Missed {
-		t.Error("an item that can't be in time does not wait last")
+		t.Error("item that will miss its deadline is not last in the queue")
 	}
 	for _, i := range l.waiting {
 		i.worker, i.cancel = "w0", func() {}
 		l.running[i] = true
 	}
-	l.giveWayLocked("w0", 1, true)
+	l.preemptLocked("w0", 1, true)
 	for i := range l.running {
-		if i.yielding != (i.standing == fill.Missed) {
-			t.Errorf("an item of standing %d gives way: %t", i.standing, i.yielding)
+		if i.preempted != (i.standing == fill.Missed) {
+			t.Errorf("item of standing %d preempted: %t", i.standing, i.preempted)
 		}
 	}
 }
 
-// TestWhateverItsStandingAnItemGivesWay where a request waits: pressed items that did
-// not held up online requests for seconds (sbandel-dykewing-grown scale-1).
-func TestWhateverItsStandingAnItemGivesWay(t *testing.T) {
+// TestPressedItemsAreAlsoPreempted guards against pressed items that hold up online requests.
+func TestPressedItemsAreAlsoPreempted(t *testing.T) {
 	l := testLeader(t, 2, 1)
 	for n, i := range l.waiting {
 		i.worker, i.cancel = "w0", func() {}
@@ -84,69 +82,68 @@
 		l.running[i] = true
 	}
 	for _, test := range []struct{ count, pressed int }{{1, 0}, {2, 1}} {
-		l.giveWayLocked("w0", test.count, true)
+		l.preemptLocked("w0", test.count, true)
 		pressed := 0
 		for i := range l.running {
-			if i.yielding && i.standing == fill.Pressed {
+			if i.preempted && i.standing == fill.Pressed {
 				pressed++
 			}
 		}
 		if pressed != test.pressed {
-			t.Errorf("%d to give way: %d pressed items do, want %d", test.count, pressed, test.pressed)
+			t.Errorf("preempting %d items: %d pressed items preempted, want %d", test.count, pressed, test.pressed)
 		}
 	}
 }
 
-func TestPartsAreSpacedByHowManyItemsRun(t *testing.T) {
+func TestCheckpointIntervalGrowsWithRunningItems(t *testing.T) {
 	tests := []struct {
 		running int
 		core    float64
 		want    time.Duration
 	}{
-		{0, 1, keepInterval},
-		{30, 1, keepInterval},
+		{0, 1, checkpointInterval},
+		{30, 1, checkpointInterval},
 		{100, 1, 1600 * time.Millisecond},
 		{100, 0.5, 3200 * time.Millisecond},
 		{100, 0, 1600 * time.Millisecond},
 	}
 	for _, test := range tests {
-		if got := keepEvery(test.running, test.core); got != test.want {
+		if got := checkpointIntervalFor(test.running, test.core); got != test.want {
 			t.Errorf("%d items on %v of a core: %v, want %v", test.running, test.core, got, test.want)
 		}
 	}
 }
 
-func TestOnlyWhatTwoPollsShowIsHidden(t *testing.T) {
+func TestUnreportedLoadNeedsTwoReports(t *testing.T) {
 	tests := []struct {
-		name  string
-		polls []int
-		want  int
+		name    string
+		reports []int
+		want    int
 	}{
-		{"one poll", []int{5}, 0},
-		{"two", []int{5, 3}, 3},
-		{"one that has gone", []int{5, 0}, 0},
-		{"fewer than is told", []int{-3, -4}, 0},
+		{"one report", []int{5}, 0},
+		{"two reports", []int{5, 3}, 3},
+		{"load has ended", []int{5, 0}, 0},
+		{"less than the known load", []int{-3, -4}, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			var h hidden
-			for _, n := range test.polls {
-				h.put(time.Now(), worker.Incarnation{ID: "w"}, max(n, 0), max(-n, 0))
+			var u unreportedLoad
+			for _, n := range test.reports {
+				u.observe(time.Now(), worker.Incarnation{ID: "w"}, max(n, 0), max(-n, 0))
 			}
-			if got := h.of("w"); got != test.want {
+			if got := u.at("w"); got != test.want {
 				t.Errorf("%d, want %d", got, test.want)
 			}
 		})
 	}
 }
 
-// TestRequestsThatNobodyTellsOfTakeTheirSlots: both workers of 12 slots say twice that
-// they have 12 requests, of which no frontend tells.
-func TestRequestsThatNobodyTellsOfTakeTheirSlots(t *testing.T) {
+// Both workers report that they are full, with requests that no frontend reports.
+func TestUnreportedLoadTakesSlots(t *testing.T) {
 	l := testLeader(t, 30, 2)
 	for range 2 {
 		for _, w := range l.service.pool.Workers("lm") {
-			l.service.polled(w, backend.Report{Running: 12})
+			l.service.applyLoadReport(w, backend.Report{Running: 12})
 		}
 	}
 	if n := l.dispatch(); n != 0 {
@@ -154,28 +151,28 @@
 	}
 }
 
-func TestHiddenIsWhatNobodyHeldWithinTheLag(t *testing.T) {
+func TestUnreportedLoadIgnoresRecentlyHeldRequests(t *testing.T) {
 	const poll = 250 * time.Millisecond
-	type word struct{ load, held int }
+	type report struct{ load, held int }
 	tests := []struct {
-		name  string
-		words []word // one each poll
-		want  int
+		name    string
+		reports []report // one per poll
+		want    int
 	}{
-		{"all is told", []word{{4, 4}, {4, 4}}, 0},
-		{"items gave way, the worker's word is late", []word{{6, 6}, {6, 2}, {6, 2}}, 0},
-		{"a frontend is cut off", []word{{6, 4}, {6, 4}, {6, 4}}, 2},
-		{"requests ended long ago, and others are there", []word{{6, 6}, {6, 2}, {6, 2}, {6, 2}, {6, 2}, {6, 2}, {6, 2}}, 4},
-		{"the worker knows of less", []word{{1, 4}}, 0},
+		{"all load is known", []report{{4, 4}, {4, 4}}, 0},
+		{"items preempted, report is late", []report{{6, 6}, {6, 2}, {6, 2}}, 0},
+		{"partitioned frontend", []report{{6, 4}, {6, 4}, {6, 4}}, 2},
+		{"held requests ended before reportLag", []report{{6, 6}, {6, 2}, {6, 2}, {6, 2}, {6, 2}, {6, 2}, {6, 2}}, 4},
+		{"less than the known load", []report{{1, 4}}, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			var h hidden
+			var u unreportedLoad
 			now := time.Now()
-			for i, each := range test.words {
-				h.put(now.Add(time.Duration(i)*poll), worker.Incarnation{ID: "w"}, each.load, each.held)
+			for i, each := range test.reports {
+				u.observe(now.Add(time.Duration(i)*poll), worker.Incarnation{ID: "w"}, each.load, each.held)
 			}
-			if got := h.of("w"); got != test.want {
+			if got := u.at("w"); got != test.want {
 				t.Errorf("%d, want %d", got, test.want)
 			}
 		})
--- a/internal/batchrun/pressure_test.go
+++ b/internal/batchrun/pressure_test.go
@@ -12,72 +12,70 @@
 	"github.com/dykewing/dykewing/worker"
 )
 
-// TestPressedItemsDoNotBeginToBeStopped: they took all of the reserve, half of which was
-// taken back at the next look, and the same items began and were stopped 600 times in a
-// second.
-func TestPressedItemsDoNotBeginToBeStopped(t *testing.T) {
+// TestStartedItemsAreNotPreemptedByTheNextPass guards against an oscillation in which pressed
+// items start in the reserve and the next pass preempts them.
+func TestStartedItemsAreNotPreemptedByTheNextPass(t *testing.T) {
 	l := testLeader(t, 30, 1)
 	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	t.Cleanup(silent.Close)
-	t.Cleanup(l.cancel) // before it
+	t.Cleanup(l.cancel) // runs before Close
 	at := worker.Worker{ID: "w0", Service: "lm", Address: silent.Listener.Addr().String(), Slots: 12}
 	l.service.pool.WorkersChanged([]catalog.Change{{ID: "w0", Worker: at}})
 	now := time.Now()
-	l.plan.demandOf("lm").Observe(now, 0)
-	l.service.places.book.Report(now, reservation.Report{Node: "front", Sequence: 1, Held: map[string]int{"w0": 4}})
-	l.service.places.kick(now)
+	l.plan.demandFor("lm").Observe(now, 0)
+	l.service.slots.book.Report(now, reservation.Report{Node: "front", Sequence: 1, Held: map[string]int{"w0": 4}})
+	l.service.slots.refresh(now)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for look := range 2 {
-		room := newRooms()
-		l.look(now, "lm", room)
+	for pass := range 2 {
+		budget := newBudget()
+		l.planService(now, "lm", budget)
 		for _, i := range l.waiting {
 			i.standing = fill.Pressed
 			if !l.running[i] {
-				l.try(now, i, room, map[string]bool{})
+				l.tryStart(now, i, budget, map[string]bool{})
 			}
 		}
-		if look == 0 && len(l.running) == 0 {
-			t.Fatal("no item began")
+		if pass == 0 && len(l.running) == 0 {
+			t.Fatal("no item started")
 		}
 	}
 	for i := range l.running {
-		if i.yielding {
-			t.Errorf("item %d of %d was stopped, no request waits", i.index, len(l.running))
+		if i.preempted {
+			t.Errorf("item %d of %d preempted though no request waits", i.index, len(l.running))
 		}
 	}
 }
 
-// risingDemand is what a leader has seen of 110 requests in steps, by now half a second
-// into a trough of 3.8 s.
-func risingDemand(now time.Time) *fill.Demand {
+// periodicDemand returns demand that alternated between 0 and 110 requests and is now half a
+// second into a trough of 3.8 s.
+func periodicDemand(now time.Time) *fill.Demand {
 	const period, low = 6600 * time.Millisecond, 3800 * time.Millisecond
-	const seen = 4*period + 500*time.Millisecond
+	const duration = 4*period + 500*time.Millisecond
 	d := &fill.Demand{}
-	for at := time.Duration(0); at <= seen; at += 50 * time.Millisecond {
+	for at := time.Duration(0); at <= duration; at += 50 * time.Millisecond {
 		held := 0
 		if at%period >= low {
 			held = 110
 		}
-		d.Observe(now.Add(at-seen), held)
+		d.Observe(now.Add(at-duration), held)
 	}
 	return d
 }
 
-// TestItemsAreHeldBackBeforeARise of which demand has shown the period: 10 workers of 12
-// slots are free.
-func TestItemsAreHeldBackBeforeARise(t *testing.T) {
+// Ten workers of 12 slots are free.
+func TestItemsAreHeldBackBeforeExpectedRise(t *testing.T) {
 	tests := []struct {
 		name   string
 		demand func(time.Time) *fill.Demand
 		due    time.Duration
-		run    time.Duration // of an item
+		run    time.Duration // run time of an item
 		want   int
 	}{
-		{"no rise is known", func(time.Time) *fill.Demand { return &fill.Demand{} }, time.Hour, 4 * time.Second, startsAtOnce},
-		{"they would outlast the trough: one keeps up", risingDemand, time.Hour, 4 * time.Second, 1},
-		{"they end before the rise", risingDemand, time.Hour, time.Second, startsAtOnce},
-		{"they are due soon", risingDemand, 12 * time.Second, 4 * time.Second, startsAtOnce},
+		{"no period detected", func(time.Time) *fill.Demand { return &fill.Demand{} }, time.Hour, 4 * time.Second, startBurst},
+		{"items outlast the trough: one suffices", periodicDemand, time.Hour, 4 * time.Second, 1},
+		{"items end before the rise", periodicDemand, time.Hour, time.Second, startBurst},
+		{"deadline is close", periodicDemand, 12 * time.Second, 4 * time.Second, startBurst},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -92,55 +90,55 @@
 			}
 			l.mutex.Lock()
 			defer l.mutex.Unlock()
-			l.look(now, "lm", newRooms())
-			l.stand(now)
-			room, n := newRooms(), 0
-			l.look(now, "lm", room)
+			l.planService(now, "lm", newBudget())
+			l.updateStandings(now)
+			budget, n := newBudget(), 0
+			l.planService(now, "lm", budget)
 			for _, i := range l.waiting {
-				if n < startsAtOnce && l.try(now, i, room, map[string]bool{}) {
+				if n < startBurst && l.tryStart(now, i, budget, map[string]bool{}) {
 					n++
 				}
 			}
 			if n != test.want {
-				t.Errorf("%d items began, want %d; beside %d, needed %d, held back %d", n, test.want, room.services["lm"].start.Beside(test.run), l.plan.need["lm"], room.held())
+				t.Errorf("%d items started, want %d; beside %d, needed %d, held back %d", n, test.want, budget.services["lm"].start.Beside(test.run), l.plan.need["lm"], budget.heldBack())
 			}
 		})
 	}
 }
 
-// TestASuspectedWorkerIsTriedByAnItem though items are held back before a rise: else the
-// requests of the rise find out one by one that it is broken.
-func TestASuspectedWorkerIsTriedByAnItem(t *testing.T) {
+// TestSuspectedWorkerIsProbedByOneItem guards against a broken worker being found only by the
+// online requests of a rise, while items are held back before it.
+func TestSuspectedWorkerIsProbedByOneItem(t *testing.T) {
 	const ms = time.Millisecond
 	first, second, third := &item{}, &item{}, &item{}
 	tests := []struct {
-		name string
-		seen func(s *suspects, now time.Time)
-		want int
+		name  string
+		setUp func(s *suspects, now time.Time)
+		want  int
 	}{
-		{"none", func(*suspects, time.Time) {}, 0},
-		{"an answer broke off", func(s *suspects, now time.Time) { s.broke(now, "w3", first) }, 1},
-		{"then a trial got events", func(s *suspects, now time.Time) {
-			s.broke(now.Add(-ms), "w3", first)
-			second.since = now
-			s.began("w3", second)
+		{"no suspect", func(*suspects, time.Time) {}, 0},
+		{"interrupted response", func(s *suspects, now time.Time) { s.interrupted(now, "w3", first) }, 1},
+		{"successful probe", func(s *suspects, now time.Time) {
+			s.interrupted(now.Add(-ms), "w3", first)
+			second.startedAt = now
+			s.started("w3", second)
 			s.ended("w3", second, true)
 		}, 0},
-		{"then a trial broke off", func(s *suspects, now time.Time) {
-			s.broke(now.Add(-ms), "w3", first)
-			s.began("w3", second)
-			s.broke(now, "w3", second)
+		{"interrupted probe", func(s *suspects, now time.Time) {
+			s.interrupted(now.Add(-ms), "w3", first)
+			s.started("w3", second)
+			s.interrupted(now, "w3", second)
 		}, 1},
-		{"a trial is there", func(s *suspects, now time.Time) {
-			s.broke(now.Add(-ms), "w3", first)
-			s.began("w3", second)
+		{"probe is running", func(s *suspects, now time.Time) {
+			s.interrupted(now.Add(-ms), "w3", first)
+			s.started("w3", second)
 		}, 0},
-		{"an older run got events", func(s *suspects, now time.Time) {
-			third.since = now.Add(-time.Second)
-			s.broke(now, "w3", first)
+		{"older run received events", func(s *suspects, now time.Time) {
+			third.startedAt = now.Add(-time.Second)
+			s.interrupted(now, "w3", first)
 			s.ended("w3", third, true)
 		}, 1},
-		{"long ago", func(s *suspects, now time.Time) { s.broke(now.Add(-suspectFor-ms), "w3", first) }, 0},
+		{"suspicion expired", func(s *suspects, now time.Time) { s.interrupted(now.Add(-suspectTTL-ms), "w3", first) }, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -148,38 +146,38 @@
 			now := time.Now()
 			l.mutex.Lock()
 			defer l.mutex.Unlock()
-			l.plan.demand["lm"] = risingDemand(now)
-			test.seen(&l.suspects, now)
-			room, full, n := newRooms(), map[string]bool{}, 0
-			l.look(now, "lm", room)
+			l.plan.demand["lm"] = periodicDemand(now)
+			test.setUp(&l.suspects, now)
+			budget, full, n := newBudget(), map[string]bool{}, 0
+			l.planService(now, "lm", budget)
 			for _, i := range l.waiting {
-				if l.try(now, i, room, full) {
+				if l.tryStart(now, i, budget, full) {
 					n++
 					if i.worker != "w3" {
-						t.Errorf("an item tries %s", i.worker)
+						t.Errorf("item probes %s", i.worker)
 					}
 				}
 			}
 			if n != test.want {
-				t.Errorf("%d items began, want %d", n, test.want)
+				t.Errorf("%d items started, want %d", n, test.want)
 			}
 		})
 	}
 }
 
-// TestWhatHasGivenWayOftenGoesOn while others run that have not.
-func TestWhatHasGivenWayOftenGoesOn(t *testing.T) {
+// An item that was preempted often is spared while another one can be preempted.
+func TestOftenPreemptedItemIsSpared(t *testing.T) {
 	l := testLeader(t, 2, 1)
 	often := l.waiting[1]
 	for n, i := range l.waiting {
-		i.worker, i.cancel, i.since = "w0", func() {}, time.Now().Add(-time.Duration(n)*time.Second)
+		i.worker, i.cancel, i.startedAt = "w0", func() {}, time.Now().Add(-time.Duration(n)*time.Second)
 		l.running[i] = true
 	}
-	often.cuts, often.since = 3, time.Now()
-	l.giveWayLocked("w0", 1, true)
+	often.preemptions, often.startedAt = 3, time.Now()
+	l.preemptLocked("w0", 1, true)
 	for i := range l.running {
-		if i.yielding == (i == often) {
-			t.Errorf("an item that gave way %d times gives way: %t", i.cuts, i.yielding)
+		if i.preempted == (i == often) {
+			t.Errorf("item preempted %d times before, preempted now: %t", i.preemptions, i.preempted)
 		}
 	}
 }
--- a/internal/batchrun/refuse_test.go
+++ b/internal/batchrun/refuse_test.go
@@ -10,13 +10,13 @@
 	"github.com/dykewing/dykewing/reservation"
 )
 
-// shortLeader fills one worker of 12 slots, each held for a second; twice as many
-// requests as these come, and it is full.
-func shortLeader(t *testing.T) (*Leader, time.Time, reservation.Report) {
+// overloadedLeader returns a leader of one full worker of 12 slots, each held for a second, to
+// which requests arrive at twice that rate.
+func overloadedLeader(t *testing.T) (*Leader, time.Time, reservation.Report) {
 	t.Helper()
 	l := testLeader(t, 0, 1)
 	now := time.Now()
-	line := &l.service.places.queue("lm").Line
+	line := &l.service.slots.queue("lm").Line
 	for i := range 240 {
 		at := now.Add(time.Duration(i-240) * time.Second / 12)
 		line.Observe(at, 12, 12, 1)
@@ -24,92 +24,93 @@
 		line.Arrived(at, hold.Rank{})
 		line.Placed(at, hold.Rank{}, true)
 	}
-	return l, now, holding(1, map[string]int{"w0": 12})
+	return l, now, heldReport(1, map[string]int{"w0": 12})
 }
 
-func hurried(begin, last time.Duration) *reservation.Ask {
-	ask := asked("w0", time.Second)
+func askWithDeadline(begin, last time.Duration) *reservation.Ask {
+	ask := askFor("w0", time.Second)
 	ask.Begin, ask.Last = begin, last
 	return ask
 }
 
-// Two can begin in time; who comes behind them is told at once, with times that are not
-// the same.
-func TestInAShortageWhoCannotBeInTimeIsToldAtOnce(t *testing.T) {
-	l, now, full := shortLeader(t)
+// At most two requests can start in time. Those behind them are refused at once, with different
+// retry times.
+func TestOverloadRefusesRequestsThatCannotBeInTime(t *testing.T) {
+	l, now, full := overloadedLeader(t)
 	var waiting int
-	told := map[time.Duration]bool{}
+	retryTimes := map[time.Duration]bool{}
 	for range 7 {
-		waits, got := l.service.places.take(now, l.service.led(), reservation.Message{Report: full, Ask: hurried(220*time.Millisecond, 3*time.Second)})
+		waiter, got := l.service.slots.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Ask: askWithDeadline(220*time.Millisecond, 3*time.Second)})
 		switch {
-		case waits != nil:
+		case waiter != nil:
 			waiting++
 		case got.Hopeless && got.RetryAfter > 0 && got.Until > 220*time.Millisecond:
-			told[got.RetryAfter] = true
+			retryTimes[got.RetryAfter] = true
 		default:
 			t.Fatalf("%+v", got)
 		}
 	}
-	if waiting < 1 || waiting > 2 || waiting+len(told) != 7 {
-		t.Errorf("%d wait, told %v", waiting, told)
+	if waiting < 1 || waiting > 2 || waiting+len(retryTimes) != 7 {
+		t.Errorf("%d requests wait, retry times %v", waiting, retryTimes)
 	}
 }
 
-// One that waits is told as soon as its slot can't come any more: its worker is lost.
-func TestOneThatWaitsIsToldWhenItsHopeIsGone(t *testing.T) {
-	l, now, full := shortLeader(t)
-	p := l.service.places
-	waits, got := p.take(now, l.service.led(), reservation.Message{Report: full, Ask: hurried(220*time.Millisecond, 3*time.Second)})
-	if waits == nil {
+// A waiting request is refused as soon as it can no longer get a slot in time, for instance
+// because its worker was lost.
+func TestWaitingRequestIsRefusedOnceItCannotBeInTime(t *testing.T) {
+	l, now, full := overloadedLeader(t)
+	broker := l.service.slots
+	waiter, got := broker.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Ask: askWithDeadline(220*time.Millisecond, 3*time.Second)})
+	if waiter == nil {
 		t.Fatalf("%+v", got)
 	}
-	p.kick(now.Add(100 * time.Millisecond))
-	if len(waits.Place) != 0 {
-		t.Fatalf("%+v while it can be in time", <-waits.Place)
+	broker.refresh(now.Add(100 * time.Millisecond))
+	if len(waiter.Place) != 0 {
+		t.Fatalf("%+v while it can still be in time", <-waiter.Place)
 	}
-	p.kick(now.Add(230 * time.Millisecond))
+	broker.refresh(now.Add(230 * time.Millisecond))
 	request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, reservation.Path, nil)
-	if got := p.await(request, waits, time.Minute); !got.Hopeless || got.RetryAfter <= 0 || p.waiting("lm") != 0 {
-		t.Errorf("%+v, %d wait", got, p.waiting("lm"))
+	if got := broker.await(request, waiter, time.Minute); !got.Hopeless || got.RetryAfter <= 0 || broker.waitingCount("lm") != 0 {
+		t.Errorf("%+v, %d requests wait", got, broker.waitingCount("lm"))
 	}
 }
 
-// A frontend that only looks for a free slot hears how long it would wait, and is neither
-// counted nor promised one.
-func TestALookIsNotRefused(t *testing.T) {
-	l, now, full := shortLeader(t)
-	ask := hurried(-time.Millisecond, time.Second)
+// A request that does not wait learns the expected wait and is neither counted nor promised a
+// slot.
+func TestRequestWithoutWaitIsNotRefused(t *testing.T) {
+	l, now, full := overloadedLeader(t)
+	ask := askWithDeadline(-time.Millisecond, time.Second)
 	ask.Wait = 0
-	_, got := l.service.places.take(now, l.service.led(), reservation.Message{Report: full, Ask: ask})
-	if !got.Full || got.Until <= ask.Last || l.service.places.queue("lm").Line.Told() != 0 {
-		t.Errorf("%+v, %d promises", got, l.service.places.queue("lm").Line.Told())
+	_, got := l.service.slots.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Ask: ask})
+	if !got.Full || got.Until <= ask.Last || l.service.slots.queue("lm").Line.Told() != 0 {
+		t.Errorf("%+v, %d promises", got, l.service.slots.queue("lm").Line.Told())
 	}
 }
 
-// A leader that has only begun to lead knows of no rate: nobody is refused for it.
-func TestANewLeaderRefusesNobody(t *testing.T) {
+// A new leader has observed no completion rate and must not refuse requests on it.
+func TestNewLeaderRefusesNoRequest(t *testing.T) {
 	l := testLeader(t, 0, 1)
 	for range 50 {
-		waits, got := l.service.places.take(time.Now(), l.service.led(), reservation.Message{
-			Report: holding(1, map[string]int{"w0": 12}), Ask: hurried(200*time.Millisecond, 3*time.Second),
+		waiter, got := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{
+			Report: heldReport(1, map[string]int{"w0": 12}), Ask: askWithDeadline(200*time.Millisecond, 3*time.Second),
 		})
-		if waits == nil {
+		if waiter == nil {
 			t.Fatalf("%+v", got)
 		}
 	}
 }
 
-// A leader promises nothing to a request that another leader will be asked for.
-func TestNothingIsPromisedToOneThatGoesElsewhere(t *testing.T) {
-	l, now, full := shortLeader(t)
-	ask := hurried(-time.Millisecond, 3*time.Second)
+// A leader promises no slot to a request that will ask another leader.
+func TestNoPromiseToRequestThatAsksElsewhere(t *testing.T) {
+	l, now, full := overloadedLeader(t)
+	ask := askWithDeadline(-time.Millisecond, 3*time.Second)
 	ask.Elsewhere = true
-	line := &l.service.places.queue("lm").Line
-	if waits, got := l.service.places.take(now, l.service.led(), reservation.Message{Report: full, Ask: ask}); waits != nil || !got.Hopeless || line.Told() != 0 {
+	line := &l.service.slots.queue("lm").Line
+	if waiter, got := l.service.slots.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Ask: ask}); waiter != nil || !got.Hopeless || line.Told() != 0 {
 		t.Errorf("%+v, %d promises", got, line.Told())
 	}
 	ask.Elsewhere = false
-	if waits, got := l.service.places.take(now, l.service.led(), reservation.Message{Report: full, Ask: ask}); waits != nil || !got.Hopeless || line.Told() != 1 {
+	if waiter, got := l.service.slots.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Ask: ask}); waiter != nil || !got.Hopeless || line.Told() != 1 {
 		t.Errorf("%+v, %d promises", got, line.Told())
 	}
 }
--- a/internal/batchrun/run.go
+++ b/internal/batchrun/run.go
@@ -19,19 +19,19 @@
 	"github.com/dykewing/dykewing/worker"
 )
 
-// verdict is how one send of an item ended.
+// verdict is the outcome of one attempt to run an item.
 type verdict string
 
 const (
-	verdictDone      verdict = "done"
-	verdictNotRun    verdict = "not_run"    // the worker did not take it
-	verdictBroken    verdict = "broken"     // it goes on after its last event
-	verdictFailed    verdict = "failed"     // the worker says that its run failed
-	verdictPointless verdict = "impossible" // it can never be done
-	verdictStopped   verdict = "stopped"    // the job or the leadership ended
+	verdictDone        verdict = "done"
+	verdictNotRun      verdict = "not_run"    // rejected by the worker
+	verdictInterrupted verdict = "broken"     // interrupted; resumes after the last event
+	verdictFailed      verdict = "failed"     // the worker reported a failure
+	verdictImpossible  verdict = "impossible" // not retryable
+	verdictCancelled   verdict = "stopped"    // the item was preempted, or the job or leadership ended
 )
 
-func headerOf(stored jobs.InlineItem) http.Header {
+func requestHeader(stored jobs.InlineItem) http.Header {
 	header := make(http.Header, len(stored.Headers)+4)
 	for name, value := range stored.Headers {
 		header.Set(name, value)
@@ -39,120 +39,122 @@
 	return header
 }
 
-// run sends an item to the ticket's worker and decides what follows.
+// run sends an item to the ticket's worker and handles the outcome.
 func (l *Leader) run(ctx context.Context, i *item, maximumFailures int, ticket *backend.Ticket) {
 	began, sent := time.Now(), len(i.text)
 	verdict, err := l.send(ctx, i, ticket)
 	ticket.End()
 	if ctx.Err() != nil {
-		verdict = verdictStopped
+		verdict = verdictCancelled
 	}
 	i.cancel()
-	l.noteRun(i, ticket, verdict, err)
+	l.recordRun(i, ticket, verdict, err)
 	l.service.metrics.attempts.WithLabelValues(string(verdict)).Inc()
 	if verdict != verdictDone {
 		l.log.WithFields(logrus.Fields{
 			"event": "item_send_ended", "request": i.job.ID, "digest": i.digest, "index": i.index, "worker": ticket.Worker.ID, "verdict": verdict,
-			"sends": i.sends, "failures": i.failures, "last_event": i.last, "bytes": len(i.text) - sent, "took_ms": time.Since(began).Milliseconds(),
+			"sends": i.attempts, "failures": i.failures, "last_event": i.lastEventID, "bytes": len(i.text) - sent, "took_ms": time.Since(began).Milliseconds(),
 			"load": ticket.Load, "load_age_ms": ticket.Age.Milliseconds(), "left_ms": time.Until(i.job.Due()).Milliseconds(),
-		}).WithError(err).Info("A send of an item ended without its whole output.")
+		}).WithError(err).Info("Item attempt ended before its output was complete.")
 	}
-	l.settle(i, verdict, maximumFailures, ticket.Worker.ID, len(i.text)-sent)
+	l.finishRun(i, verdict, maximumFailures, ticket.Worker.ID, len(i.text)-sent)
 	l.wakeUp()
 }
 
-// settle lists an item or puts it back; so many bytes came of its run.
-func (l *Leader) settle(i *item, verdict verdict, maximumFailures int, workerID string, came int) {
+// finishRun handles the end of a run that gave received bytes: the item is completed, abandoned or
+// requeued.
+func (l *Leader) finishRun(i *item, verdict verdict, maximumFailures int, workerID string, received int) {
 	switch verdict {
 	case verdictDone:
-		l.service.metrics.seconds.Observe(time.Since(i.job.Created).Seconds())
-		l.list(i, jobs.InlineCompleted, string(i.text))
+		l.service.metrics.itemSeconds.Observe(time.Since(i.job.Created).Seconds())
+		l.enqueueResult(i, jobs.InlineCompleted, string(i.text))
 	case verdictFailed:
-		i.fail(i.failures + 1)
-		defer signal(l.failed)
-	case verdictPointless:
-		i.fail(maximumFailures)
+		i.setFailures(i.failures + 1)
+		defer signal(l.checkpointNow)
+	case verdictImpossible:
+		i.setFailures(maximumFailures)
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	delete(l.running, i)
-	took := time.Since(i.since)
-	l.lengths.Ran(workerID, came, took)
-	if verdict == verdictBroken {
-		l.suspects.broke(time.Now(), workerID, i)
+	took := time.Since(i.startedAt)
+	l.lengths.Ran(workerID, received, took)
+	if verdict == verdictInterrupted {
+		l.suspects.interrupted(time.Now(), workerID, i)
 	} else {
-		l.suspects.ended(workerID, i, came > 0)
+		l.suspects.ended(workerID, i, received > 0)
 	}
 	if verdict == verdictDone {
-		if i.sends != 1 {
-			took = 0 // not the whole item's
+		if i.attempts != 1 {
+			took = 0 // a resumed run is shorter than the whole item
 		}
 		l.lengths.Whole(len(i.text), took)
 	}
-	i.worker, i.yielding = "", false
+	i.worker, i.preempted = "", false
 	if verdict == verdictDone {
-		l.queued.finished(i)
+		l.backlog.finish(i)
 	}
-	if verdict == verdictDone || verdict == verdictStopped && (l.ended[i.job.ID] || l.ctx.Err() != nil) {
+	if verdict == verdictDone || verdict == verdictCancelled && (l.ended[i.job.ID] || l.ctx.Err() != nil) {
 		return
 	}
 	if i.failures >= maximumFailures {
 		l.abandon(i, string(verdict))
 		return
 	}
-	i.avoid = workerID
-	if verdict != verdictStopped {
-		pause := min(firstRetryPause<<min(i.sends, 5), lastRetryPause)
-		i.notUntil = time.Now().Add(pause)
+	i.avoidWorker = workerID
+	if verdict != verdictCancelled {
+		pause := min(minRetryBackoff<<min(i.attempts, 5), maxRetryBackoff)
+		i.notBefore = time.Now().Add(pause)
 	}
 	l.waiting = append(l.waiting, i)
 	l.sortWaiting()
 }
 
-func (i *item) fail(failures int) {
-	i.received.Lock()
-	defer i.received.Unlock()
+func (i *item) setFailures(failures int) {
+	i.outputMutex.Lock()
+	defer i.outputMutex.Unlock()
 	i.failures = failures
 }
 
-// noteRun tells the guard how an item's run ended: its answer broke off, not by this
-// process, or its worker is still there after it.
-func (l *Leader) noteRun(i *item, ticket *backend.Ticket, verdict verdict, err error) {
+// recordRun reports the end of a run to the quarantine guard and to outlier ejection. Runs
+// that this process cancelled do not count against the worker.
+func (l *Leader) recordRun(i *item, ticket *backend.Ticket, verdict verdict, err error) {
 	guard := l.service.guard
 	switch {
 	case verdict == verdictDone:
-		l.service.judge(ticket.Worker.ID, "", worker.Outcomes{Whole: 1})
-	case verdict == verdictFailed, verdict == verdictBroken && !errors.Is(err, context.Canceled):
-		l.service.judge(ticket.Worker.ID, "", worker.Outcomes{Broken: 1})
+		l.service.recordOutcomes(ticket.Worker.ID, "", worker.Outcomes{Whole: 1})
+	case verdict == verdictFailed, verdict == verdictInterrupted && !errors.Is(err, context.Canceled):
+		l.service.recordOutcomes(ticket.Worker.ID, "", worker.Outcomes{Broken: 1})
 	}
 	switch verdict {
-	case verdictBroken:
+	case verdictInterrupted:
 		if i.digest != "" && !errors.Is(err, context.Canceled) {
-			guard.Broke(ticket.Worker, i.digest, i.last != "")
+			guard.Broke(ticket.Worker, i.digest, i.lastEventID != "")
 		}
-	case verdictDone, verdictFailed, verdictPointless:
+	case verdictDone, verdictFailed, verdictImpossible:
 		if i.digest != "" && guard.Watching() {
 			guard.Survived(i.digest)
 		}
 	}
 }
 
-// send sends an item once and reads its events; whole ones are kept in the item.
+// send makes one attempt to run an item and collects its events. Complete events stay in the item
+// if the attempt fails.
 func (l *Leader) send(ctx context.Context, i *item, ticket *backend.Ticket) (verdict, error) {
 	stored, found, err := l.state.InlineItem(i.job.ID, i.index)
 	if err != nil || !found {
-		return verdictBroken, fmt.Errorf("read item: found %t: %w", found, err)
+		return verdictInterrupted, fmt.Errorf("read item: found %t: %w", found, err)
 	}
 	path, query, err := splitPath(stored.Path)
 	if err != nil {
-		return verdictPointless, err
+		return verdictImpossible, err
 	}
-	i.sends++
-	watch := newSilenceWatch(ctx, l.service.settings.Silence)
-	defer watch.stop()
-	incoming, failure := l.service.caller.Send(watch.ctx, backend.Outgoing{
-		Method: http.MethodPost, Path: path, Query: query, Host: i.host, Header: headerOf(stored), Body: stored.Body,
-		Call: backend.Call{ID: stored.ID, LastEvent: i.last, Tenants: l.service.hasTenants(), Tenant: string(i.job.Tenant)}, ID: stored.ID, Worker: ticket.Worker,
+	i.attempts++
+	idle := newIdleTimeout(ctx, l.service.settings.Silence)
+	defer idle.stop()
+	incoming, failure := l.service.caller.Send(idle.ctx, backend.Outgoing{
+		Method: http.MethodPost, Path: path, Query: query, Host: i.host, Header: requestHeader(stored), Body: stored.Body,
+		Call: backend.Call{ID: stored.ID, LastEvent: i.lastEventID, Tenants: l.service.hasTenants(), Tenant: string(i.job.Tenant)}, ID: stored.ID, Worker: ticket.Worker,
 	})
 	if failure != nil {
 		if failure.Outcome == api.OutcomeNotRun {
@@ -164,7 +166,7 @@
 		if failure.Code == api.CodeUpstream {
 			ticket.Broke()
 		}
-		return verdictBroken, failure
+		return verdictInterrupted, failure
 	}
 	defer incoming.Response.Body.Close()
 	if incoming.Loaded {
@@ -172,19 +174,19 @@
 	}
 	switch status := incoming.Response.StatusCode; {
 	case incoming.NotRun:
-		turnedAway(ticket, incoming)
+		handleRejection(ticket, incoming)
 		return verdictNotRun, fmt.Errorf("status %d", status)
 	case status == http.StatusUnprocessableEntity:
-		return verdictPointless, fmt.Errorf("status %d", status)
+		return verdictImpossible, fmt.Errorf("status %d", status)
 	case status == http.StatusInternalServerError:
 		return verdictFailed, fmt.Errorf("status %d", status)
 	case status != http.StatusOK || !incoming.Stamped:
-		return verdictBroken, fmt.Errorf("status %d", status)
+		return verdictInterrupted, fmt.Errorf("status %d", status)
 	}
-	return l.read(watch.ctx, i, ticket, incoming, watch)
+	return l.read(idle.ctx, i, ticket, incoming, idle)
 }
 
-func turnedAway(ticket *backend.Ticket, incoming *backend.Incoming) {
+func handleRejection(ticket *backend.Ticket, incoming *backend.Incoming) {
 	if incoming.Moved {
 		ticket.Moved()
 		return
@@ -193,7 +195,7 @@
 	_, _ = io.Copy(io.Discard, io.LimitReader(incoming.Response.Body, engine.MaximumEventBytes))
 }
 
-func (l *Leader) read(ctx context.Context, i *item, ticket *backend.Ticket, incoming *backend.Incoming, watch *silenceWatch) (verdict, error) {
+func (l *Leader) read(ctx context.Context, i *item, ticket *backend.Ticket, incoming *backend.Incoming, idle *idleTimeout) (verdict, error) {
 	events := engine.NewEventReader(&pacedReader{ctx: ctx, source: incoming.Response.Body, interval: readInterval})
 	for {
 		event, err := events.Next()
@@ -201,24 +203,24 @@
 			return verdictDone, nil
 		}
 		if err != nil {
-			return verdictBroken, err
+			return verdictInterrupted, err
 		}
-		watch.heard()
+		idle.reset()
 		ticket.Started()
-		i.take(event)
+		i.appendEvent(event)
 	}
 }
 
-// take keeps an event: its data lines join the text, separated by line feeds.
-func (i *item) take(event []byte) {
-	i.received.Lock()
-	defer i.received.Unlock()
-	i.lastAt = time.Now()
-	first := i.last == ""
+// appendEvent adds an event to the item's text. The event's data lines are joined with line feeds.
+func (i *item) appendEvent(event []byte) {
+	i.outputMutex.Lock()
+	defer i.outputMutex.Unlock()
+	i.lastEventAt = time.Now()
+	first := i.lastEventID == ""
 	for line := range bytes.Lines(event) {
 		line = bytes.TrimRight(line, "\r\n")
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
-			i.last = string(bytes.TrimSpace(id))
+			i.lastEventID = string(bytes.TrimSpace(id))
 			continue
 		}
 		data, ok := bytes.CutPrefix(line, []byte("data:"))
@@ -236,27 +238,27 @@
 func splitPath(path string) (escaped, query string, err error) {
 	parsed, err := url.ParseRequestURI(path)
 	if err != nil {
-		return "", "", fmt.Errorf("item's path: %w", err)
+		return "", "", fmt.Errorf("parse item path: %w", err)
 	}
 	return parsed.EscapedPath(), parsed.RawQuery, nil
 }
 
-// silenceWatch ends a request whose worker sends nothing for too long.
-type silenceWatch struct {
+// idleTimeout cancels a request whose worker sends nothing for longer than limit.
+type idleTimeout struct {
 	ctx    context.Context
 	cancel context.CancelFunc
 	timer  *time.Timer
 	limit  time.Duration
 }
 
-func newSilenceWatch(ctx context.Context, limit time.Duration) *silenceWatch {
+func newIdleTimeout(ctx context.Context, limit time.Duration) *idleTimeout {
 	ctx, cancel := context.WithCancel(ctx)
-	return &silenceWatch{ctx: ctx, cancel: cancel, timer: time.AfterFunc(limit, cancel), limit: limit}
+	return &idleTimeout{ctx: ctx, cancel: cancel, timer: time.AfterFunc(limit, cancel), limit: limit}
 }
 
-func (w *silenceWatch) heard() { w.timer.Reset(w.limit) }
+func (t *idleTimeout) reset() { t.timer.Reset(t.limit) }
 
-func (w *silenceWatch) stop() {
-	w.timer.Stop()
-	w.cancel()
+func (t *idleTimeout) stop() {
+	t.timer.Stop()
+	t.cancel()
 }
--- a/internal/batchrun/service.go
+++ b/internal/batchrun/service.go
@@ -1,6 +1,6 @@
-// Package batchrun runs the items of inline jobs at workers, in the process that
-// leads a job's group: it fills what online requests leave idle, goes on after
-// the last event when a worker is lost, and proposes results.
+// Package batchrun runs the items of inline jobs in the process that leads a job's group. It uses
+// the worker capacity that online requests leave idle, resumes an item after its last event when a
+// worker is lost, and proposes results.
 package batchrun
 
 import (
@@ -29,36 +29,37 @@
 	"github.com/dykewing/dykewing/worker"
 )
 
-// Service is what the leaders of a process's groups share.
+// Service holds what the leaders of a process's groups share. It is safe for concurrent use.
 type Service struct {
 	settings config.Batch
-	groups   int     // of jobs, in all
-	core     float64 // that the process may use; 0: not known
+	groups   int     // total number of job groups
+	cpuShare float64 // share of a core available to the process; 0 if unknown
 	log      *logrus.Entry
 	catalog  *catalog.Catalog
 	nodes    func() []api.Node
-	stores   *storeclient.Client // reaches other groups' leaders
+	stores   *storeclient.Client // client of other groups' leaders
 	members  *storeclient.Registered
 	pool     *backend.Pool
 	caller   *backend.Caller
 	metrics  *metrics
 	guard    *guard.Guard
 
-	hidden hidden
-	places *places
-	near   *nearby
+	unreported  unreportedLoad
+	slots       *slotBroker
+	zoneWorkers *zoneWorkers
 
 	mutex   sync.Mutex // guards leaders
 	leaders map[*Leader]bool
 }
 
-// New gives a service that learns configuration and workers from source.
+// New returns a service that gets its configuration and workers from source. It registers metrics
+// and HTTP handlers with common.
 func New(common *node.Node, protocol backend.Protocol, source catalog.Source) *Service {
 	s := &Service{
-		settings: common.Settings.Batch, groups: common.Settings.Store.Groups, core: common.Settings.Node.ProcessorShare, log: common.Logger("batch"), caller: backend.NewCaller(protocol).Count(common.Traffic),
+		settings: common.Settings.Batch, groups: common.Settings.Store.Groups, cpuShare: common.Settings.Node.ProcessorShare, log: common.Logger("batch"), caller: backend.NewCaller(protocol).Count(common.Traffic),
 		metrics: newMetrics(common.Registry), leaders: map[*Leader]bool{}, members: &storeclient.Registered{}, nodes: common.Nodes,
 	}
-	s.places, s.near = newPlaces(s), newNearby(common.Settings.Node.Zone)
+	s.slots, s.zoneWorkers = newSlotBroker(s), newZoneWorkers(common.Settings.Node.Zone)
 	s.pool = backend.NewPool(worker.DefaultSettings(common.Settings.Node.Zone), s.wakeAll)
 	s.pool.SetGroups(func(id string) int { return int(placement.WorkerGroup(id, max(s.groups, 1))) })
 	s.catalog = catalog.New(source, common.KeyValue, common.Logger("catalog"), s.pool)
@@ -78,33 +79,33 @@
 	common.Registry.MustRegister(s.catalog.Metrics()...)
 	s.catalog.Also(common.Settings.KeyValueService.Prefix+storeclient.PrefixStores, s.members)
 	s.stores = &storeclient.Client{
-		HTTP: common.Traffic.Count(transport.NewClient(storeConnections), transport.KindJobs), AttemptTimeout: storeAttempt,
+		HTTP: common.Traffic.Count(transport.NewClient(storeConnections), transport.KindJobs), AttemptTimeout: storeAttemptTimeout,
 		Nodes: func() []api.Node { return s.members.With(common.Nodes()) },
 	}
 	common.Mux.Handle("POST "+limiter.PathTokens, limiter.NewOwner(common.Settings.Tenants.Tolerance(), common.ID(), common.Nodes))
-	common.Mux.HandleFunc("POST "+reservation.Path, s.servePlaces)
+	common.Mux.HandleFunc("POST "+reservation.Path, s.serveSlots)
 	common.Mux.HandleFunc("GET "+catalog.PathConfiguration, s.catalog.ServeConfiguration)
 	return s
 }
 
-// Calls to other stores.
 const (
-	storeConnections = 4
-	storeAttempt     = 500 * time.Millisecond
+	storeConnections    = 4
+	storeAttemptTimeout = 500 * time.Millisecond
 )
 
-// Registered are the stores that the platform's store lists.
+// Registered returns the registry of store nodes.
 func (s *Service) Registered() *storeclient.Registered { return s.members }
 
-// Catalog is what the service watches.
+// Catalog returns the service's view of configuration and workers.
 func (s *Service) Catalog() *catalog.Catalog { return s.catalog }
 
-// Run watches until ctx ends.
+// Run watches configuration, polls loads and runs the guard until ctx ends, then closes
+// connections.
 func (s *Service) Run(ctx context.Context, peers catalog.Peers) {
 	var running sync.WaitGroup
 	running.Go(func() { s.catalog.Run(ctx) })
 	running.Go(func() { s.catalog.AskPeers(ctx, peers) })
-	running.Go(func() { s.askLoads(ctx) })
+	running.Go(func() { s.pollLoads(ctx) })
 	running.Go(func() { s.guard.Run(ctx) })
 	running.Wait()
 	s.caller.Close()
@@ -119,9 +120,9 @@
 	}
 }
 
-// askLoads asks workers for their load while items wait or run: what others send
-// there is otherwise learned only from answers.
-func (s *Service) askLoads(ctx context.Context) {
+// pollLoads polls workers for their load while there are unfinished items, to learn of requests
+// that others send there.
+func (s *Service) pollLoads(ctx context.Context) {
 	ticker := time.NewTicker(s.settings.ReportInterval)
 	defer ticker.Stop()
 	for {
@@ -130,38 +131,39 @@
 		case <-ctx.Done():
 			return
 		}
-		for _, w := range s.busyWorkers() {
-			s.askLoad(ctx, w)
+		for _, w := range s.pollTargets() {
+			s.pollLoad(ctx, w)
 		}
 		s.wakeAll()
 	}
 }
 
-func (s *Service) busyWorkers() map[string]worker.Worker {
+func (s *Service) pollTargets() map[string]worker.Worker {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	busy := map[string]worker.Worker{}
+	targets := map[string]worker.Worker{}
 	for leader := range s.leaders {
-		leader.addBusy(busy)
+		leader.addPollTargets(targets)
 	}
-	return busy
+	return targets
 }
 
-func (s *Service) askLoad(ctx context.Context, w worker.Worker) {
+func (s *Service) pollLoad(ctx context.Context, w worker.Worker) {
 	ctx, cancel := context.WithTimeout(ctx, s.settings.ReportInterval)
 	defer cancel()
 	report, err := s.caller.Report(ctx, w)
 	if err != nil {
-		s.log.WithFields(logrus.Fields{"event": "report_missing", "worker": w.ID}).WithError(err).Debug("A worker did not tell its load.")
+		s.log.WithFields(logrus.Fields{"event": "report_missing", "worker": w.ID}).WithError(err).Debug("Polling a worker's load failed.")
 		return
 	}
-	s.polled(w, report)
+	s.applyLoadReport(w, report)
 }
 
-// Lead begins to run a group's open jobs; it is a store.StartInlineRunner.
+// Lead starts running a group's open jobs. It returns an error if they cannot be read from state.
+// It is a store.StartInlineRunner.
 func (s *Service) Lead(group api.GroupID, state *jobs.State, propose dispatch.Propose) (store.InlineRunner, error) {
 	leader := newLeader(s, group, state, propose)
-	if err := leader.load(); err != nil {
+	if err := leader.loadJobs(); err != nil {
 		leader.cancel()
 		return nil, err
 	}
@@ -172,14 +174,15 @@
 	return leader, nil
 }
 
-func (s *Service) forget(leader *Leader) {
+func (s *Service) removeLeader(leader *Leader) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.leaders, leader)
 }
 
-// routeOf finds the batch route that an item's request belongs to now.
-func (s *Service) routeOf(host, path string) (matched route.Route, known, found bool) {
+// matchRoute returns the batch route for an item's request. known is false while there is no
+// configuration.
+func (s *Service) matchRoute(host, path string) (matched route.Route, known, found bool) {
 	configuration := s.catalog.Configuration()
 	if configuration == nil {
 		return route.Route{}, false, false
@@ -188,30 +191,30 @@
 	return matched, true, found
 }
 
-// hasTenants tells whether workers are told whose an item is, and never what the
-// job's caller says of it.
+// hasTenants reports whether items are sent with the job's tenant. The tenant never comes from the
+// job's caller.
 func (s *Service) hasTenants() bool {
 	configuration := s.catalog.Configuration()
 	return configuration != nil && configuration.HasTenants()
 }
 
 type metrics struct {
-	items    *prometheus.CounterVec // by outcome
-	attempts *prometheus.CounterVec // by verdict
-	waiting  prometheus.Gauge
-	running  prometheus.Gauge
-	yielded  prometheus.Counter
-	refused  prometheus.Counter // requests that can't have a place in time
-	lost     prometheus.Counter // seconds
-	held     prometheus.Gauge
-	seconds  prometheus.Histogram // of a whole item, from its submission
-
-	heard *heardMetrics
+	items       *prometheus.CounterVec // by outcome
+	attempts    *prometheus.CounterVec // by verdict
+	waiting     prometheus.Gauge
+	running     prometheus.Gauge
+	preempted   prometheus.Counter
+	refused     prometheus.Counter // requests that cannot get a slot in time
+	lostSeconds prometheus.Counter // run time of preempted items since their last event
+	heldBack    prometheus.Gauge
+	itemSeconds prometheus.Histogram // from submission to result
+
+	workers *workerMetrics
 }
 
 func newMetrics(registry prometheus.Registerer) *metrics {
 	m := &metrics{
-		heard: newHeardMetrics(registry),
+		workers: newWorkerMetrics(registry),
 		items: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "dykewing_batch_items_total", Help: "Items listed, by outcome.",
 		}, []string{"outcome"}),
@@ -220,23 +223,23 @@
 		}, []string{"verdict"}),
 		waiting: prometheus.NewGauge(prometheus.GaugeOpts{Name: "dykewing_batch_items_waiting", Help: "Items that wait for a worker."}),
 		running: prometheus.NewGauge(prometheus.GaugeOpts{Name: "dykewing_batch_items_running", Help: "Items at a worker."}),
-		yielded: prometheus.NewCounter(prometheus.CounterOpts{
+		preempted: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "dykewing_batch_items_yielded_total", Help: "Items stopped because requests waited at their worker.",
 		}),
 		refused: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "dykewing_places_refused_total", Help: "Requests refused a place since there will be none in time.",
 		}),
-		lost: prometheus.NewCounter(prometheus.CounterOpts{
+		lostSeconds: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "dykewing_batch_run_lost_seconds_total", Help: "Time that items that gave way had run since their last event.",
 		}),
-		held: prometheus.NewGauge(prometheus.GaugeOpts{
+		heldBack: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "dykewing_batch_items_held_back", Help: "Items that wait beside free slots for a rise of online requests that is expected.",
 		}),
-		seconds: prometheus.NewHistogram(prometheus.HistogramOpts{
+		itemSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "dykewing_batch_item_seconds", Help: "Time from a job's submission to an item's result.",
 			Buckets: prometheus.ExponentialBuckets(0.25, 2, 12),
 		}),
 	}
-	registry.MustRegister(m.items, m.attempts, m.waiting, m.running, m.yielded, m.refused, m.lost, m.held, m.seconds)
+	registry.MustRegister(m.items, m.attempts, m.waiting, m.running, m.preempted, m.refused, m.lostSeconds, m.heldBack, m.itemSeconds)
 	return m
 }
--- a/internal/batchrun/suspects.go
+++ b/internal/batchrun/suspects.go
@@ -2,36 +2,34 @@
 
 import "time"
 
-// suspectFor is how long a worker is suspected after an item's answer broke off there.
-// Each trial that breaks off begins it anew; a worker that is back gives an event within
-// a second.
-const suspectFor = 10 * time.Second
+// suspectTTL is how long a worker stays suspected after an interrupted response. Each interrupted
+// probe restarts it. A worker that has recovered sends an event well within it.
+const suspectTTL = 10 * time.Second
 
-// suspects are workers at which an item's answer broke off last. Invariant: while items
-// wait, one of them tries such a worker, whatever is kept free before a rise. An item goes
-// on elsewhere; the requests that would have found the worker broken are lost: where items
-// were held back from such workers, 612 of 18,000 tries ended in 502 and not 100. The zero
-// value suspects none; its leader's mutex guards it.
+// suspects tracks workers whose last response to an item was interrupted.
+// Invariant: while items wait, one of them probes each suspected worker, even if items are held
+// back before an expected rise. An item can resume elsewhere, whereas an online request that found
+// the worker broken would fail. The zero value is empty; the leader's mutex guards it.
 type suspects struct {
 	workers map[string]*suspect
 }
 
 type suspect struct {
-	since  time.Time // when an answer broke off last
-	trying *item
+	interruptedAt time.Time // last interrupted response
+	probe         *item
 }
 
-// began takes that an item begins at a worker.
-func (s *suspects) began(worker string, i *item) {
-	if w := s.workers[worker]; w != nil && w.trying == nil {
-		w.trying = i
+// started records that an item starts at a worker.
+func (s *suspects) started(worker string, i *item) {
+	if w := s.workers[worker]; w != nil && w.probe == nil {
+		w.probe = i
 	}
 }
 
-// broke takes that an item's answer broke off at a worker, not by this process.
-func (s *suspects) broke(now time.Time, worker string, i *item) {
+// interrupted records that an item's response was interrupted, not by this process.
+func (s *suspects) interrupted(now time.Time, worker string, i *item) {
 	for id, w := range s.workers {
-		if now.Sub(w.since) > suspectFor {
+		if now.Sub(w.interruptedAt) > suspectTTL {
 			delete(s.workers, id)
 		}
 	}
@@ -44,32 +42,33 @@
 		w = &suspect{}
 		s.workers[worker] = w
 	}
-	w.since = now
+	w.interruptedAt = now
 }
 
-// ended takes that an item's run at a worker ended, and whether it got events. Those of
-// a run that began before the break say nothing of what begins now.
+// ended records the end of a run and whether it received events. A run that started before the
+// interruption does not clear the suspicion.
 func (s *suspects) ended(worker string, i *item, events bool) {
 	w := s.workers[worker]
 	switch {
 	case w == nil:
-	case events && i.since.After(w.since):
+	case events && i.startedAt.After(w.interruptedAt):
 		delete(s.workers, worker)
-	case w.trying == i:
-		w.trying = nil
+	case w.probe == i:
+		w.probe = nil
 	}
 }
 
-// wants tells whether an item is to try a worker.
-func (s *suspects) wants(now time.Time, worker string) bool {
+// needsProbe reports whether an item should probe a worker.
+func (s *suspects) needsProbe(now time.Time, worker string) bool {
 	w := s.workers[worker]
-	return w != nil && w.trying == nil && now.Sub(w.since) <= suspectFor
+	return w != nil && w.probe == nil && now.Sub(w.interruptedAt) <= suspectTTL
 }
 
-// since is when an answer broke off at a worker last.
-func (s *suspects) since(worker string) (at time.Time) {
+// lastInterrupted returns the time of the last interrupted response of a worker, zero if it is not
+// suspected.
+func (s *suspects) lastInterrupted(worker string) (at time.Time) {
 	if w := s.workers[worker]; w != nil {
-		at = w.since
+		at = w.interruptedAt
 	}
 	return at
 }
--- a/internal/batchrun/yield.go
+++ b/internal/batchrun/yield.go
@@ -10,52 +10,53 @@
 	"github.com/dykewing/dykewing/fill"
 )
 
-// giveWayLocked stops items at a worker until count have been told to, in the order of
-// fill.Yields. Invariant: with pressed, whatever its standing, an item gives way where a
-// request waits. They go on elsewhere after their last event.
-func (l *Leader) giveWayLocked(workerID string, count int, pressed bool) {
+// preemptLocked preempts items at a worker until count items there are being preempted, in the
+// order of fill.Yields. Pressed items are spared unless pressed is true, which the caller sets
+// where an online request waits. Preempted items resume after their last event. The caller holds
+// the mutex.
+func (l *Leader) preemptLocked(workerID string, count int, pressed bool) {
 	now := time.Now()
 	type choice struct {
 		item *item
 		fill.Running
 	}
-	var there []choice
+	var candidates []choice
 	for i := range l.running {
 		if i.worker != workerID {
 			continue
 		}
-		if i.yielding {
+		if i.preempted {
 			count--
 		} else if pressed || i.standing != fill.Pressed {
-			there = append(there, choice{i, l.runningAt(now, i)})
+			candidates = append(candidates, choice{i, l.preemptionInfo(now, i)})
 		}
 	}
-	slices.SortFunc(there, func(a, b choice) int {
+	slices.SortFunc(candidates, func(a, b choice) int {
 		return cmp.Or(fill.Yields(now, a.Running, b.Running), cmp.Compare(a.item.job.ID, b.item.job.ID), cmp.Compare(a.item.index, b.item.index))
 	})
-	for _, c := range there[:max(min(count, len(there)), 0)] {
-		c.item.yielding = true
-		c.item.cuts++
+	for _, c := range candidates[:max(min(count, len(candidates)), 0)] {
+		c.item.preempted = true
+		c.item.preemptions++
 		c.item.cancel()
-		l.service.metrics.yielded.Inc()
-		l.service.metrics.lost.Add(c.Lost.Seconds())
+		l.service.metrics.preempted.Inc()
+		l.service.metrics.lostSeconds.Add(c.Lost.Seconds())
 		l.log.WithFields(logrus.Fields{
 			"event": "item_gives_way", "request": c.item.job.ID, "index": c.item.index, "worker": workerID, "waiting": count,
 			"left_ms": time.Until(c.item.job.Due()).Milliseconds(), "run_left_ms": c.Left.Milliseconds(), "ran_ms": now.Sub(c.Since).Milliseconds(),
-			"lost_ms": c.Lost.Milliseconds(), "cuts": c.item.cuts, "pressed": c.Standing == fill.Pressed, "early": !pressed,
-		}).Info("An item gives way to requests that wait.")
+			"lost_ms": c.Lost.Milliseconds(), "cuts": c.item.preemptions, "pressed": c.Standing == fill.Pressed, "early": !pressed,
+		}).Info("Item preempted for online requests.")
 	}
 }
 
-// runningAt is what the choice sees of an item that runs.
-func (l *Leader) runningAt(now time.Time, i *item) fill.Running {
-	i.received.Lock()
-	given, lastAt := len(i.text), i.lastAt
-	i.received.Unlock()
+// preemptionInfo describes a running item to fill.Yields.
+func (l *Leader) preemptionInfo(now time.Time, i *item) fill.Running {
+	i.outputMutex.Lock()
+	received, lastAt := len(i.text), i.lastEventAt
+	i.outputMutex.Unlock()
 	r := fill.Running{
-		Standing: i.standing, Left: l.lengths.At(i.worker, l.lengths.Left(given)), Cuts: i.cuts, Since: i.since, Open: i.open, Lost: now.Sub(i.since),
+		Standing: i.standing, Left: l.lengths.At(i.worker, l.lengths.Left(received)), Cuts: i.preemptions, Since: i.startedAt, Open: i.openInJob, Lost: now.Sub(i.startedAt),
 	}
-	if lastAt.After(i.since) {
+	if lastAt.After(i.startedAt) {
 		r.Lost = now.Sub(lastAt)
 	}
 	if i.job.RunTarget > 0 {
