--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,5 +1,5 @@
-// Package dispatch runs a group's dispatcher in the process that leads the
-// group: routers' claims wait in it, and what it wants committed is proposed.
+// Package dispatch runs a group's dispatcher in the process that leads the group. Claims of
+// routers wait in it for items, and commands that it needs committed are proposed.
 package dispatch
 
 import (
@@ -18,28 +18,28 @@
 	proposeTimeout = 10 * time.Second
 )
 
-// Propose commits a command and gives its result.
+// Propose commits a command and returns its result.
 type Propose func(ctx context.Context, command jobs.Command) (jobs.Result, *api.Error)
 
-// Leadership is the dispatcher of a replica for as long as it leads. Its methods
-// may be called from anywhere; none waits for Propose but Settle.
+// Leadership runs the dispatcher of a replica while that leads its group. Its methods are safe for
+// concurrent use. Only Settle waits for Propose.
 type Leadership struct {
 	propose Propose
 	log     *logrus.Entry
-	ctx     context.Context // until Stop
+	ctx     context.Context // cancelled by Stop
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 
-	mutex      sync.Mutex // guards all below
+	mutex      sync.Mutex // guards the fields below
 	dispatcher *jobs.Dispatcher
 	token      uint64
-	claims     map[uint64]chan jobs.Grant
-	notices    map[uint64]jobs.Notice
-	failed     error
+	claims     map[uint64]chan jobs.Grant // waiting claims, by token
+	notices    map[uint64]jobs.Notice     // by token
+	stateErr   error                      // set once the applied state could not be read
 }
 
-// Start begins to hand out the state's waiting items. The state must have
-// applied all that earlier leaders committed.
+// Start starts dispatching the state's waiting items and returns an error if the state cannot be
+// read. The state must have applied all commands of earlier leaders.
 func Start(state *jobs.State, settings jobs.DispatcherSettings, propose Propose, log *logrus.Entry) (*Leadership, error) {
 	dispatcher, err := jobs.NewDispatcher(state, settings, time.Now())
 	if err != nil {
@@ -50,15 +50,14 @@
 		claims: map[uint64]chan jobs.Grant{}, notices: map[uint64]jobs.Notice{},
 	}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
-	l.running.Go(l.tick)
+	l.running.Go(l.tickLoop)
 	return l, nil
 }
 
-// Stop answers the claims that wait and ends the proposals; it does not wait
-// for them.
+// Stop ends waiting claims and cancels proposals, without waiting for them to return.
 func (l *Leadership) Stop() { l.cancel() }
 
-func (l *Leadership) tick() {
+func (l *Leadership) tickLoop() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
@@ -81,19 +80,19 @@
 	for _, action := range l.dispatcher.Step(time.Now(), message) {
 		switch action := action.(type) {
 		case jobs.Granted:
-			if waiting, ok := l.claims[action.Token]; ok {
+			if granted, ok := l.claims[action.Token]; ok {
 				delete(l.claims, action.Token)
-				waiting <- action.Grant
+				granted <- action.Grant
 			}
 		case jobs.Noticed:
 			l.notices[action.Token] = action.Notice
 		case jobs.ProposeCommand:
 			l.running.Go(func() { l.commit(action.Command) })
 		case jobs.DispatchFailed:
-			if l.failed == nil {
-				l.log.WithError(action.Err).Error("The applied state could not be read; no items are handed out.")
+			if l.stateErr == nil {
+				l.log.WithError(action.Err).Error("Reading the applied state failed; no more items are dispatched.")
 			}
-			l.failed = action.Err
+			l.stateErr = action.Err
 		}
 	}
 }
@@ -102,60 +101,63 @@
 	ctx, cancel := context.WithTimeout(l.ctx, proposeTimeout)
 	defer cancel()
 	if _, failure := l.propose(ctx, command); failure != nil && l.ctx.Err() == nil {
-		l.log.WithError(failure).Debug("The dispatcher's command was not committed; it will be proposed again.")
+		l.log.WithError(failure).Debug("A command of the dispatcher was not committed; it will be proposed again.")
 	}
 }
 
-// Applied tells of each command that took effect, in order.
+// Applied processes a committed command and its result. It must be called in commit order.
 func (l *Leadership) Applied(command jobs.Command, result jobs.Result) {
 	l.step(jobs.Applied{Command: command, Result: result})
 }
 
-// SetServices tells which services the table in force has.
+// SetServices sets the services of the current routing table.
 func (l *Leadership) SetServices(services []api.ServiceName) {
 	l.step(jobs.KnownServices{Services: services})
 }
 
-// Backlog counts the waiting items by service.
+// Backlog returns the number of waiting items by service.
 func (l *Leadership) Backlog() []api.ServiceBacklog {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.dispatcher.Backlog()
 }
 
-// Claim waits for items, as long as the claim says.
+// Claim waits for items, up to the time given in the claim. It fails with api.CodeNotLeader once
+// Stop is called, api.CodeClientCancelled if ctx ends, and api.CodeInternal if the applied state
+// could not be read.
 func (l *Leadership) Claim(ctx context.Context, claim jobs.ClaimItems) (jobs.Grant, *api.Error) {
 	const step = "claim items"
-	waiting := make(chan jobs.Grant, 1)
+	granted := make(chan jobs.Grant, 1)
 	l.mutex.Lock()
-	if l.failed != nil {
+	if l.stateErr != nil {
 		l.mutex.Unlock()
-		return jobs.Grant{}, api.NewError(step, "", api.CodeInternal, api.OutcomeNotRun, "%w", l.failed)
+		return jobs.Grant{}, api.NewError(step, "", api.CodeInternal, api.OutcomeNotRun, "%w", l.stateErr)
 	}
 	l.token++
 	token := l.token
-	l.claims[token] = waiting
+	l.claims[token] = granted
 	l.stepLocked(jobs.ClaimArrived{Token: token, Claim: claim})
 	l.mutex.Unlock()
 	select {
-	case grant := <-waiting:
+	case grant := <-granted:
 		return grant, nil
 	case <-l.ctx.Done():
 		return jobs.Grant{}, api.NewError(step, "", api.CodeNotLeader, api.OutcomeNotRun, "this replica no longer leads")
 	case <-ctx.Done():
-		l.forget(token)
+		l.cancelClaim(token)
 		return jobs.Grant{}, api.NewError(step, "", api.CodeClientCancelled, api.OutcomeNotRun, "%w", ctx.Err())
 	}
 }
 
-func (l *Leadership) forget(token uint64) {
+func (l *Leadership) cancelClaim(token uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	delete(l.claims, token)
 	l.stepLocked(jobs.ClaimGone{Token: token})
 }
 
-// Settle commits a router's results and takes its returned items back.
+// Settle commits a router's results, then returns its unfinished items to the queue. If the commit
+// fails, it returns the error and leaves the items granted.
 func (l *Leadership) Settle(ctx context.Context, settle jobs.Settle) (jobs.Notice, *api.Error) {
 	if command, ok := settle.Command(); ok {
 		result, failure := l.propose(ctx, command)
@@ -166,18 +168,18 @@
 			return jobs.Notice{}, api.NewError("settle items", "", result.Code, api.OutcomeUnknown, "%s", result.Message)
 		}
 	}
-	return l.notice(func(token uint64) jobs.DispatchMessage {
+	return l.stepForNotice(func(token uint64) jobs.DispatchMessage {
 		return jobs.ItemsReturned{Token: token, Router: settle.Router, Returned: settle.Returned}
 	}), nil
 }
 
-// Renew lengthens a router's grants.
+// Renew extends a router's grants.
 func (l *Leadership) Renew(renew jobs.Renew) jobs.Notice {
-	return l.notice(func(token uint64) jobs.DispatchMessage { return jobs.RenewArrived{Token: token, Renew: renew} })
+	return l.stepForNotice(func(token uint64) jobs.DispatchMessage { return jobs.RenewArrived{Token: token, Renew: renew} })
 }
 
-// notice steps a message that is answered at once.
-func (l *Leadership) notice(message func(token uint64) jobs.DispatchMessage) jobs.Notice {
+// stepForNotice processes a message that the dispatcher answers at once with a notice.
+func (l *Leadership) stepForNotice(message func(token uint64) jobs.DispatchMessage) jobs.Notice {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.token++
