--- a/internal/batchrun/heard.go
+++ b/internal/batchrun/heard.go
@@ -13,8 +13,7 @@
 )
 
 const (
-	// maxPaceAge is the age from which a reported pace is ignored. Frontends do not keep one that
-	// long.
+	// maxPaceAge is the age of the oldest pace that is used. Frontends do not keep one that long.
 	maxPaceAge = 5 * time.Second
 	// pacesPerAnswer limits the paces in one answer; successive answers rotate through the workers.
 	pacesPerAnswer = 8
--- a/internal/batchrun/keep.go
+++ b/internal/batchrun/keep.go
@@ -77,11 +77,11 @@
 
 // checkpointIntervalFor returns the time between two partial outputs of one item, given the number
 // of running items and the share of a core that is available; 0 means unknown.
-func checkpointIntervalFor(running int, core float64) time.Duration {
-	if core <= 0 || core > 1 {
-		core = 1
+func checkpointIntervalFor(running int, cpuShare float64) time.Duration {
+	if cpuShare <= 0 || cpuShare > 1 {
+		cpuShare = 1
 	}
-	return max(checkpointInterval, time.Duration(float64(running)*float64(checkpointCost)/core))
+	return max(checkpointInterval, time.Duration(float64(running)*float64(checkpointCost)/cpuShare))
 }
 
 // nextPart returns the output since the last call, if it is due: at once after a failed run,
--- a/internal/batchrun/places.go
+++ b/internal/batchrun/places.go
@@ -101,7 +101,7 @@
 	queue := b.queue(ask.Service)
 	waiter := reservation.Wait(now, message.Report.Node, ask)
 	if ask.Wait > 0 && ask.Returned {
-		queue.Arrived(now, waiter) // before placing, so that an earlier promise counts
+		queue.Arrived(now, waiter) // before the grant, so that an earlier promise counts
 	}
 	if queue.Len() == 0 {
 		if answer, ok := b.grant(now, leaders, waiter); ok {
--- a/internal/batchrun/plan.go
+++ b/internal/batchrun/plan.go
@@ -221,7 +221,7 @@
 // output so far.
 func (l *Leader) left(i *item) time.Duration {
 	i.outputMutex.Lock()
-	given := len(i.text)
+	received := len(i.text)
 	i.outputMutex.Unlock()
-	return l.lengths.Left(given)
+	return l.lengths.Left(received)
 }
--- a/internal/batchrun/tell.go
+++ b/internal/batchrun/tell.go
@@ -56,9 +56,9 @@
 }
 
 // logProbe logs that an item probes a suspected worker.
-func (l *Leader) logProbe(now time.Time, i *item, workerID string, held bool) {
+func (l *Leader) logProbe(now time.Time, i *item, workerID string, heldBack bool) {
 	l.log.WithFields(logrus.Fields{
-		"event": "item_tries_worker", "request": i.job.ID, "index": i.index, "worker": workerID, "held_back": held,
+		"event": "item_tries_worker", "request": i.job.ID, "index": i.index, "worker": workerID, "held_back": heldBack,
 		"age_ms": now.Sub(l.suspects.lastInterrupted(workerID)).Milliseconds(),
 	}).Info("Item started as a probe of a worker whose last response was interrupted.")
 }
