--- a/worker/choose.go
+++ b/worker/choose.go
@@ -10,159 +10,158 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Query is what a choice is made for.
+// Query describes the request for which a worker is chosen.
 type Query struct {
 	Service  string
-	Parts    []Part // of the prompt, in order
-	Tokens   int    // of the whole prompt; 0 when not told
+	Parts    []Part // prompt parts in order
+	Tokens   int    // length of the whole prompt; 0 if unknown
 	Excluded []string
-	// Worker is the only one that may be chosen; empty: any.
+	// Worker restricts the choice to one worker; empty allows any.
 	Worker string
-	// Groups are those of which workers may be chosen; nil: all.
+	// Groups restricts the choice to workers of these groups; nil allows all.
 	Groups []int
-	// Only leaves out workers for which it is false; nil leaves out none.
+	// Only excludes the workers for which it returns false; nil excludes none.
 	Only func(id string) bool
-	// Fits leaves out workers by what is believed of them; nil leaves out none.
+	// Fits excludes workers by their estimated occupancy; nil excludes none.
 	Fits func(Occupancy) bool
-	// Limit leaves out workers that hold more than this share of their slots;
-	// 0 is no limit.
+	// Limit is the maximum utilization, including this request, as a fraction of a worker's
+	// slots; 0 means no limit.
 	Limit float64
-	// Zone that the request comes from; empty: the pool's.
+	// Zone is the origin of the request; empty means the pool's zone.
 	Zone string
 }
 
-// Choice is a worker with what its choice rested on.
+// Choice is a chosen worker with the estimates behind the choice.
 type Choice struct {
 	Worker Worker
-	// Unread is how many tokens of the prompt it is thought to have to read.
+	// Unread is the estimated number of prompt tokens that are not cached there.
 	Unread int
-	Load   float64       // requests there, with those of this process
-	Slots  int           // of the worker
-	Age    time.Duration // of the load's report; negative without one
-	// Pace that was expected of it; without a source where nothing is known of any
-	// worker of the service.
+	Load   float64       // requests there, including those of this process
+	Slots  int           // slots of the worker
+	Age    time.Duration // age of the load report; negative if there is none
+	// Pace is the expected pace. Its source is PaceUnknown if no worker of the service has a
+	// known pace.
 	Pace Pace
-	// Slowness is by how much work took longer there than its word and its peers let
-	// expect; 1 unless it is far beyond.
+	// Slowness is the observed service time relative to that expected from the worker's pace
+	// and its peers; 1 unless it exceeds a threshold.
 	Slowness float64
 }
 
-// What a cost is made of, in tokens of prompt.
+// Components of a worker's cost, in prompt tokens.
 const (
-	slotCost      = 1500.0 // a worker with all slots taken against an empty one
-	queueCost     = 6000.0 // and for each slot's worth beyond that, over the slots
+	slotCost      = 1500.0 // difference between a full and an empty worker
+	queueCost     = 6000.0 // per queued request, divided by the number of slots
 	otherZoneCost = 60.0
 	coldCost      = 3000.0
-	brokenCost    = 1500.0 // for each answer in a row that broke off
-	// sharedMinimum is the size from which a part that nobody here has sent yet
-	// is sent to the worker that every process agrees on.
-	sharedMinimum  = 400
-	agreedDiscount = 0.75
-	tieCost        = 40.0 // random, so that processes do not agree by chance
-	// workCost is what a request costs beside its prompt at the usual pace, so that an
-	// empty slow worker is not as good as an empty fast one: as much as all slots of a
-	// worker, taken. With it a fast worker is filled until the wait there outweighs an
-	// empty slow one.
-	workCost = 1500
-	// newConnectionCost is what a worker costs to which this process has kept no
-	// connection: about a millisecond until it is up, in which an engine reads as many
-	// tokens.
+	brokenCost    = 1500.0 // per consecutive interrupted answer
+	// minSharedTokens is the size above which a prompt part not yet cached is sent to its
+	// affinity worker, the same for every process.
+	minSharedTokens  = 400
+	affinityDiscount = 0.75
+	tieBreakCost     = 40.0 // random, to decorrelate processes
+	// requestCost is the cost of a request beyond its prompt at the usual pace. It keeps an
+	// empty slow worker from being as attractive as an empty fast one: a fast worker fills up
+	// until its queueing delay outweighs an empty slow worker.
+	requestCost = 1500
+	// newConnectionCost is the cost of a worker without an open connection: setup takes
+	// about a millisecond, the time in which an engine reads as many tokens.
 	newConnectionCost = 100.0
 )
 
-// connectionLife is for how long after a request a connection is thought to be kept.
-const connectionLife = 900 * time.Millisecond
+// connectionIdleTimeout is how long an idle connection is assumed to stay open.
+const connectionIdleTimeout = 900 * time.Millisecond
 
-// Choose gives the worker with the least cost: where workers tell their pace, with the
-// least expected time. False when none can take it.
+// Choose returns the worker with the least cost, or false if none can take the request.
+// Where workers report their pace, the cost is scaled to expected time.
 func (p *Pool) Choose(now time.Time, query Query, random *rand.Rand) (Choice, bool) {
-	p.see(now, query.Service)
+	p.markSeen(now, query.Service)
 	candidates := p.candidates(now, query, random)
 	if len(candidates) == 0 {
 		return Choice{}, false
 	}
-	usual, paced := p.usual(now, query.Service)
+	mean, paced := p.meanPace(now, query.Service)
 	if paced {
-		candidates = p.drawn(now, ramped(now, candidates, random), usual, query, random)
+		candidates = p.drawCandidates(now, applySlowStart(now, candidates, random), mean, query, random)
 	}
-	agreed := p.agreed(query, candidates, sharedMinimum)
+	affinity := p.affinityWorker(query, candidates, minSharedTokens)
 	zone := cmp.Or(query.Zone, p.settings.Zone)
-	many := p.Count(query.Service) > mostCompared // of few, connections to all are kept
-	best, least, typical := Choice{}, math.Inf(1), p.typicalOf(now, query.Service)
+	large := p.Count(query.Service) > maxCompared // in small fleets, connections to all workers stay open
+	best, lowest, baseline := Choice{}, math.Inf(1), p.baseline(now, query.Service)
 	for _, e := range candidates {
-		choice := p.consider(now, e, query)
+		choice := p.newChoice(now, e, query)
 		if paced {
-			choice.Pace = e.paceOf(now, usual)
+			choice.Pace = e.paceOf(now, mean)
 		}
-		choice.Slowness = p.slowness(now, e, typical)
-		cost := p.cost(e, choice, e == agreed, zone) + tieCost*random.Float64()
-		if many && now.Sub(e.usedAt) >= connectionLife {
+		choice.Slowness = p.slowness(now, e, baseline)
+		cost := p.cost(e, choice, e == affinity, zone) + tieBreakCost*random.Float64()
+		if large && now.Sub(e.lastUsed) >= connectionIdleTimeout {
 			cost += newConnectionCost
 		}
-		if cost < least {
-			best, least = choice, cost
+		if cost < lowest {
+			best, lowest = choice, cost
 		}
 	}
 	return best, true
 }
 
-// candidates are the workers that a choice compares: of a few all, of many a sample.
+// candidates returns the workers to compare: all of a small service, a sample of a large
+// one.
 func (p *Pool) candidates(now time.Time, query Query, random *rand.Rand) []*entry {
 	if query.Worker != "" {
-		return p.only(now, query)
+		return p.namedWorker(now, query)
 	}
-	lists := p.roster(query.Service).lists(query.Groups)
+	lists := p.index(query.Service).lists(query.Groups)
 	listed := 0
 	for _, list := range lists {
 		listed += len(list)
 	}
-	if listed > mostCompared {
-		if usable, _ := p.usable(now, query, p.sample(query, lists, listed, random)); len(usable) >= leastSampled {
+	if listed > maxCompared {
+		if usable, _ := p.classify(now, query, p.sample(query, lists, listed, random)); len(usable) >= minUsableSample {
 			return usable
 		}
 	}
-	var usable, doubtful []*entry
+	var usable, fallback []*entry
 	for _, list := range lists {
-		some, others := p.usable(now, query, list)
-		usable, doubtful = append(usable, some...), append(doubtful, others...)
+		listUsable, listFallback := p.classify(now, query, list)
+		usable, fallback = append(usable, listUsable...), append(fallback, listFallback...)
 	}
 	if len(usable) == 0 && query.Limit == 0 {
-		return doubtful
+		return fallback
 	}
 	return usable
 }
 
-// only is the one worker that a query names, if it may be chosen.
-func (p *Pool) only(now time.Time, query Query) []*entry {
+// namedWorker returns the worker named by the query, if it is eligible.
+func (p *Pool) namedWorker(now time.Time, query Query) []*entry {
 	e, ok := p.entries[query.Worker]
 	if !ok || e.Service != query.Service {
 		return nil
 	}
-	usable, doubtful := p.usable(now, query, []*entry{e})
-	return append(usable, doubtful...)
+	usable, fallback := p.classify(now, query, []*entry{e})
+	return append(usable, fallback...)
 }
 
-// usable divides workers into those that may be chosen and those that may where there is
-// no other.
-func (p *Pool) usable(now time.Time, query Query, list []*entry) (usable, doubtful []*entry) {
+// classify splits eligible workers into usable ones and fallbacks, which are used only if
+// no other is left. Ineligible workers are dropped.
+func (p *Pool) classify(now time.Time, query Query, list []*entry) (usable, fallback []*entry) {
 	for _, e := range list {
 		switch {
-		case !p.takes(e) || slices.Contains(query.Excluded, e.ID):
+		case !p.accepts(e) || slices.Contains(query.Excluded, e.ID):
 		case query.Only != nil && !query.Only(e.ID):
 		case query.Fits != nil && !query.Fits(p.occupancy(now, e)):
-		case query.Limit > 0 && p.loadOf(now, e)+1 > query.Limit*float64(e.slots):
-		case now.Before(e.downUntil) || now.Before(e.fullUntil) || e.outlier.out(now):
-			doubtful = append(doubtful, e)
-		case e.outlier.onTrial(now) && p.loadOf(now, e) >= 1:
-			doubtful = append(doubtful, e)
+		case query.Limit > 0 && p.estimateLoad(now, e)+1 > query.Limit*float64(e.slots):
+		case now.Before(e.downUntil) || now.Before(e.fullUntil) || e.outlier.ejected(now):
+			fallback = append(fallback, e)
+		case e.outlier.probing(now) && p.estimateLoad(now, e) >= 1:
+			fallback = append(fallback, e)
 		default:
 			usable = append(usable, e)
 		}
 	}
-	return usable, doubtful
+	return usable, fallback
 }
 
-func (p *Pool) consider(now time.Time, e *entry, query Query) Choice {
+func (p *Pool) newChoice(now time.Time, e *entry, query Query) Choice {
 	total := query.Tokens
 	if total == 0 {
 		for _, part := range query.Parts {
@@ -170,21 +169,21 @@
 		}
 	}
 	age := time.Duration(-1)
-	if !e.reported.IsZero() {
-		age = now.Sub(e.reported)
+	if !e.reportedAt.IsZero() {
+		age = now.Sub(e.reportedAt)
 	}
 	return Choice{
-		Worker: e.Worker, Unread: max(total-e.parts.cached(query.Parts), 0),
-		Load: p.loadOf(now, e), Slots: e.slots, Age: age,
+		Worker: e.Worker, Unread: max(total-e.parts.cachedTokens(query.Parts), 0),
+		Load: p.estimateLoad(now, e), Slots: e.slots, Age: age,
 	}
 }
 
-// ramped leaves out of a choice the workers that are not offered to it, unless these
-// are all.
-func ramped(now time.Time, candidates []*entry, random *rand.Rand) []*entry {
+// applySlowStart keeps each candidate with probability slowStartShare, or all of them
+// if none remains.
+func applySlowStart(now time.Time, candidates []*entry, random *rand.Rand) []*entry {
 	kept := make([]*entry, 0, len(candidates))
 	for _, e := range candidates {
-		if part := e.offered(now); part >= 1 || random.Float64() < part {
+		if share := e.slowStartShare(now); share >= 1 || random.Float64() < share {
 			kept = append(kept, e)
 		}
 	}
@@ -194,34 +193,33 @@
 	return kept
 }
 
-// drawn draws the workers that a choice compares, each with a chance after its speed.
-// Processes that all compared the same workers, on what they knew of a few requests
-// each, would all choose the same ones. The worker that they agree on for a large part,
-// and one that has read the most of this prompt, are among them where reading that takes
-// longer than the request's own work.
-func (p *Pool) drawn(now time.Time, candidates []*entry, usual float64, query Query, random *rand.Rand) []*entry {
+// drawCandidates samples Settings.Draw workers weighted by speed, so that processes that
+// share the same sparse observations do not converge on the same workers. The affinity worker
+// of a large prompt part and a worker with most of the prompt cached are always included if
+// reading that much would cost more than the request itself.
+func (p *Pool) drawCandidates(now time.Time, candidates []*entry, mean float64, query Query, random *rand.Rand) []*entry {
 	if p.settings.Draw == 0 || len(candidates) <= p.settings.Draw {
 		return candidates
 	}
-	upTo := make([]float64, len(candidates))
+	cumulative := make([]float64, len(candidates))
 	sum := 0.0
 	for i, e := range candidates {
-		slow := usual
+		pace := mean
 		if e.pace.known(now) {
-			slow = e.pace.slow
+			pace = e.pace.stable
 		}
-		sum += 1 / slow
-		upTo[i] = sum
+		sum += 1 / pace
+		cumulative[i] = sum
 	}
 	kept := make([]*entry, 0, p.settings.Draw+1)
-	if agreed := p.agreed(query, candidates, workCost); agreed != nil {
-		kept = append(kept, agreed)
+	if affinity := p.affinityWorker(query, candidates, requestCost); affinity != nil {
+		kept = append(kept, affinity)
 	}
-	if keeps := keeper(query.Parts, candidates, random); keeps != nil && !slices.Contains(kept, keeps) {
-		kept = append(kept, keeps)
+	if cached := mostCached(query.Parts, candidates, random); cached != nil && !slices.Contains(kept, cached) {
+		kept = append(kept, cached)
 	}
 	for range p.settings.Draw {
-		i, _ := slices.BinarySearch(upTo, sum*random.Float64())
+		i, _ := slices.BinarySearch(cumulative, sum*random.Float64())
 		if e := candidates[min(i, len(candidates)-1)]; !slices.Contains(kept, e) {
 			kept = append(kept, e)
 		}
@@ -229,18 +227,18 @@
 	return kept
 }
 
-// keeper is a worker that has read the most of a prompt, drawn among those alike; nil
-// where none has read more than a request's own work.
-func keeper(parts []Part, candidates []*entry, random *rand.Rand) *entry {
+// mostCached returns the worker with the longest cached prefix of a prompt, with ties
+// broken at random, or nil if none has more than requestCost tokens cached.
+func mostCached(parts []Part, candidates []*entry, random *rand.Rand) *entry {
 	var best *entry
-	most, alike := int(workCost), 0
+	most, ties := int(requestCost), 0
 	for _, e := range candidates {
-		read := e.parts.cached(parts)
+		read := e.parts.cachedTokens(parts)
 		switch {
 		case read > most:
-			best, most, alike = e, read, 1
+			best, most, ties = e, read, 1
 		case best != nil && read == most:
-			if alike++; random.IntN(alike) == 0 {
+			if ties++; random.IntN(ties) == 0 {
 				best = e
 			}
 		}
@@ -248,48 +246,49 @@
 	return best
 }
 
-// cost adds up what makes a worker a worse choice.
-func (p *Pool) cost(e *entry, choice Choice, agreed bool, zone string) float64 {
+// cost returns the cost of sending a request to a worker.
+func (p *Pool) cost(e *entry, choice Choice, affinity bool, zone string) float64 {
 	unread := float64(choice.Unread)
-	if agreed {
-		unread *= agreedDiscount
+	if affinity {
+		unread *= affinityDiscount
 	}
 	slots := float64(max(choice.Slots, 1))
-	cost := unread + float64(e.ownTokens) + slotCost*choice.Load/slots
+	cost := unread + float64(e.pendingTokens) + slotCost*choice.Load/slots
 	if over := choice.Load + 1 - slots; over > 0 {
 		cost += queueCost * over / slots
 	}
 	if choice.Pace.Source != PaceUnknown {
-		cost = atPace(cost, choice.Pace.Value)
+		cost = scaleCost(cost, choice.Pace.Value)
 	}
 	if choice.Slowness > 1 {
-		cost = atPace(cost, choice.Slowness)
+		cost = scaleCost(cost, choice.Slowness)
 	}
 	if e.Zone != zone {
 		cost += otherZoneCost
 	}
-	cost += brokenCost * float64(e.broken)
+	cost += brokenCost * float64(e.consecutiveBroken)
 	if e.ColdFor > 0 {
 		cost += coldCost
 	}
 	return cost
 }
 
-// atPace is what a request costs with its own work, at a pace; that of the usual pace
-// stays as it is.
-func atPace(cost, pace float64) float64 { return pace*(cost+workCost) - workCost }
+// scaleCost scales a cost, including requestCost, by a pace. A pace of 1 leaves it
+// unchanged.
+func scaleCost(cost, pace float64) float64 { return pace*(cost+requestCost) - requestCost }
 
-// agreed is the worker that every process that sees the same workers agrees on for the
-// longest shared part; nil where none is longer than a minimum.
-func (p *Pool) agreed(query Query, candidates []*entry, minimum int) *entry {
+// affinityWorker returns the worker that all processes with the same view agree on for
+// the longest shared prompt part, by rendezvous hashing in small services and a hash ring in
+// large ones. It returns nil if no part exceeds the minimum.
+func (p *Pool) affinityWorker(query Query, candidates []*entry, minimum int) *entry {
 	part := longestShared(query.Parts, minimum)
 	if part == "" {
 		return nil
 	}
-	if p.roster(query.Service).all.len() > mostCompared {
-		ringed := p.onRing(query.Service, part)
-		if slices.Contains(candidates, ringed) {
-			return ringed
+	if p.index(query.Service).all.len() > maxCompared {
+		owner := p.ringOwner(query.Service, part)
+		if slices.Contains(candidates, owner) {
+			return owner
 		}
 		return nil
 	}
@@ -303,8 +302,8 @@
 	return best
 }
 
-// longestShared is the longest part of a prompt but the last; empty where none is longer
-// than a minimum.
+// longestShared returns the longest part of a prompt except the last, or "" if none
+// exceeds the minimum.
 func longestShared(parts []Part, minimum int) string {
 	id, tokens := "", minimum
 	for _, part := range parts[:max(len(parts)-1, 0)] {
@@ -315,13 +314,13 @@
 	return id
 }
 
-// Sent notes that a request with these parts went to a worker.
+// Sent records that a request with these prompt parts was sent to a worker.
 func (p *Pool) Sent(id string, parts []Part) {
 	e, ok := p.entries[id]
 	if !ok {
 		return
 	}
-	p.roster(e.Service).used(e)
+	p.index(e.Service).markRecent(e)
 	if len(parts) == 0 {
 		return
 	}
--- a/worker/incarnation.go
+++ b/worker/incarnation.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// Incarnation is one start of a worker. A worker that starts again under its id holds and
-// knows nothing of before; what is believed of one incarnation says nothing of the next.
+// Incarnation identifies one run of a worker. A restarted worker keeps its ID but neither
+// its requests nor its cache, so state recorded for one incarnation does not apply to the
+// next.
 type Incarnation struct {
 	ID   string
-	Born time.Time // when it started, by its own clock; zero where it does not tell
+	Born time.Time // start time by the worker's own clock; zero if unknown
 }
 
-// Incarnation tells which start of the worker this is.
+// Incarnation returns the incarnation of the worker.
 func (w Worker) Incarnation() Incarnation { return Incarnation{ID: w.ID, Born: w.Born} }
 
-// Before tells whether this is an earlier start of the same worker than other. Of two of
-// which one does not tell its start nothing is known.
+// Before reports whether i is an earlier incarnation of the same worker than other. It is
+// false if either start time is unknown.
 func (i Incarnation) Before(other Incarnation) bool {
 	return i.ID == other.ID && !i.Born.IsZero() && !other.Born.IsZero() && i.Born.Before(other.Born)
 }
 
-// Succeeds tells whether what is believed of other is over once this one is known: it is a
-// later start, or the first that tells its start at all.
+// Succeeds reports whether i replaces other, so that state kept for other is obsolete: i
+// started later, or is the first incarnation with a known start time.
 func (i Incarnation) Succeeds(other Incarnation) bool {
 	return i.ID == other.ID && i.Born.After(other.Born)
 }
 
-// String is the id alone where the start is not told, so that it reads as before.
+// String returns the ID, followed by "@" and the start time in Unix milliseconds if known.
 func (i Incarnation) String() string {
 	if i.Born.IsZero() {
 		return i.ID
--- a/worker/incarnation_test.go
+++ b/worker/incarnation_test.go
@@ -5,24 +5,23 @@
 	"time"
 )
 
-// A worker crashed and started again under its id and address; what was believed of the
-// start before (kept parts, requests in hand, failures, its load) was believed of the new
-// one, since nothing told the two apart.
-func TestALaterStartBeginsWithNothing(t *testing.T) {
-	first, second := start, start.Add(time.Minute)
+// Guards against applying cache, load and failure state of a crashed worker to its next
+// incarnation.
+func TestLaterIncarnationResetsState(t *testing.T) {
+	first, second := testStart, testStart.Add(time.Minute)
 	parts := []Part{{ID: "p", Tokens: 500}}
 	tests := []struct {
 		name    string
 		listed  time.Time
 		next    time.Time
 		forgets bool
-		born    time.Time // that is listed in the end
+		born    time.Time // start time listed in the end
 	}{
-		{"the same start", first, first, false, first},
-		{"a later start", first, second, true, second},
-		{"an earlier start's late word", second, first, false, second},
-		{"an entry that tells none", first, time.Time{}, false, first},
-		{"the first that tells", time.Time{}, first, true, first},
+		{"same incarnation", first, first, false, first},
+		{"later incarnation", first, second, true, second},
+		{"delayed entry of an earlier incarnation", second, first, false, second},
+		{"entry without a start time", first, time.Time{}, false, first},
+		{"first entry with a start time", time.Time{}, first, true, first},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -31,22 +30,22 @@
 			p.Put(Worker{ID: "w", Service: "s", Slots: 4, Born: test.listed})
 			p.Begin("w", 300)
 			p.Sent("w", parts)
-			p.Report(start, "w", Load{Running: 4, Slots: 4})
-			p.Refused(start, "w")
+			p.Report(testStart, "w", Load{Running: 4, Slots: 4})
+			p.Refused(testStart, "w")
 			p.Put(Worker{ID: "w", Service: "s", Slots: 4, Born: test.next})
 			e := p.entries["w"]
-			forgotten := e.own == 0 && e.ownTokens == 0 && e.others == 0 && e.failures == 0 && e.downUntil.IsZero() && e.parts.cached(parts) == 0
+			forgotten := e.inFlight == 0 && e.pendingTokens == 0 && e.otherInFlight == 0 && e.failures == 0 && e.downUntil.IsZero() && e.parts.cachedTokens(parts) == 0
 			if forgotten != test.forgets {
-				t.Errorf("forgotten: %t, %+v", forgotten, e)
+				t.Errorf("state reset: %t, %+v", forgotten, e)
 			}
 			if current, ok := p.Current("w"); !ok || !current.Born.Equal(test.born) {
-				t.Errorf("born %v, want %v", current.Born, test.born)
+				t.Errorf("start time %v, want %v", current.Born, test.born)
 			}
 		})
 	}
 }
 
-func TestAnIncarnationIsNamed(t *testing.T) {
+func TestIncarnationString(t *testing.T) {
 	if got := (Incarnation{ID: "w"}).String(); got != "w" {
 		t.Error(got)
 	}
--- a/worker/observed.go
+++ b/worker/observed.go
@@ -5,111 +5,112 @@
 	"time"
 )
 
-// What an observed time is judged by.
+// Parameters of the detection of slow workers.
 const (
-	// stepLife is how long the observed steps of a worker are believed without a newer
-	// one; a worker that is avoided for them is then tried again.
-	stepLife = 10 * time.Second
-	// leastSteps streams are needed of a worker, and leastStepPeers workers of a service
-	// with as many, before it is compared with them.
-	leastSteps     = 6
-	leastStepPeers = 3
-	// beyondWord is from which multiple of what its peers' times and its own word let
-	// expect a worker is taken for slow: moments of others on its machine, and
-	// differences between requests, stay below it in the mean of some streams.
-	beyondWord = 2.0
-	// typicalInterval is how long what is typical of a service's workers is kept, once it
-	// is known.
-	typicalInterval = 200 * time.Millisecond
+	// intervalTTL is how long observed event intervals stay valid without a new one. A worker
+	// avoided because of them is then tried again.
+	intervalTTL = 10 * time.Second
+	// minIntervalSamples is the number of streams required per worker, and minIntervalPeers
+	// the number of workers with as many, before workers are compared.
+	minIntervalSamples = 6
+	minIntervalPeers   = 3
+	// slownessThreshold is the ratio of observed to expected interval from which a worker
+	// counts as slow. Short interference and differences between requests stay below it when
+	// averaged over several streams.
+	slownessThreshold = 2.0
+	// baselineInterval is how long a computed baseline is reused.
+	baselineInterval = 200 * time.Millisecond
 )
 
-// steps is the mean time between two events of streams from one worker, as they were
-// observed. The zero value has none.
-type steps struct {
-	mean    float64 // seconds
+// intervalMean is the moving average of the time between two stream events of a worker.
+// The zero value has no samples.
+type intervalMean struct {
+	mean    float64 // in seconds
 	samples int
 	at      time.Time
 }
 
-func (s steps) known(now time.Time) bool { return s.samples >= leastSteps && now.Sub(s.at) < stepLife }
+func (s intervalMean) known(now time.Time) bool {
+	return s.samples >= minIntervalSamples && now.Sub(s.at) < intervalTTL
+}
 
-// typical is the middle of a service's workers' observed steps, each over the pace that
-// the worker tells.
-type typical struct {
-	at    time.Time
-	step  float64 // seconds at the usual pace; 0: too few are known
-	slows bool    // a worker is far beyond it
+// intervalBaseline is the lower median of the pace-normalized event intervals of a
+// service's workers.
+type intervalBaseline struct {
+	at         time.Time
+	interval   float64 // seconds at the usual pace; 0 if too few workers are known
+	hasOutlier bool    // at least one worker exceeds slownessThreshold
 }
 
-// ObserveStep takes the mean time between two events of a stream that a worker gave.
+// ObserveStep records the mean time between two events of a stream from a worker.
+// Non-positive values are ignored.
 func (p *Pool) ObserveStep(at time.Time, id string, step time.Duration) {
 	e, ok := p.entries[id]
 	if !ok || step <= 0 {
 		return
 	}
-	s := &e.steps
+	s := &e.eventInterval
 	if s.at.IsZero() {
-		r := p.roster(e.Service)
-		r.timed = append(r.timed, e)
+		r := p.index(e.Service)
+		r.withInterval = append(r.withInterval, e)
 	}
-	if s.samples > 0 && at.Sub(s.at) >= stepLife {
-		*s = steps{}
+	if s.samples > 0 && at.Sub(s.at) >= intervalTTL {
+		*s = intervalMean{}
 	}
-	s.samples = min(s.samples+1, paceSamples)
+	s.samples = min(s.samples+1, maxPaceSamples)
 	s.mean += (step.Seconds() - s.mean) / float64(s.samples)
 	if s.at.IsZero() || at.After(s.at) {
 		s.at = at
 	}
 }
 
-// stepOf is a worker's observed step at the usual pace: without what its word explains.
-func (e *entry) stepOf(now time.Time) float64 {
+// normalizedInterval returns the worker's event interval divided by its pace, if known.
+func (e *entry) normalizedInterval(now time.Time) float64 {
 	if e.pace.known(now) {
-		return e.steps.mean / e.pace.slow
+		return e.eventInterval.mean / e.pace.stable
 	}
-	return e.steps.mean
+	return e.eventInterval.mean
 }
 
-// typicalOf brings up to date what is typical of a service.
-func (p *Pool) typicalOf(now time.Time, service string) typical {
-	kept, ok := p.typical[service]
-	if passed := now.Sub(kept.at); ok && kept.step > 0 && passed >= 0 && passed < typicalInterval {
+// baseline returns the baseline of a service, recomputed if it has expired.
+func (p *Pool) baseline(now time.Time, service string) intervalBaseline {
+	kept, ok := p.baselines[service]
+	if elapsed := now.Sub(kept.at); ok && kept.interval > 0 && elapsed >= 0 && elapsed < baselineInterval {
 		return kept
 	}
 	var list []float64
-	for _, e := range p.roster(service).timed {
-		if e.steps.known(now) {
-			list = append(list, e.stepOf(now))
+	for _, e := range p.index(service).withInterval {
+		if e.eventInterval.known(now) {
+			list = append(list, e.normalizedInterval(now))
 		}
 	}
-	kept = typical{at: now}
-	if len(list) >= leastStepPeers {
+	kept = intervalBaseline{at: now}
+	if len(list) >= minIntervalPeers {
 		slices.Sort(list)
-		kept.step = list[(len(list)-1)/2]
-		kept.slows = list[len(list)-1] >= beyondWord*kept.step
+		kept.interval = list[(len(list)-1)/2]
+		kept.hasOutlier = list[len(list)-1] >= slownessThreshold*kept.interval
 	}
-	p.typical[service] = kept
+	p.baselines[service] = kept
 	return kept
 }
 
-// slowness is how many times as long as expected work takes at a worker, by observation;
-// 1 unless it is far beyond.
-func (p *Pool) slowness(now time.Time, e *entry, of typical) float64 {
-	if !of.slows || !e.steps.known(now) {
+// slowness implements Slowness for a known baseline.
+func (p *Pool) slowness(now time.Time, e *entry, baseline intervalBaseline) float64 {
+	if !baseline.hasOutlier || !e.eventInterval.known(now) {
 		return 1
 	}
-	if beyond := e.stepOf(now) / of.step; beyond >= beyondWord {
-		return min(beyond, mostPace)
+	if ratio := e.normalizedInterval(now) / baseline.interval; ratio >= slownessThreshold {
+		return min(ratio, maxPace)
 	}
 	return 1
 }
 
-// Slowness is how many times as long as its peers' times and its own word let expect work
-// takes at a worker, as streams from it were observed; 1 unless it is far beyond.
+// Slowness returns the ratio of a worker's observed event interval to the one expected
+// from its pace and its peers, or 1 if that is below the threshold.
 func (p *Pool) Slowness(now time.Time, id string) float64 {
 	e, ok := p.entries[id]
 	if !ok {
 		return 1
 	}
-	return p.slowness(now, e, p.typicalOf(now, e.Service))
+	return p.slowness(now, e, p.baseline(now, e.Service))
 }
--- a/worker/outlier.go
+++ b/worker/outlier.go
@@ -5,130 +5,131 @@
 	"time"
 )
 
-// What an outlier is judged by.
+// Parameters of outlier ejection.
 const (
-	// outcomeMemory is over how long outcomes count: many requests' time, and short
-	// enough that a worker is judged by how it is now.
-	outcomeMemory = 3 * time.Second
-	// leastBroken outcomes are evidence; fewer happen to a worker whose connections were
-	// reset once.
-	leastBroken = 2.5
-	// leastBrokenShare of a worker's outcomes, and brokenTimes as large a share as its
-	// peers' together: what breaks everywhere is no fault of one worker.
-	leastBrokenShare = 0.3
-	brokenTimes      = 3.0
-	// mostOut of a service's workers of which this process hears are left out at once, as
-	// one part of so many: the others have to bear their load. Of fewer than leastPeers
-	// none is.
-	mostOut    = 4
-	leastPeers = 3
-	// leastHeard outcomes lately: this process hears of a worker.
-	leastHeard = 0.1
-	// firstOut is how long an outlier is left out before its trial; each trial in vain
-	// doubles it up to lastOut.
-	firstOut = time.Second
-	lastOut  = 8 * time.Second
+	// outcomeDecay is the time constant with which outcomes are forgotten.
+	outcomeDecay = 3 * time.Second
+	// minFailures is the decayed number of failures required to eject a worker; a single
+	// connection reset causes fewer.
+	minFailures = 2.5
+	// minFailureRate is the failure rate required to eject a worker, and peerFailureFactor the
+	// required ratio to its peers' rate: failures common to all workers are no worker's fault.
+	minFailureRate    = 0.3
+	peerFailureFactor = 3.0
+	// ejectionDivisor limits concurrent ejections to the number of known workers of a service
+	// divided by it, but allows one. No worker is ejected where fewer than minPeers are known.
+	ejectionDivisor = 4
+	minPeers        = 3
+	// minOutcomes is the decayed number of outcomes from which a worker counts as known.
+	minOutcomes = 0.1
+	// minEjectionTime is the duration of the first ejection. Each failed probe doubles it, up
+	// to maxEjectionTime.
+	minEjectionTime = time.Second
+	maxEjectionTime = 8 * time.Second
 )
 
-// Outcomes are how requests ended at a worker since they were told last.
+// Outcomes counts how requests to a worker ended since the last report.
 type Outcomes struct {
 	Whole  int `json:"whole,omitempty"`  // answered
-	Broken int `json:"broken,omitempty"` // failed, broke off, no connection, or no answer in its time
+	Broken int `json:"broken,omitempty"` // failed, interrupted, not connected or timed out
 }
 
-// outlier is what is believed of a worker by its outcomes. The zero value is of a worker
-// of which nothing is known.
+// outlier is the ejection state of a worker. The zero value has no outcomes.
 type outlier struct {
-	whole, broken float64 // within outcomeMemory
-	at            time.Time
-	outUntil      time.Time
-	pause         time.Duration // of the last time it was left out; 0: it is in
+	succeeded, failed float64 // decayed by outcomeDecay
+	updatedAt         time.Time
+	ejectedUntil      time.Time
+	ejectionTime      time.Duration // duration of the last ejection; 0 if not ejected
 }
 
-// share of the outcomes that are broken.
-func (o outlier) share() float64 { return o.broken / max(o.whole+o.broken, 1) }
+// failureRate is the fraction of failed outcomes.
+func (o outlier) failureRate() float64 { return o.failed / max(o.succeeded+o.failed, 1) }
 
 func (o *outlier) decay(now time.Time) {
-	if passed := now.Sub(o.at); passed > 0 {
-		kept := math.Exp(-float64(passed) / float64(outcomeMemory))
-		o.whole, o.broken, o.at = o.whole*kept, o.broken*kept, now
+	if elapsed := now.Sub(o.updatedAt); elapsed > 0 {
+		kept := math.Exp(-float64(elapsed) / float64(outcomeDecay))
+		o.succeeded, o.failed, o.updatedAt = o.succeeded*kept, o.failed*kept, now
 	}
 }
 
-// out: it gets nothing.
-func (o outlier) out(now time.Time) bool { return o.pause > 0 && now.Before(o.outUntil) }
+// ejected reports whether the worker is excluded.
+func (o outlier) ejected(now time.Time) bool { return o.ejectionTime > 0 && now.Before(o.ejectedUntil) }
 
-// onTrial: it gets one request at a time until one is answered.
-func (o outlier) onTrial(now time.Time) bool { return o.pause > 0 && !now.Before(o.outUntil) }
+// probing reports whether the ejection has expired and no request has succeeded since. A
+// probing worker gets one request at a time.
+func (o outlier) probing(now time.Time) bool {
+	return o.ejectionTime > 0 && !now.Before(o.ejectedUntil)
+}
 
-func (o *outlier) leave(now time.Time) {
-	o.pause = min(max(2*o.pause, firstOut), lastOut)
-	o.outUntil = now.Add(o.pause)
+func (o *outlier) eject(now time.Time) {
+	o.ejectionTime = min(max(2*o.ejectionTime, minEjectionTime), maxEjectionTime)
+	o.ejectedUntil = now.Add(o.ejectionTime)
 }
 
-// Judgement is a change of what is believed of a worker by its outcomes.
+// Judgement is the ejection or reinstatement of a worker.
 type Judgement struct {
-	Out           bool // it is left out for Pause; else it is back
+	Out           bool // ejected for Pause; false if reinstated
 	Pause         time.Duration
-	Whole, Broken float64 // that it rests on
-	Peers         float64 // share of its peers' outcomes that are broken
+	Whole, Broken float64 // decayed outcomes of the worker
+	Peers         float64 // failure rate of its peers
 }
 
-// TakeOutcomes takes how requests ended at a worker, and leaves it out if it is an
-// outlier of its service. True with a change of what is believed.
+// TakeOutcomes records how requests to a worker ended and ejects it if it is an outlier
+// of its service. It returns true if the worker was ejected or reinstated.
 func (p *Pool) TakeOutcomes(now time.Time, id string, outcomes Outcomes) (Judgement, bool) {
 	e, ok := p.entries[id]
 	if !ok || outcomes.Whole < 0 || outcomes.Broken < 0 {
 		return Judgement{}, false
 	}
 	o := &e.outlier
-	if o.at.IsZero() {
-		r := p.roster(e.Service)
-		r.judged = append(r.judged, e)
+	if o.updatedAt.IsZero() {
+		r := p.index(e.Service)
+		r.withOutcomes = append(r.withOutcomes, e)
 	}
 	o.decay(now)
-	o.whole += float64(outcomes.Whole)
-	o.broken += float64(outcomes.Broken)
-	judgement := Judgement{Whole: o.whole, Broken: o.broken}
+	o.succeeded += float64(outcomes.Whole)
+	o.failed += float64(outcomes.Broken)
+	judgement := Judgement{Whole: o.succeeded, Broken: o.failed}
 	switch {
-	case o.out(now): // of requests that were there before
+	case o.ejected(now): // outcomes of requests sent before the ejection
 		return Judgement{}, false
-	case o.onTrial(now) && outcomes.Broken > 0:
-		o.leave(now)
-	case o.onTrial(now) && outcomes.Whole > 0:
-		*o = outlier{at: now}
+	case o.probing(now) && outcomes.Broken > 0:
+		o.eject(now)
+	case o.probing(now) && outcomes.Whole > 0:
+		*o = outlier{updatedAt: now}
 		return judgement, true
-	case o.pause > 0 || o.broken < leastBroken || o.share() < leastBrokenShare:
+	case o.ejectionTime > 0 || o.failed < minFailures || o.failureRate() < minFailureRate:
 		return Judgement{}, false
 	default:
-		var room bool
-		if judgement.Peers, room = p.peersOf(now, e); !room || o.share() < brokenTimes*judgement.Peers {
+		var allowed bool
+		if judgement.Peers, allowed = p.peerFailureRate(now, e); !allowed || o.failureRate() < peerFailureFactor*judgement.Peers {
 			return Judgement{}, false
 		}
-		o.leave(now)
+		o.eject(now)
 	}
-	judgement.Out, judgement.Pause = true, o.pause
+	judgement.Out, judgement.Pause = true, o.ejectionTime
 	return judgement, true
 }
 
-// peersOf is which share of the outcomes of a worker's peers is broken, and whether it may
-// be left out: others are left, and as much is known of them as is held against it. While
-// all fail, the one whose failures are told first is no outlier.
-func (p *Pool) peersOf(now time.Time, of *entry) (share float64, room bool) {
-	peers, out, known := outlier{}, 0, 0
-	for _, e := range p.roster(of.Service).judged {
+// peerFailureRate returns the failure rate of the other workers of the service, and
+// whether this one may be ejected: the limit on ejections is not reached, and the peers have
+// at least as many outcomes as it has failures. Otherwise the first worker to report a
+// service-wide failure would be ejected.
+func (p *Pool) peerFailureRate(now time.Time, of *entry) (rate float64, allowed bool) {
+	peers, ejected, known := outlier{}, 0, 0
+	for _, e := range p.index(of.Service).withOutcomes {
 		e.outlier.decay(now)
-		if e.outlier.pause > 0 {
-			out++
+		if e.outlier.ejectionTime > 0 {
+			ejected++
 		}
-		if e.outlier.pause > 0 || e.outlier.whole+e.outlier.broken >= leastHeard {
+		if e.outlier.ejectionTime > 0 || e.outlier.succeeded+e.outlier.failed >= minOutcomes {
 			known++
 		}
-		if e == of || e.outlier.pause > 0 {
+		if e == of || e.outlier.ejectionTime > 0 {
 			continue
 		}
-		peers.whole += e.outlier.whole
-		peers.broken += e.outlier.broken
+		peers.succeeded += e.outlier.succeeded
+		peers.failed += e.outlier.failed
 	}
-	return peers.share(), known >= leastPeers && out < max(known/mostOut, 1) && peers.whole+peers.broken >= of.outlier.broken
+	return peers.failureRate(), known >= minPeers && ejected < max(known/ejectionDivisor, 1) && peers.succeeded+peers.failed >= of.outlier.failed
 }
--- a/worker/outlier_test.go
+++ b/worker/outlier_test.go
@@ -8,146 +8,146 @@
 	"pgregory.net/rapid"
 )
 
-// toldOutcomes is what is told of one worker at one moment.
-type toldOutcomes struct {
+// outcomeReport is a report of outcomes of one worker.
+type outcomeReport struct {
 	at            time.Duration
 	id            string
 	whole, broken int
 }
 
-func TestAnOutlierIsLeftOut(t *testing.T) {
+func TestOutlierEjection(t *testing.T) {
 	const s = time.Second
-	peers := func(whole, broken int) (list []toldOutcomes) {
+	peers := func(whole, broken int) (list []outcomeReport) {
 		for i := 1; i < 8; i++ {
-			list = append(list, toldOutcomes{0, fmt.Sprint("w", i), whole, broken})
+			list = append(list, outcomeReport{0, fmt.Sprint("w", i), whole, broken})
 		}
 		return list
 	}
 	tests := []struct {
-		name string
-		told []toldOutcomes
-		at   time.Duration
-		out  bool
+		name    string
+		reports []outcomeReport
+		at      time.Duration
+		ejected bool
 	}{
-		{"nothing told", nil, 0, false},
-		{"it resets all", append(peers(5, 0), toldOutcomes{0, "w0", 0, 3}), 0, true},
-		{"it fails a part", append(peers(5, 0), toldOutcomes{0, "w0", 4, 3}), 0, true},
-		{"it fails a small part", append(peers(5, 0), toldOutcomes{0, "w0", 20, 3}), 0, false},
-		{"one reset", append(peers(5, 0), toldOutcomes{0, "w0", 0, 1}), 0, false},
-		{"all fail alike", append(peers(3, 3), toldOutcomes{0, "w0", 3, 4}), 0, false},
-		{"failures long ago", append(peers(5, 0), toldOutcomes{0, "w0", 0, 2}, toldOutcomes{9 * s, "w0", 0, 1}), 9 * s, false},
-		{"words of no sense", append(peers(5, 0), toldOutcomes{0, "w0", -9, 4}), 0, false},
-		{"its time is over", append(peers(5, 0), toldOutcomes{0, "w0", 0, 3}), firstOut, false},
-		{"its trial fails", append(peers(5, 0), toldOutcomes{0, "w0", 0, 3}, toldOutcomes{firstOut, "w0", 0, 1}), 2 * firstOut, true},
-		{"its trial is answered", append(peers(5, 0), toldOutcomes{0, "w0", 0, 3}, toldOutcomes{firstOut, "w0", 1, 0}), firstOut, false},
-		{"what was there before is no trial", append(peers(5, 0), toldOutcomes{0, "w0", 0, 3}, toldOutcomes{firstOut / 2, "w0", 1, 0}), firstOut - 1, true},
+		{"no outcomes", nil, 0, false},
+		{"all requests fail", append(peers(5, 0), outcomeReport{0, "w0", 0, 3}), 0, true},
+		{"failure rate above the threshold", append(peers(5, 0), outcomeReport{0, "w0", 4, 3}), 0, true},
+		{"failure rate below the threshold", append(peers(5, 0), outcomeReport{0, "w0", 20, 3}), 0, false},
+		{"single failure", append(peers(5, 0), outcomeReport{0, "w0", 0, 1}), 0, false},
+		{"peers fail as often", append(peers(3, 3), outcomeReport{0, "w0", 3, 4}), 0, false},
+		{"expired failures", append(peers(5, 0), outcomeReport{0, "w0", 0, 2}, outcomeReport{9 * s, "w0", 0, 1}), 9 * s, false},
+		{"negative count", append(peers(5, 0), outcomeReport{0, "w0", -9, 4}), 0, false},
+		{"ejection expired", append(peers(5, 0), outcomeReport{0, "w0", 0, 3}), minEjectionTime, false},
+		{"probe failed", append(peers(5, 0), outcomeReport{0, "w0", 0, 3}, outcomeReport{minEjectionTime, "w0", 0, 1}), 2 * minEjectionTime, true},
+		{"probe succeeded", append(peers(5, 0), outcomeReport{0, "w0", 0, 3}, outcomeReport{minEjectionTime, "w0", 1, 0}), minEjectionTime, false},
+		{"success of a request sent before the ejection", append(peers(5, 0), outcomeReport{0, "w0", 0, 3}, outcomeReport{minEjectionTime / 2, "w0", 1, 0}), minEjectionTime - 1, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			p := testPool(8)
-			for _, told := range test.told {
-				p.TakeOutcomes(start.Add(told.at), told.id, Outcomes{Whole: told.whole, Broken: told.broken})
+			for _, report := range test.reports {
+				p.TakeOutcomes(testStart.Add(report.at), report.id, Outcomes{Whole: report.whole, Broken: report.broken})
 			}
-			now := start.Add(test.at)
-			if got := p.Occupancies(now, "s")[0].Usable; got == test.out {
+			now := testStart.Add(test.at)
+			if got := p.Occupancies(now, "s")[0].Usable; got == test.ejected {
 				t.Errorf("usable %t", got)
 			}
 			chosen := false
 			for range 50 {
-				choice, _ := p.Choose(now, Query{Service: "s"}, random())
+				choice, _ := p.Choose(now, Query{Service: "s"}, newRand())
 				p.Begin(choice.Worker.ID, 0)
 				chosen = chosen || choice.Worker.ID == "w0"
 			}
-			if chosen == test.out {
+			if chosen == test.ejected {
 				t.Errorf("chosen %t", chosen)
 			}
 		})
 	}
 }
 
-// A process hears of the workers that it fills, not of all: its bound is a part of those.
-func TestTheBoundIsOfThoseHeardOf(t *testing.T) {
+// The limit on ejections counts only workers with outcomes, not the whole fleet.
+func TestEjectionLimitCountsKnownWorkers(t *testing.T) {
 	p := testPool(40)
 	for i := range 8 {
-		p.TakeOutcomes(start, fmt.Sprint("w", i), Outcomes{Whole: 30})
+		p.TakeOutcomes(testStart, fmt.Sprint("w", i), Outcomes{Whole: 30})
 	}
 	for n := range 6 {
-		p.TakeOutcomes(start, fmt.Sprint("w", n), Outcomes{Broken: 90})
+		p.TakeOutcomes(testStart, fmt.Sprint("w", n), Outcomes{Broken: 90})
 	}
 	out := 0
-	for _, each := range p.Occupancies(start, "s") {
+	for _, each := range p.Occupancies(testStart, "s") {
 		if !each.Usable {
 			out++
 		}
 	}
 	if out != 2 {
-		t.Errorf("%d of 8 are left out", out)
+		t.Errorf("%d of 8 workers ejected", out)
 	}
 }
 
-func TestWhereAllFailNoneIsLeftOut(t *testing.T) {
+func TestNoEjectionIfAllFail(t *testing.T) {
 	p := testPool(8)
 	for n := range 20 {
 		for i := range 8 {
-			p.TakeOutcomes(start.Add(time.Duration(n)*100*time.Millisecond), fmt.Sprint("w", i), Outcomes{Whole: 1, Broken: 2})
+			p.TakeOutcomes(testStart.Add(time.Duration(n)*100*time.Millisecond), fmt.Sprint("w", i), Outcomes{Whole: 1, Broken: 2})
 		}
 	}
-	for _, each := range p.Occupancies(start.Add(2*time.Second), "s") {
+	for _, each := range p.Occupancies(testStart.Add(2*time.Second), "s") {
 		if !each.Usable {
-			t.Errorf("%s is left out", each.ID)
+			t.Errorf("%s ejected", each.ID)
 		}
 	}
 }
 
-func TestATrialIsOneRequest(t *testing.T) {
+func TestProbingWorkerGetsOneRequest(t *testing.T) {
 	p := testPool(4)
-	p.TakeOutcomes(start, "w1", Outcomes{Whole: 5})
-	p.TakeOutcomes(start, "w2", Outcomes{Whole: 5})
-	p.TakeOutcomes(start, "w0", Outcomes{Broken: 3})
-	now := start.Add(firstOut)
+	p.TakeOutcomes(testStart, "w1", Outcomes{Whole: 5})
+	p.TakeOutcomes(testStart, "w2", Outcomes{Whole: 5})
+	p.TakeOutcomes(testStart, "w0", Outcomes{Broken: 3})
+	now := testStart.Add(minEjectionTime)
 	n := 0
 	for range 40 {
-		choice, _ := p.Choose(now, Query{Service: "s"}, random())
+		choice, _ := p.Choose(now, Query{Service: "s"}, newRand())
 		p.Begin(choice.Worker.ID, 0)
 		if choice.Worker.ID == "w0" {
 			n++
 		}
 	}
 	if n != 1 {
-		t.Errorf("%d requests went there before one was answered", n)
+		t.Errorf("%d requests sent to a probing worker", n)
 	}
 	if slots := p.Occupancies(now, "s")[0].Slots; slots != 1 {
-		t.Errorf("%d slots are offered", slots)
+		t.Errorf("%d slots offered while probing", slots)
 	}
 	p.Begin("w0", 0)
 	p.Begin("w0", 0)
 	if slots := p.Occupancies(now, "s")[0].Slots; slots != 3 {
-		t.Errorf("%d slots beside 3 requests that run there", slots)
+		t.Errorf("%d slots offered while probing with 3 requests in flight", slots)
 	}
 	if judgement, changed := p.TakeOutcomes(now, "w0", Outcomes{Whole: 1}); !changed || judgement.Out {
-		t.Errorf("%+v %t after its answer", judgement, changed)
+		t.Errorf("%+v, changed %t after a successful probe", judgement, changed)
 	}
 	if slots := p.Occupancies(now, "s")[0].Slots; slots != 10 {
-		t.Errorf("%d slots when it is back", slots)
+		t.Errorf("%d slots after reinstatement", slots)
 	}
 }
 
-func TestTheLastOneIsOfferedAlsoWhenLeftOut(t *testing.T) {
+func TestEjectedWorkerIsChosenAsLastResort(t *testing.T) {
 	p := testPool(4)
-	p.TakeOutcomes(start, "w1", Outcomes{Whole: 5})
-	p.TakeOutcomes(start, "w2", Outcomes{Whole: 5})
-	p.TakeOutcomes(start, "w0", Outcomes{Broken: 3})
-	if got := choose(t, p, start, Query{Excluded: []string{"w1", "w2", "w3"}}); got != "w0" {
+	p.TakeOutcomes(testStart, "w1", Outcomes{Whole: 5})
+	p.TakeOutcomes(testStart, "w2", Outcomes{Whole: 5})
+	p.TakeOutcomes(testStart, "w0", Outcomes{Broken: 3})
+	if got := choose(t, p, testStart, Query{Excluded: []string{"w1", "w2", "w3"}}); got != "w0" {
 		t.Errorf("chose %q", got)
 	}
 }
 
-// Whatever is told, at most a part of a service is left out.
-func TestNeverTooManyAreLeftOut(t *testing.T) {
+// The number of ejected workers is bounded for any sequence of outcomes.
+func TestEjectionsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "workers")
 		p := testPool(n)
-		now := start
+		now := testStart
 		for range rapid.IntRange(1, 100).Draw(t, "words") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "later")) * time.Millisecond)
 			p.TakeOutcomes(now, fmt.Sprint("w", rapid.IntRange(0, n).Draw(t, "worker")), Outcomes{
@@ -159,8 +159,8 @@
 					out++
 				}
 			}
-			if n < leastPeers && out > 0 || out > max(n/mostOut, 1) {
-				t.Fatalf("%d of %d are left out", out, n)
+			if n < minPeers && out > 0 || out > max(n/ejectionDivisor, 1) {
+				t.Fatalf("%d of %d workers ejected", out, n)
 			}
 		}
 	})
--- a/worker/pace.go
+++ b/worker/pace.go
@@ -6,134 +6,130 @@
 	"time"
 )
 
-// What a pace is believed by.
+// Parameters of pace estimation.
 const (
-	// paceMemory is over how long the part of a pace that is its machine's is averaged:
-	// many of the moments in which others press on that machine, which last well under a
-	// second.
-	paceMemory = 3 * time.Second
-	// paceSamples bound how little a word weighs in the average; before that many each
-	// weighs the same.
-	paceSamples = 16
-	// paceMoment is in what time the difference between the last word and the average is
-	// believed a third as much: a moment lasts some tenths of a second, and its middle
-	// is met on average.
-	paceMoment = 250 * time.Millisecond
-	// paceLife is how long the average is believed without a word: a machine keeps its
-	// speed, and a worker that is asked rarely is heard of rarely.
-	paceLife = 30 * time.Second
-	// A pace beyond these bounds is taken for the bound: no word may draw all requests to
-	// a worker, or keep all from it.
-	leastPace, mostPace = 0.2, 8.0
-	// rampTime is how long a worker that joined others is offered to only a part of the
-	// choices while nothing was heard of it, and rampLeast the part at its beginning. A
-	// request takes around a second: then its answer tells how it stands there.
-	rampTime  = 2 * time.Second
-	rampLeast = 1.0 / 16
+	// paceDecay is the time constant of the stable average. It spans many bursts of
+	// interference on a shared machine, which last well under a second.
+	paceDecay = 3 * time.Second
+	// maxPaceSamples limits the sample count of the average. Until it is reached, all samples
+	// have equal weight.
+	maxPaceSamples = 16
+	// transientDecay is the time constant with which the deviation of the last report from
+	// the average is discounted.
+	transientDecay = 250 * time.Millisecond
+	// paceTTL is how long an average stays valid without a report. It is long, since a
+	// machine's speed is stable and rarely used workers report rarely.
+	paceTTL = 30 * time.Second
+	// Paces are clamped to these bounds, so that no report attracts or diverts all requests.
+	minPace, maxPace = 0.2, 8.0
+	// slowStartWindow is how long a worker added to a running service is offered to only a
+	// fraction of choices, as long as it has not reported. The fraction grows from
+	// minSlowStartShare. The window covers the first answer, which carries a report.
+	slowStartWindow   = 2 * time.Second
+	minSlowStartShare = 1.0 / 16
 )
 
-// PaceSource is who told a pace.
+// PaceSource is the origin of a pace.
 type PaceSource string
 
-// The sources of a pace.
+// Sources of a pace.
 const (
-	PaceUnknown  PaceSource = ""          // nobody
-	PaceTold     PaceSource = "worker"    // the worker, to this process
-	PaceReported PaceSource = "frontend"  // the worker, to another process
-	PaceGathered PaceSource = "leader"    // an average that another process gathered
-	PaceUsual    PaceSource = "its_peers" // the mean of its service: of it nothing is known
+	PaceUnknown  PaceSource = ""          // no information
+	PaceTold     PaceSource = "worker"    // reported by the worker to this process
+	PaceReported PaceSource = "frontend"  // reported by the worker to another process
+	PaceGathered PaceSource = "leader"    // average collected by another process
+	PaceUsual    PaceSource = "its_peers" // mean of the service; the worker itself is unknown
 )
 
-// Pace is what is believed of how long work takes at a worker, as a multiple of the
-// usual time.
+// Pace is the estimated service time of a worker as a multiple of the usual one.
 type Pace struct {
-	Value  float64       // expected for work that begins now
-	Slow   float64       // the part that is its machine's, stable over seconds
-	Age    time.Duration // of the newest word; negative without one
-	Source PaceSource    // of the newest word
+	Value  float64       // expected for a request that starts now
+	Slow   float64       // stable component, which depends on the machine
+	Age    time.Duration // age of the latest report; negative if there is none
+	Source PaceSource    // source of the latest report
 }
 
-// paceBelief is the state behind a Pace. The zero value knows nothing.
-type paceBelief struct {
-	slow    float64
-	samples int
-	last    float64 // word of one moment, at lastAt; 0: none
-	lastAt  time.Time
-	heardAt time.Time // of any word
-	source  PaceSource
+// paceEstimate is the state behind a Pace. The zero value has no samples.
+type paceEstimate struct {
+	stable    float64
+	samples   int
+	last      float64 // latest report by its time, taken at lastAt; 0 if none
+	lastAt    time.Time
+	updatedAt time.Time // time of the latest sample of any source
+	source    PaceSource
 }
 
-func (b *paceBelief) known(now time.Time) bool {
-	return b.samples > 0 && now.Sub(b.heardAt) < paceLife
+func (b *paceEstimate) known(now time.Time) bool {
+	return b.samples > 0 && now.Sub(b.updatedAt) < paceTTL
 }
 
-// tell takes a worker's word of the moment at. Words may come out of order; a late one
-// counts for the average and not for the moment.
-func (b *paceBelief) tell(at time.Time, pace float64, source PaceSource) {
-	pace = min(max(pace, leastPace), mostPace)
-	if b.samples > 0 && at.Sub(b.heardAt) >= paceLife {
-		*b = paceBelief{}
+// observe adds a report made at a given time. A report older than the latest one updates
+// only the average.
+func (b *paceEstimate) observe(at time.Time, pace float64, source PaceSource) {
+	pace = min(max(pace, minPace), maxPace)
+	if b.samples > 0 && at.Sub(b.updatedAt) >= paceTTL {
+		*b = paceEstimate{}
 	}
-	b.samples = min(b.samples+1, paceSamples)
+	b.samples = min(b.samples+1, maxPaceSamples)
 	weight := 1 / float64(b.samples)
-	if passed := at.Sub(b.heardAt); b.samples > 1 && passed > 0 {
-		weight = max(weight, 1-math.Exp(-float64(passed)/float64(paceMemory)))
+	if elapsed := at.Sub(b.updatedAt); b.samples > 1 && elapsed > 0 {
+		weight = max(weight, 1-math.Exp(-float64(elapsed)/float64(paceDecay)))
 	}
-	b.slow += weight * (pace - b.slow)
+	b.stable += weight * (pace - b.stable)
 	if !at.Before(b.lastAt) {
 		b.last, b.lastAt = pace, at
 	}
-	if !at.Before(b.heardAt) {
-		b.heardAt, b.source = at, source
+	if !at.Before(b.updatedAt) {
+		b.updatedAt, b.source = at, source
 	}
 }
 
-// learn takes the average that another process gathered, which heard more.
-func (b *paceBelief) learn(now time.Time, slow float64) {
-	b.slow, b.samples = min(max(slow, leastPace), mostPace), paceSamples
-	b.heardAt, b.source = now, PaceGathered
+// set replaces the average by one collected by another process from more reports.
+func (b *paceEstimate) set(now time.Time, slow float64) {
+	b.stable, b.samples = min(max(slow, minPace), maxPace), maxPaceSamples
+	b.updatedAt, b.source = now, PaceGathered
 }
 
-func (b *paceBelief) at(now time.Time) Pace {
-	pace := Pace{Value: b.slow, Slow: b.slow, Age: now.Sub(b.heardAt), Source: b.source}
+func (b *paceEstimate) at(now time.Time) Pace {
+	pace := Pace{Value: b.stable, Slow: b.stable, Age: now.Sub(b.updatedAt), Source: b.source}
 	if b.last > 0 {
 		age := max(now.Sub(b.lastAt), 0)
-		pace.Value += (b.last - b.slow) * math.Exp(-float64(age)/float64(paceMoment))
+		pace.Value += (b.last - b.stable) * math.Exp(-float64(age)/float64(transientDecay))
 	}
-	pace.Value = min(max(pace.Value, leastPace), mostPace)
+	pace.Value = min(max(pace.Value, minPace), maxPace)
 	return pace
 }
 
-// TellPace takes a worker's word of its pace that another process heard at a moment.
+// TellPace records a pace that the worker reported to another process at the given time.
 func (p *Pool) TellPace(at time.Time, id string, pace float64) {
 	if e, ok := p.entries[id]; ok && pace > 0 {
-		p.notePaced(e)
-		e.pace.tell(at, pace, PaceReported)
+		p.trackPace(e)
+		e.pace.observe(at, pace, PaceReported)
 	}
 }
 
-// LearnPace takes the stable part of a worker's pace, as another process gathered it.
+// LearnPace sets the stable component of a worker's pace, as collected by another process.
 func (p *Pool) LearnPace(now time.Time, id string, slow float64) {
 	if e, ok := p.entries[id]; ok && slow > 0 {
-		p.notePaced(e)
-		e.pace.learn(now, slow)
+		p.trackPace(e)
+		e.pace.set(now, slow)
 	}
 }
 
-// notePaced lists a worker of which a pace is told for the first time.
-func (p *Pool) notePaced(e *entry) {
+// trackPace adds a worker to the index when its first pace arrives.
+func (p *Pool) trackPace(e *entry) {
 	if e.pace.samples == 0 {
-		r := p.roster(e.Service)
-		r.paced = append(r.paced, e)
+		r := p.index(e.Service)
+		r.withPace = append(r.withPace, e)
 	}
 }
 
-// Paced tells whether something is known of the pace of one of a service's workers.
+// Paced reports whether the pace of any worker of a service is known.
 func (p *Pool) Paced(now time.Time, service string) bool {
-	return slices.ContainsFunc(p.roster(service).paced, func(e *entry) bool { return e.pace.known(now) })
+	return slices.ContainsFunc(p.index(service).withPace, func(e *entry) bool { return e.pace.known(now) })
 }
 
-// PaceOf is what is believed of a worker's pace; false where nothing is known.
+// PaceOf returns the pace of a worker, and whether it is known.
 func (p *Pool) PaceOf(now time.Time, id string) (Pace, bool) {
 	e, ok := p.entries[id]
 	if !ok || !e.pace.known(now) {
@@ -142,13 +138,13 @@
 	return e.pace.at(now), true
 }
 
-// usual is what a worker of a service is taken for of which nothing is known: the mean
-// of its peers. False where nothing is known of any.
-func (p *Pool) usual(now time.Time, service string) (float64, bool) {
+// meanPace returns the mean stable pace of a service's workers, used for those without
+// one. It is false if none is known.
+func (p *Pool) meanPace(now time.Time, service string) (float64, bool) {
 	sum, known := 0.0, 0
-	for _, e := range p.roster(service).paced {
+	for _, e := range p.index(service).withPace {
 		if e.pace.known(now) {
-			sum += e.pace.slow
+			sum += e.pace.stable
 			known++
 		}
 	}
@@ -158,31 +154,31 @@
 	return sum / float64(known), true
 }
 
-// paceOf is an entry's pace, or its peers' where nothing is known of it.
-func (e *entry) paceOf(now time.Time, usual float64) Pace {
+// paceOf returns the pace of an entry, or the given mean if it is unknown.
+func (e *entry) paceOf(now time.Time, mean float64) Pace {
 	if e.pace.known(now) {
 		return e.pace.at(now)
 	}
-	return Pace{Value: usual, Slow: usual, Age: -time.Millisecond, Source: PaceUsual}
+	return Pace{Value: mean, Slow: mean, Age: -time.Millisecond, Source: PaceUsual}
 }
 
-// see notes the workers of a service that a choice looks at for the first time.
-func (p *Pool) see(now time.Time, service string) {
-	r := p.roster(service)
+// markSeen records the workers of a service that Choose considers for the first time.
+func (p *Pool) markSeen(now time.Time, service string) {
+	r := p.index(service)
 	for _, e := range r.unseen {
-		e.seenAt, e.joined = now, p.chosen[service]
+		e.firstSeen, e.addedLater = now, p.seenServices[service]
 	}
 	r.unseen = nil
-	p.chosen[service] = true
+	p.seenServices[service] = true
 }
 
-// offered is the part of choices in which a worker is a candidate: one that joined
-// others and of which nothing has been heard grows into its part. Every process sees it
-// appear in the same moment, as the emptiest of all.
-func (e *entry) offered(now time.Time) float64 {
-	passed := now.Sub(e.seenAt)
-	if !e.joined || passed >= rampTime || !e.reported.IsZero() || e.pace.samples > 0 {
+// slowStartShare returns the fraction of choices in which a worker is a candidate. It
+// grows over slowStartWindow for a worker added to a running service that has not reported,
+// since every process sees it appear empty at the same time.
+func (e *entry) slowStartShare(now time.Time) float64 {
+	elapsed := now.Sub(e.firstSeen)
+	if !e.addedLater || elapsed >= slowStartWindow || !e.reportedAt.IsZero() || e.pace.samples > 0 {
 		return 1
 	}
-	return max(float64(passed)/float64(rampTime), rampLeast)
+	return max(float64(elapsed)/float64(slowStartWindow), minSlowStartShare)
 }
--- a/worker/parts.go
+++ b/worker/parts.go
@@ -2,10 +2,9 @@
 
 import "container/list"
 
-// partSet remembers which parts of prompts a worker was sent, the latest first,
-// within a number of tokens.
+// partSet is an LRU set of the prompt parts sent to a worker, bounded by their tokens.
 type partSet struct {
-	order  *list.List // of Part, the latest in front
+	order  *list.List // of Part, most recently used first
 	byID   map[string]*list.Element
 	tokens int
 }
@@ -14,8 +13,9 @@
 	return &partSet{order: list.New(), byID: map[string]*list.Element{}}
 }
 
-// cached counts the tokens of the leading parts that are known; none of a nil set.
-func (s *partSet) cached(parts []Part) int {
+// cachedTokens returns the number of tokens of the leading parts in the set; 0 for a nil
+// set.
+func (s *partSet) cachedTokens(parts []Part) int {
 	if s == nil {
 		return 0
 	}
@@ -29,7 +29,7 @@
 	return tokens
 }
 
-// add notes the parts as just read, within the bound.
+// add marks the parts as used and evicts the least recently used ones over the bound.
 func (s *partSet) add(parts []Part, bound int) {
 	for i := len(parts) - 1; i >= 0; i-- {
 		s.touch(parts[i])
--- a/worker/replay_test.go
+++ b/worker/replay_test.go
@@ -8,39 +8,40 @@
 	"time"
 )
 
-// The worst load of a fleet, replayed without leaders' word: many processes that choose by
-// what they see themselves, a tide that comes fourfold at once, and three tenths of the
-// workers that leave within a second, in the middle of the tide.
+// Parameters of a replay of overload without reports from leaders: many processes choose by
+// their own observations, the arrival rate alternates between two levels, and three tenths of
+// the workers
+// start to drain within a second, during a peak.
 const (
-	replayStep    = 20 * time.Millisecond
-	replayLength  = 8 * time.Second
-	replayWork    = 200 * time.Millisecond // of a request at a worker
-	replayNews    = time.Second            // until a process knows that a worker leaves
-	replayLeaveAt = 4 * time.Second
-	replayLeaving = 0.3
+	replayStep        = 20 * time.Millisecond
+	replayLength      = 8 * time.Second
+	replayServiceTime = 200 * time.Millisecond // of a request at a worker
+	replayNotice      = time.Second            // delay until a process learns that a worker drains
+	replayDrainAt     = 4 * time.Second
+	replayDrainShare  = 0.3
 )
 
-// tide is the requests of a step, as a share of the workers' slots that would be taken in
-// steady state.
-func tide(at time.Duration) float64 {
+// arrivalRate returns the requests arriving at a time, as a fraction of the workers' slots
+// that they occupy in steady state.
+func arrivalRate(at time.Duration) float64 {
 	if at%(4*time.Second) < 2*time.Second {
 		return 0.1
 	}
 	return 0.4
 }
 
-// replayed is what a replay of the worst load came to.
-type replayed struct {
+// replayResult is the result of a replay.
+type replayResult struct {
 	sent    int
-	queued  int // sent to a worker whose slots were all taken
-	leaving int // sent to a worker that leaves, by a process that had to know it
-	busiest int // requests at one worker at one time
+	queued  int // sent to a worker without a free slot
+	leaving int // sent to a draining worker by a process that had been notified
+	busiest int // maximum of concurrent requests at one worker
 }
 
-// replay plays the load with so many workers; a process for ten of them. The moments and
-// the choices are drawn from fixed seeds.
-func replay(workers int, settings func(zone string) Settings) (result replayed) {
-	list := listed(workers)
+// replay runs the load on the given number of workers with one process per ten of them.
+// Random numbers come from fixed seeds.
+func replay(workers int, settings func(zone string) Settings) (result replayResult) {
+	list := testWorkers(workers)
 	random := rand.New(rand.NewPCG(7, 8))
 	pools := make([]*Pool, workers/10)
 	for i := range pools {
@@ -50,7 +51,7 @@
 		}
 	}
 	leaves := map[string]bool{}
-	for _, w := range list[:int(replayLeaving*float64(workers))] {
+	for _, w := range list[:int(replayDrainShare*float64(workers))] {
 		leaves[w.ID] = true
 	}
 	type run struct {
@@ -61,7 +62,7 @@
 	var running []run
 	held := map[string]int{}
 	for at := time.Duration(0); at < replayLength; at += replayStep {
-		now := start.Add(at)
+		now := testStart.Add(at)
 		running = slices.DeleteFunc(running, func(r run) bool {
 			if r.until > at {
 				return false
@@ -71,10 +72,10 @@
 			r.pool.Report(now, r.worker, Load{Running: held[r.worker], Slots: 8})
 			return true
 		})
-		if at == replayLeaveAt+replayNews {
-			tellLeaving(pools, list, leaves)
+		if at == replayDrainAt+replayNotice {
+			markDraining(pools, list, leaves)
 		}
-		arrivals := int(tide(at) * float64(8*workers) * float64(replayStep) / float64(replayWork))
+		arrivals := int(arrivalRate(at) * float64(8*workers) * float64(replayStep) / float64(replayServiceTime))
 		for range arrivals {
 			p := pools[random.IntN(len(pools))]
 			choice, ok := p.Choose(now, Query{Service: "s"}, random)
@@ -87,18 +88,18 @@
 			if held[id]++; held[id] > 8 {
 				result.queued++
 			}
-			if leaves[id] && at >= replayLeaveAt+replayNews {
+			if leaves[id] && at >= replayDrainAt+replayNotice {
 				result.leaving++
 			}
 			result.sent++
 			result.busiest = max(result.busiest, held[id])
-			running = append(running, run{pool: p, worker: id, until: at + replayWork})
+			running = append(running, run{pool: p, worker: id, until: at + replayServiceTime})
 		}
 	}
 	return result
 }
 
-func tellLeaving(pools []*Pool, list []Worker, leaves map[string]bool) {
+func markDraining(pools []*Pool, list []Worker, leaves map[string]bool) {
 	for _, p := range pools {
 		for _, w := range list {
 			if leaves[w.ID] {
@@ -109,21 +110,20 @@
 	}
 }
 
-// mostQueued in a hundred requests may wait at a full worker while nearly half of all slots
-// are free. Such a wait is late for no reason; what is served is counted in nines, and one in
-// a hundred is two of them.
-const mostQueued = 1
+// maxQueuedPercent is the percentage of requests that may wait at a full worker while
+// more than half of all slots are free.
+const maxQueuedPercent = 1
 
-// A worker that leaves is to get nothing, and few requests are to wait for no reason, at every
+// Draining workers get no requests, and few requests wait at a full worker, at any fleet
 // size.
 func TestTheWorstLoadIsSpread(t *testing.T) {
 	for _, workers := range []int{250, 500} {
 		got := replay(workers, DefaultSettings)
 		t.Logf("%d workers: %+v", workers, got)
 		if got.leaving > 0 {
-			t.Errorf("%d workers: %d requests were sent to workers that leave", workers, got.leaving)
+			t.Errorf("%d workers: %d requests sent to draining workers", workers, got.leaving)
 		}
-		if got.queued*100 > mostQueued*got.sent {
+		if got.queued*100 > maxQueuedPercent*got.sent {
 			t.Errorf("%d workers: %d of %d requests waited at a full worker", workers, got.queued, got.sent)
 		}
 	}
--- a/worker/roster.go
+++ b/worker/roster.go
@@ -7,24 +7,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// roster is the workers of one service in the orders in which they are looked at. What is
-// known only of some of them is listed apart, so that a choice costs what is known and not
-// what is listed.
-type roster struct {
-	all    order
-	groups map[int]*order
-	zones  map[string]*order
-	ring   order // by the hash of the id
-	unseen []*entry
-	paced  []*entry // of which a pace was told
-	timed  []*entry // of which streams were observed
-	judged []*entry // of which outcomes were told
-	recent []*entry // that this process used last, the last one first
+// serviceIndex holds the workers of one service in several orders. Workers with a known
+// pace, interval or outcome are listed separately, so that a choice costs time by their number
+// and not by the size of the fleet.
+type serviceIndex struct {
+	all          sortedEntries
+	groups       map[int]*sortedEntries
+	zones        map[string]*sortedEntries
+	ring         sortedEntries // by the hash of the ID
+	unseen       []*entry
+	withPace     []*entry // with a known pace
+	withInterval []*entry // with observed streams
+	withOutcomes []*entry // with reported outcomes
+	recent       []*entry // most recently used by this process first
 }
 
-func newRoster() *roster {
-	return &roster{
-		all: order{compare: byID}, ring: order{compare: byHash}, groups: map[int]*order{}, zones: map[string]*order{},
+func newServiceIndex() *serviceIndex {
+	return &serviceIndex{
+		all: sortedEntries{compare: byID}, ring: sortedEntries{compare: byHash}, groups: map[int]*sortedEntries{}, zones: map[string]*sortedEntries{},
 	}
 }
 
@@ -32,63 +32,63 @@
 
 func byHash(a, b *entry) int { return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.ID, b.ID)) }
 
-func (r *roster) add(e *entry) {
+func (r *serviceIndex) add(e *entry) {
 	e.hash = xxhash.Sum64String(e.ID)
 	r.all.add(e)
 	r.ring.add(e)
-	partOf(r.groups, e.group).add(e)
-	partOf(r.zones, e.Zone).add(e)
+	orderFor(r.groups, e.group).add(e)
+	orderFor(r.zones, e.Zone).add(e)
 	r.unseen = append(r.unseen, e)
 }
 
-func (r *roster) remove(e *entry) {
+func (r *serviceIndex) remove(e *entry) {
 	r.all.remove(e)
 	r.ring.remove(e)
-	partOf(r.groups, e.group).remove(e)
-	partOf(r.zones, e.Zone).remove(e)
-	for _, some := range []*[]*entry{&r.unseen, &r.paced, &r.timed, &r.judged, &r.recent} {
-		if at := slices.Index(*some, e); at >= 0 {
-			*some = slices.Delete(*some, at, at+1)
+	orderFor(r.groups, e.group).remove(e)
+	orderFor(r.zones, e.Zone).remove(e)
+	for _, list := range []*[]*entry{&r.unseen, &r.withPace, &r.withInterval, &r.withOutcomes, &r.recent} {
+		if at := slices.Index(*list, e); at >= 0 {
+			*list = slices.Delete(*list, at, at+1)
 		}
 	}
 }
 
-// move lists an entry under another zone.
-func (r *roster) move(e *entry, zone string) {
-	partOf(r.zones, e.Zone).remove(e)
-	partOf(r.zones, zone).add(e)
+// move changes the zone under which an entry is listed.
+func (r *serviceIndex) move(e *entry, zone string) {
+	orderFor(r.zones, e.Zone).remove(e)
+	orderFor(r.zones, zone).add(e)
 }
 
-// used notes that a request goes to a worker.
-func (r *roster) used(e *entry) {
+// markRecent records that a request is sent to a worker.
+func (r *serviceIndex) markRecent(e *entry) {
 	if at := slices.Index(r.recent, e); at >= 0 {
 		r.recent = slices.Delete(r.recent, at, at+1)
 	}
 	r.recent = slices.Insert(r.recent, 0, e)
-	if len(r.recent) > mostRecent {
-		r.recent = r.recent[:mostRecent]
+	if len(r.recent) > maxRecent {
+		r.recent = r.recent[:maxRecent]
 	}
 }
 
-// regroup lists the entries under their groups anew.
-func (r *roster) regroup() {
-	r.groups = map[int]*order{}
+// regroup rebuilds the lists by group.
+func (r *serviceIndex) regroup() {
+	r.groups = map[int]*sortedEntries{}
 	for _, e := range r.all.list() {
-		partOf(r.groups, e.group).add(e)
+		orderFor(r.groups, e.group).add(e)
 	}
 }
 
-func partOf[K comparable](parts map[K]*order, key K) *order {
+func orderFor[K comparable](parts map[K]*sortedEntries, key K) *sortedEntries {
 	part := parts[key]
 	if part == nil {
-		part = &order{compare: byID}
+		part = &sortedEntries{compare: byID}
 		parts[key] = part
 	}
 	return part
 }
 
-// lists gives the entries of some groups; nil groups are all.
-func (r *roster) lists(groups []int) [][]*entry {
+// lists returns the entries of the given groups; nil groups select all.
+func (r *serviceIndex) lists(groups []int) [][]*entry {
 	if groups == nil {
 		return [][]*entry{r.all.list()}
 	}
@@ -101,22 +101,23 @@
 	return lists
 }
 
-// fewAdded entries are put in their places one by one; more are sorted in together.
-const fewAdded = 8
+// maxSingleInserts is the number of pending entries up to which they are inserted one by
+// one; more are appended and sorted together.
+const maxSingleInserts = 8
 
-// order is entries sorted without equal ones. What is added waits until the order is read:
-// the start of thousands of workers sorts them once and not once a worker.
-type order struct {
+// sortedEntries is a sorted list of distinct entries. Added entries stay pending until
+// the list is read, so that adding thousands of workers sorts once.
+type sortedEntries struct {
 	compare func(a, b *entry) int
 	sorted  []*entry
-	added   []*entry
+	pending []*entry
 }
 
-func (o *order) add(e *entry) { o.added = append(o.added, e) }
+func (o *sortedEntries) add(e *entry) { o.pending = append(o.pending, e) }
 
-func (o *order) remove(e *entry) {
-	if at := slices.Index(o.added, e); at >= 0 {
-		o.added = slices.Delete(o.added, at, at+1)
+func (o *sortedEntries) remove(e *entry) {
+	if at := slices.Index(o.pending, e); at >= 0 {
+		o.pending = slices.Delete(o.pending, at, at+1)
 		return
 	}
 	if at, found := slices.BinarySearchFunc(o.sorted, e, o.compare); found {
@@ -124,20 +125,21 @@
 	}
 }
 
-// list gives the entries; it must not be changed, and holds until the next change.
-func (o *order) list() []*entry {
-	if len(o.added) > fewAdded {
-		o.sorted = append(o.sorted, o.added...)
+// list returns the entries. The result must not be modified and is valid until the next
+// change.
+func (o *sortedEntries) list() []*entry {
+	if len(o.pending) > maxSingleInserts {
+		o.sorted = append(o.sorted, o.pending...)
 		slices.SortFunc(o.sorted, o.compare)
-		o.added = nil
+		o.pending = nil
 	}
-	for _, e := range o.added {
+	for _, e := range o.pending {
 		at, _ := slices.BinarySearchFunc(o.sorted, e, o.compare)
 		o.sorted = slices.Insert(o.sorted, at, e)
 	}
-	clear(o.added)
-	o.added = o.added[:0]
+	clear(o.pending)
+	o.pending = o.pending[:0]
 	return o.sorted
 }
 
-func (o *order) len() int { return len(o.sorted) + len(o.added) }
+func (o *sortedEntries) len() int { return len(o.sorted) + len(o.pending) }
--- a/worker/sample.go
+++ b/worker/sample.go
@@ -9,27 +9,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Of how many workers a choice is made. Of some hundreds all are compared, as the last one
-// may hold the prompt. Of thousands a sample is nearly as good: of so many drawn ones the
-// least loaded is among the emptiest tenth but once in 10,000, and no two processes that
-// hear the same news rush to the same worker.
+// Up to maxCompared workers are all compared, since any of them may have the prompt
+// cached. Beyond that a choice compares a sample: it almost always contains one of the least
+// loaded workers, and processes with the same information choose different ones.
 const (
-	mostCompared = 384
-	// sampledNear are drawn of the zone, sampledFar of all.
-	sampledNear = 48
-	sampledFar  = 48
-	// leastSampled of a sample have to be usable; else all are looked at.
-	leastSampled = 2
-	// mostRecent are the workers that this process used last: it keeps connections to
-	// them, and they have read parts of its prompts.
-	mostRecent = 8
+	maxCompared = 384
+	// zoneSampleSize workers are drawn from the zone, globalSampleSize from all.
+	zoneSampleSize   = 48
+	globalSampleSize = 48
+	// minUsableSample is the number of usable workers required in a sample; with fewer, all
+	// are compared.
+	minUsableSample = 2
+	// maxRecent is the number of recently used workers included in a sample. This process
+	// has connections to them, and they have parts of its prompts cached.
+	maxRecent = 8
 )
 
-// sample draws the workers that a choice among many compares: those that this process used
-// last, the one that all agree on for the prompt, and some at random, most of the zone.
+// sample draws the workers to compare in a large service: those recently used by this
+// process, the affinity worker of the prompt, and random ones, half of them from the zone.
 func (p *Pool) sample(query Query, lists [][]*entry, listed int, random *rand.Rand) []*entry {
-	r := p.roster(query.Service)
-	drawn := make([]*entry, 0, mostRecent+1+sampledNear+sampledFar)
+	r := p.index(query.Service)
+	drawn := make([]*entry, 0, maxRecent+1+zoneSampleSize+globalSampleSize)
 	take := func(e *entry) {
 		allowed := query.Groups == nil || slices.Contains(query.Groups, e.group)
 		if allowed && !slices.Contains(drawn, e) {
@@ -39,22 +39,22 @@
 	for _, e := range r.recent {
 		take(e)
 	}
-	if part := longestShared(query.Parts, sharedMinimum); part != "" {
-		take(p.onRing(query.Service, part))
+	if part := longestShared(query.Parts, minSharedTokens); part != "" {
+		take(p.ringOwner(query.Service, part))
 	}
-	if near := r.zones[cmp.Or(query.Zone, p.settings.Zone)]; near != nil && near.len() > 0 {
-		for range sampledNear {
-			take(near.list()[random.IntN(near.len())])
+	if zone := r.zones[cmp.Or(query.Zone, p.settings.Zone)]; zone != nil && zone.len() > 0 {
+		for range zoneSampleSize {
+			take(zone.list()[random.IntN(zone.len())])
 		}
 	}
-	for range sampledFar {
-		take(at(lists, random.IntN(listed)))
+	for range globalSampleSize {
+		take(entryAt(lists, random.IntN(listed)))
 	}
 	return drawn
 }
 
-// at is an entry of some lists, counted through them.
-func at(lists [][]*entry, n int) *entry {
+// entryAt returns the nth entry of the concatenated lists.
+func entryAt(lists [][]*entry, n int) *entry {
 	for _, list := range lists {
 		if n < len(list) {
 			return list[n]
@@ -64,14 +64,14 @@
 	return nil
 }
 
-// onRing is the worker that all processes agree on for a part of prompts: the first that
-// takes requests after the part's place on the ring.
-func (p *Pool) onRing(service, part string) *entry {
-	ring := p.roster(service).ring.list()
+// ringOwner returns the worker that all processes agree on for a prompt part: the first
+// one on the hash ring at or after the part's hash that accepts requests.
+func (p *Pool) ringOwner(service, part string) *entry {
+	ring := p.index(service).ring.list()
 	place := xxhash.Sum64String(part)
 	first := sort.Search(len(ring), func(i int) bool { return ring[i].hash >= place })
 	for i := range ring {
-		if e := ring[(first+i)%len(ring)]; p.takes(e) {
+		if e := ring[(first+i)%len(ring)]; p.accepts(e) {
 			return e
 		}
 	}
--- a/worker/unpaced_test.go
+++ b/worker/unpaced_test.go
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// choicesWithoutPace is a digest of 3000 choices of a pool whose workers tell no pace,
-// among words of load, failures, prompts and workers that come and go. It was taken of
-// the choice before it knew of paces.
-const choicesWithoutPace uint64 = 11992734857788680168
+// unpacedDigest is the digest of 3000 choices among workers that report no pace, mixed
+// with load reports, failures, prompts, and workers that come and go. It pins the choices made
+// before pace was supported.
+const unpacedDigest uint64 = 11992734857788680168
 
-// scripted plays the same events, chosen by a fixed seed, on a pool.
-func scripted(p *Pool) uint64 {
+// runScript runs a fixed random sequence of events and choices on a pool and returns a
+// digest of the choices.
+func runScript(p *Pool) uint64 {
 	random := rand.New(rand.NewPCG(7, 7))
 	digest := fnv.New64a()
 	id := func() string { return fmt.Sprint("w", random.IntN(20)) }
-	now := start
+	now := testStart
 	for n := range 3000 {
 		now = now.Add(time.Duration(random.IntN(40)) * time.Millisecond)
 		switch random.IntN(8) {
@@ -54,17 +55,17 @@
 	return digest.Sum64()
 }
 
-func TestWithoutPacesChoicesAreAsBefore(t *testing.T) {
-	blind := testPool(15)
-	blind.settings = BlindSettings("a")
-	for _, p := range []*Pool{testPool(15), blind} {
-		if got := scripted(p); got != choicesWithoutPace {
+func TestChoicesWithoutPaceAreUnchanged(t *testing.T) {
+	sampled := testPool(15)
+	sampled.settings = BlindSettings("a")
+	for _, p := range []*Pool{testPool(15), sampled} {
+		if got := runScript(p); got != unpacedDigest {
 			t.Errorf("digest %d", got)
 		}
 	}
-	told := testPool(15)
-	told.Report(start, "w3", Load{Running: 1, Slots: 8, Pace: 1.5})
-	if scripted(told) == choicesWithoutPace {
-		t.Error("a told pace changes nothing: the digest can't show it")
+	paced := testPool(15)
+	paced.Report(testStart, "w3", Load{Running: 1, Slots: 8, Pace: 1.5})
+	if runScript(paced) == unpacedDigest {
+		t.Error("digest does not change with a reported pace")
 	}
 }
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -1,6 +1,6 @@
-// Package worker keeps what one process believes of the workers of each service:
-// who is there, how much each holds, and which parts of prompts it has read. It
-// has no input or output and no clock: time is passed in. Choosing is Choose.
+// Package worker tracks the workers of each service as seen by one process: which exist,
+// how loaded they are, and which prompt parts they have cached. Pool.Choose selects a worker
+// for a request. The package does no I/O and reads no clock: callers pass the current time.
 package worker
 
 import (
@@ -8,114 +8,115 @@
 	"time"
 )
 
-// Part is a part of a prompt, shared between requests by its ID.
+// Part is a section of a prompt. Requests that share it use the same ID.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Load is what a worker says of itself.
+// Load is a worker's own report of its load.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
-	// Pace is how long work takes there now, as a multiple of the usual time: its
-	// machine is shared. 0 when not told.
+	// Pace is the worker's current service time as a multiple of the usual one; it exceeds 1
+	// where the machine is shared. 0 if not reported.
 	Pace float64
 }
 
-// Worker is one incarnation of a back end as its platform lists it.
+// Worker is one incarnation of a back end, as listed by its platform.
 type Worker struct {
 	ID      string
-	Born    time.Time // when it started, by its own clock; zero when not told
+	Born    time.Time // start time by the worker's own clock; zero if unknown
 	Service string
 	Address string // host:port
 	Zone    string
-	Slots   int           // requests that it works on at once; 0 when not told
-	Leaving bool          // it takes nothing new
-	ColdFor time.Duration // it is slow for so long after its start
+	Slots   int           // number of requests served concurrently; 0 if unknown
+	Leaving bool          // draining: accepts no new requests
+	ColdFor time.Duration // warm-up time after a start, during which it is slow
 }
 
-// Settings of a Pool.
+// Settings configures a Pool.
 type Settings struct {
-	Zone string // of this process
-	// DownFor is how long a worker that refused a connection is left out.
+	Zone string // zone of this process
+	// DownFor is how long a worker is excluded after it refused a connection.
 	DownFor time.Duration
-	// LoadLife is how long others' share of a reported load is believed.
+	// LoadLife is how long the other processes' part of a reported load stays valid.
 	LoadLife time.Duration
-	// CacheShare of an engine's memory is thought to keep parts of prompts.
+	// CacheShare is the fraction of an engine's memory assumed to cache prompt parts.
 	CacheShare float64
-	// Draw is how many workers are compared for a choice where they tell their paces, and
-	// many processes choose that each see a worker rarely; 0: all.
+	// Draw is the number of workers sampled per choice where workers report their pace.
+	// Sampling keeps many processes, each with few observations per worker, from choosing the
+	// same one. 0 compares all.
 	Draw int
-	// GroupOf gives the group of a worker, by which Query.Groups leaves workers out; nil:
-	// all are of group 0.
+	// GroupOf returns the group of a worker, which Query.Groups filters by. If nil, all
+	// workers are in group 0.
 	GroupOf func(id string) int
 }
 
-// DefaultSettings suit a fleet whose requests take around a second.
+// DefaultSettings returns settings for requests that take around a second.
 func DefaultSettings(zone string) Settings {
 	return Settings{Zone: zone, DownFor: time.Second, LoadLife: 3 * time.Second, CacheShare: 0.5}
 }
 
-// BlindSettings are DefaultSettings for one of many processes that choose at once and
-// each see a worker rarely. Of two drawn ones the better is nearly as good as the best of
-// all, and no two processes rush to the same.
+// BlindSettings returns DefaultSettings with two-choice sampling, for one of many
+// processes that choose concurrently and observe each worker rarely. The better of two random
+// workers is nearly as good as the best of all and avoids herding.
 func BlindSettings(zone string) Settings {
 	settings := DefaultSettings(zone)
 	settings.Draw = 2
 	return settings
 }
 
-// Pool is the set of workers. It is not safe for concurrent use.
+// Pool is a set of workers. It is not safe for concurrent use.
 type Pool struct {
 	settings Settings
 	entries  map[string]*entry
-	rosters  map[string]*roster // by service
-	capacity map[string]int     // tokens of an engine's memory, by service
-	// evacuated are zones whose workers are to get nothing.
-	evacuated map[string]bool
-	chosen    map[string]bool // services that a choice has looked at
-	typical   map[string]typical
+	indexes  map[string]*serviceIndex // by service
+	capacity map[string]int           // memory of an engine in tokens, by service
+	// evacuated holds the zones whose workers receive no requests.
+	evacuated    map[string]bool
+	seenServices map[string]bool // services for which Choose has been called
+	baselines    map[string]intervalBaseline
 }
 
-// entry is one worker with what this process knows of it.
+// entry is a worker with the state this process keeps for it.
 type entry struct {
 	Worker
-	own       int // requests of this process there
-	ownTokens int // of prompts, sent by this process and not yet read
-	others    float64
-	exact     bool      // others is what all others hold by their own word, until the next
-	reported  time.Time // when others was learned
-	slots     int       // by its reports, else by the list
-	downUntil time.Time // it refused a connection
-	failures  int       // in a row
-	broken    int       // answers in a row that broke off
-	parts     *partSet
-	fullUntil time.Time
-	pace      paceBelief
-	outlier   outlier
-	steps     steps
-	seenAt    time.Time // by the first choice that looked at it
-	joined    bool      // other workers of its service had been chosen from before that
-	group     int       // by Settings.GroupOf
-	hash      uint64    // of the id
-	usedAt    time.Time // by this process, last
-}
-
-// NewPool gives an empty pool.
+	inFlight          int // requests of this process
+	pendingTokens     int // prompt tokens sent by this process and not yet read
+	otherInFlight     float64
+	otherExact        bool      // otherInFlight was reported by the processes themselves; kept until the next such report
+	reportedAt        time.Time // time of the last load report
+	slots             int       // as reported by the worker, else as listed
+	downUntil         time.Time // excluded after a refused connection
+	failures          int       // consecutive refused connections
+	consecutiveBroken int       // consecutive interrupted answers
+	parts             *partSet
+	fullUntil         time.Time
+	pace              paceEstimate
+	outlier           outlier
+	eventInterval     intervalMean
+	firstSeen         time.Time // first choice that considered this worker
+	addedLater        bool      // the service had been chosen from before this worker appeared
+	group             int       // from Settings.GroupOf
+	hash              uint64    // hash of the ID
+	lastUsed          time.Time // last use by this process
+}
+
+// NewPool returns an empty pool.
 func NewPool(settings Settings) *Pool {
 	return &Pool{
-		settings: settings, entries: map[string]*entry{}, rosters: map[string]*roster{}, capacity: map[string]int{}, evacuated: map[string]bool{},
-		chosen: map[string]bool{}, typical: map[string]typical{},
+		settings: settings, entries: map[string]*entry{}, indexes: map[string]*serviceIndex{}, capacity: map[string]int{}, evacuated: map[string]bool{},
+		seenServices: map[string]bool{}, baselines: map[string]intervalBaseline{},
 	}
 }
 
-// SetCapacity tells the memory, in tokens, of each engine of a service.
+// SetCapacity sets the memory, in tokens, of each engine of a service.
 func (p *Pool) SetCapacity(service string, tokens int) { p.capacity[service] = tokens }
 
-// Put adds a worker or replaces what is listed of it. A later start of a worker begins with
-// nothing that was believed of the one before; an earlier start changes nothing.
+// Put adds a worker or updates its listing. A later incarnation starts with fresh state;
+// an earlier one is ignored.
 func (p *Pool) Put(w Worker) {
 	listed, ok := p.entries[w.ID]
 	if ok && w.Incarnation().Before(listed.Incarnation()) {
@@ -126,7 +127,7 @@
 			w.Born = listed.Born
 		}
 		if listed.Zone != w.Zone {
-			p.roster(w.Service).move(listed, w.Zone)
+			p.index(w.Service).move(listed, w.Zone)
 		}
 		listed.Worker = w
 		if w.Slots > 0 {
@@ -137,15 +138,15 @@
 	p.Remove(w.ID)
 	added := &entry{Worker: w, slots: max(w.Slots, 1), group: p.groupOf(w.ID)}
 	p.entries[w.ID] = added
-	p.roster(w.Service).add(added)
+	p.index(w.Service).add(added)
 }
 
-// roster is what is listed of a service.
-func (p *Pool) roster(service string) *roster {
-	r := p.rosters[service]
+// index returns the index of a service and creates it if needed.
+func (p *Pool) index(service string) *serviceIndex {
+	r := p.indexes[service]
 	if r == nil {
-		r = newRoster()
-		p.rosters[service] = r
+		r = newServiceIndex()
+		p.indexes[service] = r
 	}
 	return r
 }
@@ -157,28 +158,28 @@
 	return p.settings.GroupOf(id)
 }
 
-// SetGroups divides the workers into groups anew.
+// SetGroups replaces Settings.GroupOf and regroups all workers.
 func (p *Pool) SetGroups(groupOf func(id string) int) {
 	p.settings.GroupOf = groupOf
 	for _, e := range p.entries {
 		e.group = p.groupOf(e.ID)
 	}
-	for _, r := range p.rosters {
+	for _, r := range p.indexes {
 		r.regroup()
 	}
 }
 
-// Remove forgets a worker that is gone. Requests there may still end.
+// Remove deletes a worker. Requests sent to it may still finish.
 func (p *Pool) Remove(id string) {
 	known, ok := p.entries[id]
 	if !ok {
 		return
 	}
 	delete(p.entries, id)
-	p.roster(known.Service).remove(known)
+	p.index(known.Service).remove(known)
 }
 
-// Current gives the incarnation of a worker that is listed.
+// Current returns the incarnation of a worker, and whether the worker is listed.
 func (p *Pool) Current(id string) (Incarnation, bool) {
 	e, ok := p.entries[id]
 	if !ok {
@@ -187,16 +188,16 @@
 	return e.Incarnation(), true
 }
 
-// Accepts tells whether a worker is listed and may get requests: it does not leave, and
-// its zone is not evacuated.
+// Accepts reports whether a worker is listed, is not draining and is not in an evacuated
+// zone.
 func (p *Pool) Accepts(id string) bool {
 	e, ok := p.entries[id]
-	return ok && p.takes(e)
+	return ok && p.accepts(e)
 }
 
-func (p *Pool) takes(e *entry) bool { return !e.Leaving && !p.evacuated[e.Zone] }
+func (p *Pool) accepts(e *entry) bool { return !e.Leaving && !p.evacuated[e.Zone] }
 
-// SetEvacuated tells whether nothing is to be sent to a zone's workers.
+// SetEvacuated sets whether the workers of a zone are excluded from new requests.
 func (p *Pool) SetEvacuated(zone string, evacuated bool) {
 	if evacuated {
 		p.evacuated[zone] = true
@@ -205,10 +206,10 @@
 	delete(p.evacuated, zone)
 }
 
-// Workers lists a service's workers, sorted by id; of some groups only where any are named.
+// Workers returns a service's workers sorted by ID, limited to the given groups if any.
 func (p *Pool) Workers(service string, groups ...int) []Worker {
 	var list []Worker
-	for _, part := range p.roster(service).lists(groups) {
+	for _, part := range p.index(service).lists(groups) {
 		list = slices.Grow(list, len(part))
 		for _, e := range part {
 			list = append(list, e.Worker)
@@ -217,40 +218,40 @@
 	return list
 }
 
-// Count is how many workers of a service are listed.
-func (p *Pool) Count(service string) int { return p.roster(service).all.len() }
+// Count returns the number of workers listed for a service.
+func (p *Pool) Count(service string) int { return p.index(service).all.len() }
 
-// Begin notes a request sent to a worker, with the tokens of prompt to be read.
+// Begin records a request sent to a worker, with the number of prompt tokens to be read.
 func (p *Pool) Begin(id string, tokens int) {
 	if e, ok := p.entries[id]; ok {
-		e.own++
-		e.ownTokens += tokens
+		e.inFlight++
+		e.pendingTokens += tokens
 	}
 }
 
-// Started notes that a request's prompt has been read.
+// Started records that the worker has read the prompt of a request.
 func (p *Pool) Started(id string, tokens int) {
 	if e, ok := p.entries[id]; ok {
-		e.ownTokens = max(e.ownTokens-tokens, 0)
+		e.pendingTokens = max(e.pendingTokens-tokens, 0)
 	}
 }
 
-// End notes that a request has left a worker.
+// End records that a request has left a worker.
 func (p *Pool) End(id string) {
 	if e, ok := p.entries[id]; ok {
-		e.own = max(e.own-1, 0)
+		e.inFlight = max(e.inFlight-1, 0)
 	}
 }
 
-// Used notes that this process keeps a connection to a worker from now on.
+// Used records that this process holds an open connection to a worker as of now.
 func (p *Pool) Used(now time.Time, id string) {
 	if e, ok := p.entries[id]; ok {
-		e.usedAt = now
+		e.lastUsed = now
 	}
 }
 
-// Report takes a load that a worker told. What is not of this process is the
-// others'.
+// Report applies a load reported by a worker. Requests beyond those of this process are
+// attributed to other processes.
 func (p *Pool) Report(now time.Time, id string, load Load) {
 	e, ok := p.entries[id]
 	if !ok {
@@ -259,68 +260,71 @@
 	if load.Slots > 0 {
 		e.slots = load.Slots
 	}
-	if !e.exact {
-		e.others = float64(max(load.Running+load.Waiting-e.own, 0))
+	if !e.otherExact {
+		e.otherInFlight = float64(max(load.Running+load.Waiting-e.inFlight, 0))
 	}
-	e.reported = now
+	e.reportedAt = now
 	if load.Pace > 0 {
-		p.notePaced(e)
-		e.pace.tell(now, load.Pace, PaceTold)
+		p.trackPace(e)
+		e.pace.observe(now, load.Pace, PaceTold)
 	}
-	e.failures, e.broken = 0, 0
+	e.failures, e.consecutiveBroken = 0, 0
 	e.downUntil = time.Time{}
 }
 
-// SetOthers takes how many requests others hold at a worker, by their own word.
+// SetOthers sets the number of requests that other processes report to have at a worker.
+// Unless SetHeld is in effect, the value decays like that of a load report.
 func (p *Pool) SetOthers(now time.Time, id string, held int) {
 	if e, ok := p.entries[id]; ok {
-		e.others = float64(held)
-		e.reported = now
+		e.otherInFlight = float64(held)
+		e.reportedAt = now
 	}
 }
 
-// SetHeld takes what all others hold at a worker, by their own word: it holds until it is
-// told anew, whatever the worker says of moments before.
+// SetHeld sets the exact number of requests that all other processes have at a worker, as
+// reported by them. It stays valid until the next call and takes precedence over the worker's
+// own, older load reports.
 func (p *Pool) SetHeld(now time.Time, id string, held int) {
 	if e, ok := p.entries[id]; ok {
-		e.others, e.exact = float64(held), true
-		e.reported = now
+		e.otherInFlight, e.otherExact = float64(held), true
+		e.reportedAt = now
 	}
 }
 
-// ForgetHeld makes what others hold a guess again, at all workers.
+// ForgetHeld makes the values set by SetHeld estimates again, for all workers.
 func (p *Pool) ForgetHeld() {
 	for _, e := range p.entries {
-		e.exact = false
+		e.otherExact = false
 	}
 }
 
-// Occupancy is what is believed of one worker of a service.
+// Occupancy is the estimated occupancy of a worker.
 type Occupancy struct {
 	Worker
 	Taken  int  // requests of this process
-	Others int  // requests of others
-	Usable bool // it takes requests, as far as is known
+	Others int  // requests of other processes
+	Usable bool // accepts requests, as far as is known
 }
 
-// Occupancies lists what is believed of a service's workers, sorted by id; of some groups
-// only where any are named.
+// Occupancies returns the occupancy of a service's workers sorted by ID, limited to the
+// given groups if any.
 func (p *Pool) Occupancies(now time.Time, service string, groups ...int) []Occupancy {
 	var list []Occupancy
 	p.EachOccupancy(now, service, groups, func(o Occupancy) { list = append(list, o) })
 	return list
 }
 
-// EachOccupancy calls visit with what Occupancies lists; nil groups are all.
+// EachOccupancy calls visit for each entry that Occupancies would return; nil groups
+// select all workers.
 func (p *Pool) EachOccupancy(now time.Time, service string, groups []int, visit func(Occupancy)) {
-	for _, part := range p.roster(service).lists(groups) {
+	for _, part := range p.index(service).lists(groups) {
 		for _, e := range part {
 			visit(p.occupancy(now, e))
 		}
 	}
 }
 
-// OccupancyOf is what is believed of one worker; false where it is not listed.
+// OccupancyOf returns the occupancy of a worker, and whether the worker is listed.
 func (p *Pool) OccupancyOf(now time.Time, id string) (Occupancy, bool) {
 	e, ok := p.entries[id]
 	if !ok {
@@ -330,73 +334,73 @@
 }
 
 func (p *Pool) occupancy(now time.Time, e *entry) Occupancy {
-	occupancy := Occupancy{Worker: e.Worker, Taken: e.own, Others: int(p.loadOf(now, e)+0.5) - e.own}
+	occupancy := Occupancy{Worker: e.Worker, Taken: e.inFlight, Others: int(p.estimateLoad(now, e)+0.5) - e.inFlight}
 	occupancy.Slots = e.slots
-	if e.outlier.onTrial(now) { // nothing that still runs there has to give way
+	if e.outlier.probing(now) { // requests that still run there need not be preempted
 		occupancy.Slots = min(max(occupancy.Taken+occupancy.Others, 1), e.slots)
 	}
-	occupancy.Usable = p.takes(e) && !now.Before(e.downUntil) && !now.Before(e.fullUntil) && !e.outlier.out(now)
+	occupancy.Usable = p.accepts(e) && !now.Before(e.downUntil) && !now.Before(e.fullUntil) && !e.outlier.ejected(now)
 	return occupancy
 }
 
-// Refused notes that no connection could be made, or that one hung.
+// Refused records a failed or hanging connection attempt.
 func (p *Pool) Refused(now time.Time, id string) {
 	if e, ok := p.entries[id]; ok {
 		e.failures++
-		e.downUntil = now.Add(p.settings.DownFor * time.Duration(min(e.failures, maximumBackoff)))
+		e.downUntil = now.Add(p.settings.DownFor * time.Duration(min(e.failures, maxBackoffFactor)))
 	}
 }
 
-// brokenInRow answers that broke off leave a worker out as a refused connection does.
-// One alone says little of a worker that takes connections: where a twentieth of the
-// answers were reset, a quarter of the slots of a leader's workers were left out.
-const brokenInRow = 2
+// brokenThreshold is the number of consecutive interrupted answers after which a worker is
+// excluded like after a refused connection. A single reset is weak evidence against a worker
+// that accepts connections.
+const brokenThreshold = 2
 
-// Broke notes that a worker took a request and that its answer broke off.
+// Broke records that a worker accepted a request and its answer was interrupted.
 func (p *Pool) Broke(now time.Time, id string) {
 	e, ok := p.entries[id]
 	if !ok {
 		return
 	}
-	if e.broken++; e.broken >= brokenInRow {
+	if e.consecutiveBroken++; e.consecutiveBroken >= brokenThreshold {
 		p.Refused(now, id)
 	}
 }
 
-// maximumBackoff bounds how DownFor grows with failures in a row.
-const maximumBackoff = 4
+// maxBackoffFactor limits the growth of Settings.DownFor over consecutive failures.
+const maxBackoffFactor = 4
 
-// Full notes that a worker turned a request away.
+// Full records that a worker rejected a request because it was full.
 func (p *Pool) Full(now time.Time, id string) {
 	if e, ok := p.entries[id]; ok {
-		e.fullUntil = now.Add(fullPause)
-		if !e.exact {
-			e.others = max(e.others, float64(e.slots-e.own))
+		e.fullUntil = now.Add(fullBackoff)
+		if !e.otherExact {
+			e.otherInFlight = max(e.otherInFlight, float64(e.slots-e.inFlight))
 		}
-		e.reported = now
+		e.reportedAt = now
 	}
 }
 
-// fullPause is how long a worker that turned a request away is left out.
-const fullPause = 100 * time.Millisecond
+// fullBackoff is how long a worker is excluded after it rejected a request.
+const fullBackoff = 100 * time.Millisecond
 
-// Held is how many requests of this process a worker has.
+// Held returns the number of requests that this process has at a worker.
 func (p *Pool) Held(id string) int {
 	if e, ok := p.entries[id]; ok {
-		return e.own
+		return e.inFlight
 	}
 	return 0
 }
 
-// loadOf estimates the requests at a worker now.
-func (p *Pool) loadOf(now time.Time, e *entry) float64 {
-	age := now.Sub(e.reported)
-	if e.exact {
-		return float64(e.own) + e.others
+// estimateLoad returns the estimated number of requests at a worker.
+func (p *Pool) estimateLoad(now time.Time, e *entry) float64 {
+	age := now.Sub(e.reportedAt)
+	if e.otherExact {
+		return float64(e.inFlight) + e.otherInFlight
 	}
-	if e.reported.IsZero() || age >= p.settings.LoadLife {
-		return float64(e.own)
+	if e.reportedAt.IsZero() || age >= p.settings.LoadLife {
+		return float64(e.inFlight)
 	}
 	fresh := 1 - float64(age)/float64(p.settings.LoadLife)
-	return float64(e.own) + e.others*(0.5+0.5*fresh)
+	return float64(e.inFlight) + e.otherInFlight*(0.5+0.5*fresh)
 }
--- a/worker/worker_test.go
+++ b/worker/worker_test.go
@@ -10,8 +10,8 @@
 )
 
 var (
-	start  = time.Unix(1_700_000_000, 0)
-	random = func() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
+	testStart = time.Unix(1_700_000_000, 0)
+	newRand   = func() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 )
 
 func testPool(workers int) *Pool {
@@ -26,95 +26,95 @@
 func choose(t *testing.T, p *Pool, now time.Time, query Query) string {
 	t.Helper()
 	query.Service = "s"
-	choice, ok := p.Choose(now, query, random())
+	choice, ok := p.Choose(now, query, newRand())
 	if !ok {
 		return ""
 	}
 	return choice.Worker.ID
 }
 
-func TestTheLessLoadedWorkerIsChosen(t *testing.T) {
+func TestLeastLoadedWorkerIsChosen(t *testing.T) {
 	p := testPool(3)
-	p.Report(start, "w0", Load{Running: 9, Slots: 10})
-	p.Report(start, "w1", Load{Running: 2, Slots: 10})
-	p.Report(start, "w2", Load{Running: 10, Waiting: 4, Slots: 10})
-	if got := choose(t, p, start, Query{}); got != "w1" {
+	p.Report(testStart, "w0", Load{Running: 9, Slots: 10})
+	p.Report(testStart, "w1", Load{Running: 2, Slots: 10})
+	p.Report(testStart, "w2", Load{Running: 10, Waiting: 4, Slots: 10})
+	if got := choose(t, p, testStart, Query{}); got != "w1" {
 		t.Errorf("chose %s", got)
 	}
 	for range 6 {
 		p.Begin("w1", 1000)
 	}
-	p.Report(start, "w0", Load{Running: 0, Slots: 10})
-	if got := choose(t, p, start, Query{}); got != "w0" {
+	p.Report(testStart, "w0", Load{Running: 0, Slots: 10})
+	if got := choose(t, p, testStart, Query{}); got != "w0" {
 		t.Errorf("chose %s while w1 reads 6000 tokens", got)
 	}
 }
 
-func TestWorkersThatCannotTakeItAreLeftOut(t *testing.T) {
+func TestIneligibleWorkersAreExcluded(t *testing.T) {
 	p := testPool(3)
 	p.Put(Worker{ID: "w0", Service: "s", Slots: 10, Leaving: true})
-	p.Refused(start, "w1")
-	if got := choose(t, p, start, Query{}); got != "w2" {
+	p.Refused(testStart, "w1")
+	if got := choose(t, p, testStart, Query{}); got != "w2" {
 		t.Errorf("chose %s", got)
 	}
-	if got := choose(t, p, start, Query{Excluded: []string{"w2"}}); got != "w1" {
-		t.Errorf("chose %q when only a doubtful one is left", got)
+	if got := choose(t, p, testStart, Query{Excluded: []string{"w2"}}); got != "w1" {
+		t.Errorf("chose %q when only an excluded worker is left", got)
 	}
-	if got := choose(t, p, start, Query{Excluded: []string{"w1", "w2"}}); got != "" {
-		t.Errorf("chose %s, which is leaving", got)
+	if got := choose(t, p, testStart, Query{Excluded: []string{"w1", "w2"}}); got != "" {
+		t.Errorf("chose draining worker %s", got)
 	}
 	p.Remove("w2")
 	p.Remove("w2")
-	if got := choose(t, p, start.Add(time.Minute), Query{}); got != "w1" {
+	if got := choose(t, p, testStart.Add(time.Minute), Query{}); got != "w1" {
 		t.Errorf("chose %s after w2 was removed", got)
 	}
 }
 
-func TestAPromptGoesWhereItsPartsWereRead(t *testing.T) {
+func TestPromptGoesToWorkerWithCachedParts(t *testing.T) {
 	p := testPool(8)
 	parts := []Part{{ID: "shared", Tokens: 10_000}, {ID: "own", Tokens: 300}}
-	first := choose(t, p, start, Query{Parts: parts})
-	other := testPool(8) // another process that has sent nothing yet
-	if got := choose(t, other, start, Query{Parts: []Part{parts[0], {ID: "else", Tokens: 200}}}); got != first {
-		t.Errorf("processes disagree about a large part: %s and %s", first, got)
+	first := choose(t, p, testStart, Query{Parts: parts})
+	other := testPool(8) // a process that has sent no request yet
+	if got := choose(t, other, testStart, Query{Parts: []Part{parts[0], {ID: "else", Tokens: 200}}}); got != first {
+		t.Errorf("processes chose different workers for a large part: %s and %s", first, got)
 	}
 	p.Sent(first, parts)
 	p.Begin(first, 0)
-	if got := choose(t, p, start, Query{Parts: []Part{parts[0], {ID: "new", Tokens: 300}}}); got != first {
-		t.Errorf("a cached prompt went to %s, not %s", got, first)
+	if got := choose(t, p, testStart, Query{Parts: []Part{parts[0], {ID: "new", Tokens: 300}}}); got != first {
+		t.Errorf("cached prompt sent to %s, want %s", got, first)
 	}
-	for i := range 9 { // 90,000 tokens: more than half of the memory
+	for i := range 9 { // 90,000 tokens, more than the cache holds
 		p.Sent(first, []Part{{ID: fmt.Sprint("filler", i), Tokens: 10_000}})
 	}
-	choice, _ := p.Choose(start, Query{Service: "s", Parts: parts}, random())
+	choice, _ := p.Choose(testStart, Query{Service: "s", Parts: parts}, newRand())
 	if choice.Unread < 10_000 {
-		t.Errorf("%d tokens are unread after the parts gave way", choice.Unread)
+		t.Errorf("%d tokens unread after eviction of the parts", choice.Unread)
 	}
 }
 
-// Batch is sent only where the limit leaves room beside what others have.
-func TestALimitCountsWhatOthersHave(t *testing.T) {
+// Guards against batch requests taking slots that other processes use.
+func TestLimitCountsRequestsOfOthers(t *testing.T) {
 	p := testPool(2)
-	p.Report(start, "w0", Load{Running: 7})
-	p.Report(start, "w1", Load{Running: 4, Waiting: 1})
+	p.Report(testStart, "w0", Load{Running: 7})
+	p.Report(testStart, "w1", Load{Running: 4, Waiting: 1})
 	taken := 0
 	for ; taken < 20; taken++ {
-		id := choose(t, p, start, Query{Limit: 0.8})
+		id := choose(t, p, testStart, Query{Limit: 0.8})
 		if id == "" {
 			break
 		}
 		p.Begin(id, 0)
 	}
 	if taken != 4 {
-		t.Errorf("%d taken of 16, 12 are others'", taken)
+		t.Errorf("placed %d requests in 16 slots of which others use 12", taken)
 	}
-	if got := choose(t, p, start, Query{Limit: 0.9}); got == "" {
-		t.Error("an urgent item finds no room")
+	if got := choose(t, p, testStart, Query{Limit: 0.9}); got == "" {
+		t.Error("request with a higher limit was not placed")
 	}
 }
 
-// What a process holds itself is never below none, whatever comes.
-func TestOwnRequestsAreCounted(t *testing.T) {
+// Checks the count of in-flight requests against a model; it never becomes negative.
+func TestInFlightCountMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := testPool(2)
 		held := map[string]int{}
@@ -128,46 +128,46 @@
 				p.End(id)
 				held[id] = max(held[id]-1, 0)
 			case 2:
-				p.Report(start, id, Load{Running: rapid.IntRange(0, 12).Draw(t, "running")})
+				p.Report(testStart, id, Load{Running: rapid.IntRange(0, 12).Draw(t, "running")})
 			case 3:
-				p.Full(start, id)
+				p.Full(testStart, id)
 			}
 		}
 		held["w2"] = 0 // not listed
 		for id, want := range held {
 			if p.Held(id) != want {
-				t.Fatalf("%s holds %d, not %d", id, p.Held(id), want)
+				t.Fatalf("%s holds %d requests, want %d", id, p.Held(id), want)
 			}
 		}
 	})
 }
 
-func TestAnAnswerThatBrokeOffLeavesAWorkerInUse(t *testing.T) {
+func TestInterruptedAnswers(t *testing.T) {
 	tests := []struct {
 		name   string
 		notes  func(p *Pool)
 		usable bool
 	}{
-		{"one answer broke off", func(p *Pool) { p.Broke(start, "w") }, true},
-		{"two in a row", func(p *Pool) { p.Broke(start, "w"); p.Broke(start, "w") }, false},
-		{"two with a whole one between", func(p *Pool) {
-			p.Broke(start, "w")
-			p.Report(start, "w", Load{Running: 1, Slots: 4})
-			p.Broke(start, "w")
+		{"one interrupted answer", func(p *Pool) { p.Broke(testStart, "w") }, true},
+		{"two consecutive interrupted answers", func(p *Pool) { p.Broke(testStart, "w"); p.Broke(testStart, "w") }, false},
+		{"a complete answer between two interrupted ones", func(p *Pool) {
+			p.Broke(testStart, "w")
+			p.Report(testStart, "w", Load{Running: 1, Slots: 4})
+			p.Broke(testStart, "w")
 		}, true},
-		{"a connection was refused", func(p *Pool) { p.Refused(start, "w") }, false},
+		{"a refused connection", func(p *Pool) { p.Refused(testStart, "w") }, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			p := NewPool(DefaultSettings("z"))
 			p.Put(Worker{ID: "w", Service: "s", Slots: 4})
 			test.notes(p)
-			if got := p.Occupancies(start, "s")[0].Usable; got != test.usable {
+			if got := p.Occupancies(testStart, "s")[0].Usable; got != test.usable {
 				t.Errorf("usable %t", got)
 			}
 			p.Put(Worker{ID: "other", Service: "s", Slots: 4})
-			if choice, _ := p.Choose(start, Query{Service: "s"}, random()); choice.Worker.ID != "other" {
-				t.Error("it is preferred to one whose answers are whole")
+			if choice, _ := p.Choose(testStart, Query{Service: "s"}, newRand()); choice.Worker.ID != "other" {
+				t.Error("worker with interrupted answers preferred to a healthy one")
 			}
 		})
 	}
