--- a/detour/detour.go
+++ b/detour/detour.go
@@ -1,13 +1,13 @@
-// Package detour decides by which way a question goes to a process that may be out of
-// reach: straight, or through one peer that reaches it. A straight way that is silent for
-// a moment is helped by a peer; the peer that brought an answer is taken at once for the
-// next question, while the straight way is tried beside it now and then. Peers that fail
-// are left alone for a growing pause.
+// Package detour selects paths for queries to a process that may be unreachable: the direct
+// path, or one relayed by a peer that reaches the process. If the direct path does not answer
+// within a short delay, peers are queried as well. The peer that relayed an answer is used
+// first for the next query, while the direct path is probed periodically. Failing peers are
+// skipped with exponential backoff.
 //
-// A question that may be repeated takes several ways at once: whoever answers it must
-// know its copies. One that may not takes the next way only after the one before failed.
+// A repeatable query may be in flight on several paths, so the process that answers it must
+// recognize duplicates. Any other query uses the next path only after the previous one failed.
 //
-// The machine has no clock, input or output.
+// The package does no I/O and reads no clock: callers pass the current time.
 package detour
 
 import (
@@ -18,47 +18,47 @@
 )
 
 const (
-	// straightTime is how long the straight way has alone: some round trips between
-	// zones. A third of what an owner of limits has, so that a peer's answer comes in it.
-	straightTime = 20 * time.Millisecond
-	// peerTime is how long a peer has before the next one is asked as well: two round
-	// trips between zones and a little.
-	peerTime = 15 * time.Millisecond
-	// mostPeers of one question. When none of them reaches the process either, it is taken
-	// to be gone for all; where a third of the peers are cut off one question in 27 errs.
-	mostPeers = 3
-	// trialInterval is between two trials of a straight way that failed.
-	trialInterval = time.Second
-	// leastPause and mostPause of a peer that failed: from about what a process is
-	// suspended for at times, to what a restart takes.
-	leastPause = 250 * time.Millisecond
-	mostPause  = 8 * time.Second
-	// memory is how long what is not used is kept.
-	memory = time.Minute
+	// relayDelay is how long the direct path is used alone: several round trips between
+	// zones, and short enough that a relayed answer arrives within a caller's timeout.
+	relayDelay = 20 * time.Millisecond
+	// hedgeInterval is the delay between relays: a little more than two round trips between
+	// zones.
+	hedgeInterval = 15 * time.Millisecond
+	// maxRelays is the maximum number of relays per query. If none of them reaches the
+	// process, it is considered down.
+	maxRelays = 3
+	// probeInterval is the interval between probes of a failed direct path.
+	probeInterval = time.Second
+	// minBackoff and maxBackoff bound the backoff of a failed peer. They range from a short
+	// process suspension to a restart.
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 8 * time.Second
+	// idleTTL is how long unused state is kept.
+	idleTTL = time.Minute
 )
 
-// Way is one way to a process; the zero value is straight.
+// Way is a path to a process. The zero value is the direct path.
 type Way struct {
-	Via api.NodeID // the peer that passes the question on
+	Via api.NodeID // the relaying peer; empty for the direct path
 }
 
-// Straight tells whether no peer is on it.
+// Straight reports whether the path is direct.
 func (w Way) Straight() bool { return w.Via == "" }
 
-// Result is what became of a question by one way.
+// Result is the outcome of a query on one path.
 type Result int
 
-// The results.
+// Query results.
 const (
 	Answered  Result = iota + 1
-	Silent           // the process, or the peer on the way, did not answer
-	Unreached        // the peer answered: it does not reach the process
+	Silent           // the process or the relay did not answer
+	Unreached        // the relay answered that it cannot reach the process
 )
 
-// Fault is a planted defect; tests only.
+// Fault is a fault injected by tests.
 type Fault string
 
-// The planted defects.
+// Injected faults.
 const (
 	FaultNone     Fault = ""
 	FaultNoPeer   Fault = "no peer is asked"
@@ -67,95 +67,96 @@
 	FaultNoMemory Fault = "the peer that answered is forgotten"
 )
 
-// Ways is what one process knows of its ways to others.
+// Ways holds the state of one process's paths to others. It is not safe for concurrent use.
 type Ways struct {
-	targets map[api.NodeID]*target
-	peers   map[api.NodeID]*pause
-	sweptAt time.Time
-	fault   Fault
+	targets   map[api.NodeID]*target
+	backoffs  map[api.NodeID]*backoff
+	evictedAt time.Time
+	fault     Fault
 }
 
-// target is a process that is asked.
+// target is the path state of a queried process.
 type target struct {
-	failedAt time.Time // when the straight way last failed; zero: it did not since it worked
-	workedAt time.Time // when it last worked
-	trialAt  time.Time // when it is tried again
-	via      api.NodeID
-	changed  time.Time // when the way last changed; zero: never
-	cut      map[api.NodeID]*pause
-	usedAt   time.Time
+	failedAt    time.Time // last failure of the direct path; zero if it has succeeded since
+	succeededAt time.Time // last success of the direct path
+	probeAt     time.Time // time of the next probe
+	relay       api.NodeID
+	changedAt   time.Time               // last change between direct and relayed, or of the relay; zero if none
+	backoffs    map[api.NodeID]*backoff // of peers that cannot reach the process
+	lastUsed    time.Time
 }
 
-// pause is how long a peer is left alone.
-type pause struct {
-	until time.Time
-	last  time.Duration
+// backoff is the exponential backoff of a peer. A nil backoff is inactive.
+type backoff struct {
+	until    time.Time
+	duration time.Duration
 }
 
-// New knows nothing: every straight way is thought to work.
+// New returns a Ways that assumes every direct path to work.
 func New() *Ways {
-	return &Ways{targets: map[api.NodeID]*target{}, peers: map[api.NodeID]*pause{}}
+	return &Ways{targets: map[api.NodeID]*target{}, backoffs: map[api.NodeID]*backoff{}}
 }
 
-// Question is one that is under way.
+// Question is a query in flight.
 type Question struct {
-	ways   *Ways
-	target api.NodeID
-	begun  time.Time
-	trial  bool // of a straight way that failed
-	first  bool // a peer is taken first
-	asked  []Way
-	peers  int
+	ways       *Ways
+	target     api.NodeID
+	startedAt  time.Time
+	probe      bool // probes a failed direct path
+	relayFirst bool // starts with a relay
+	tried      []Way
+	relays     int
 }
 
-// Begin is a new question to a process. Only one that may be repeated tries a straight
-// way that failed again: nobody waits for that, since a peer is asked beside.
+// Begin starts a query to a process. Only a repeatable query probes a failed direct path,
+// since it is relayed at the same time and does not wait for the probe.
 func (w *Ways) Begin(now time.Time, id api.NodeID, repeatable bool) *Question {
-	w.sweep(now)
+	w.evictIdle(now)
 	t := w.target(now, id)
-	q := &Question{ways: w, target: id, begun: now}
+	q := &Question{ways: w, target: id, startedAt: now}
 	if !t.failedAt.IsZero() && w.fault != FaultNoPeer {
-		q.first = true
-		q.trial = repeatable && !now.Before(t.trialAt) && w.fault != FaultNoTrial
-		if q.trial {
-			t.trialAt = now.Add(trialInterval)
+		q.relayFirst = true
+		q.probe = repeatable && !now.Before(t.probeAt) && w.fault != FaultNoTrial
+		if q.probe {
+			t.probeAt = now.Add(probeInterval)
 		}
 	}
 	return q
 }
 
-// Next is the way to be tried now; peers lists those that may be on it, the best one
-// first, and is called only if one is needed. False: there is none any more.
+// Next returns the path to try now, or false if none is left. peers returns the possible
+// relays in order of preference and is called only if one is needed.
 func (q *Question) Next(now time.Time, peers func() []api.NodeID) (Way, bool) {
-	straight := slices.Contains(q.asked, Way{})
-	if !straight && (!q.first || q.trial) {
-		return q.take(Way{}), true
+	direct := slices.Contains(q.tried, Way{})
+	if !direct && (!q.relayFirst || q.probe) {
+		return q.use(Way{}), true
 	}
-	if q.ways.fault != FaultNoPeer && q.peers < mostPeers {
-		if peer, ok := q.peer(now, peers()); ok {
-			q.peers++
-			return q.take(Way{Via: peer}), true
+	if q.ways.fault != FaultNoPeer && q.relays < maxRelays {
+		if peer, ok := q.nextRelay(now, peers()); ok {
+			q.relays++
+			return q.use(Way{Via: peer}), true
 		}
 	}
-	if !straight && len(q.asked) == 0 {
-		return q.take(Way{}), true
+	if !direct && len(q.tried) == 0 {
+		return q.use(Way{}), true
 	}
 	return Way{}, false
 }
 
-func (q *Question) take(way Way) Way {
-	q.asked = append(q.asked, way)
+func (q *Question) use(way Way) Way {
+	q.tried = append(q.tried, way)
 	return way
 }
 
-// peer is the one that brought the last answer, else the first that is not left alone.
-func (q *Question) peer(now time.Time, peers []api.NodeID) (api.NodeID, bool) {
+// nextRelay returns the relay of the last answer if it is usable, else the first usable
+// peer.
+func (q *Question) nextRelay(now time.Time, peers []api.NodeID) (api.NodeID, bool) {
 	t := q.ways.target(now, q.target)
 	usable := func(id api.NodeID) bool {
-		return id != q.target && !slices.Contains(q.asked, Way{Via: id}) && !q.ways.peers[id].holds(now) && !t.cut[id].holds(now)
+		return id != q.target && !slices.Contains(q.tried, Way{Via: id}) && !q.ways.backoffs[id].active(now) && !t.backoffs[id].active(now)
 	}
-	if t.via != "" && usable(t.via) && slices.Contains(peers, t.via) {
-		return t.via, true
+	if t.relay != "" && usable(t.relay) && slices.Contains(peers, t.relay) {
+		return t.relay, true
 	}
 	i := slices.IndexFunc(peers, usable)
 	if i < 0 {
@@ -164,164 +165,163 @@
 	return peers[i], true
 }
 
-// Due is when the next way is tried if none has answered until then.
+// Due returns when to try the next path if no answer has arrived by then.
 func (q *Question) Due() time.Time {
 	switch {
-	case len(q.asked) == 0, q.trial && len(q.asked) == 1:
-		return q.begun
-	case !q.first:
-		return q.begun.Add(straightTime + time.Duration(len(q.asked)-1)*peerTime)
+	case len(q.tried) == 0, q.probe && len(q.tried) == 1:
+		return q.startedAt
+	case !q.relayFirst:
+		return q.startedAt.Add(relayDelay + time.Duration(len(q.tried)-1)*hedgeInterval)
 	}
-	return q.begun.Add(time.Duration(q.peers) * peerTime)
+	return q.startedAt.Add(time.Duration(q.relays) * hedgeInterval)
 }
 
-// Ended takes what became of the question by one way, and tells whether the process is
-// reached by another way from now on than before.
+// Ended records the result on one path. It reports whether the path to the process changed
+// between direct and relayed, or to another relay.
 func (q *Question) Ended(now time.Time, way Way, result Result) (changed bool) {
 	t := q.ways.target(now, q.target)
 	if way.Straight() {
-		return q.ways.straight(now, t, result)
+		return q.ways.recordDirect(now, t, result)
 	}
 	switch result {
 	case Answered:
-		delete(q.ways.peers, way.Via)
-		delete(t.cut, way.Via)
-		if q.ways.fault == FaultNoMemory || t.via == way.Via {
+		delete(q.ways.backoffs, way.Via)
+		delete(t.backoffs, way.Via)
+		if q.ways.fault == FaultNoMemory || t.relay == way.Via {
 			return false
 		}
-		if t.via == "" || q.ways.peers[t.via].holds(now) || t.cut[t.via].holds(now) {
-			t.via = way.Via
-			return t.change(now, !t.failedAt.IsZero())
+		if t.relay == "" || q.ways.backoffs[t.relay].active(now) || t.backoffs[t.relay].active(now) {
+			t.relay = way.Via
+			return t.markChanged(now, !t.failedAt.IsZero())
 		}
 	case Unreached:
-		delete(q.ways.peers, way.Via)
-		t.cut[way.Via] = t.cut[way.Via].longer(now, q.ways.fault)
+		delete(q.ways.backoffs, way.Via)
+		t.backoffs[way.Via] = t.backoffs[way.Via].extend(now, q.ways.fault)
 	case Silent:
-		q.ways.peers[way.Via] = q.ways.peers[way.Via].longer(now, q.ways.fault)
+		q.ways.backoffs[way.Via] = q.ways.backoffs[way.Via].extend(now, q.ways.fault)
 	}
 	return false
 }
 
-func (w *Ways) straight(now time.Time, t *target, result Result) (changed bool) {
+func (w *Ways) recordDirect(now time.Time, t *target, result Result) (changed bool) {
 	failed := !t.failedAt.IsZero()
 	if result == Answered {
-		t.failedAt, t.workedAt, t.via = time.Time{}, now, ""
-		return t.change(now, failed)
+		t.failedAt, t.succeededAt, t.relay = time.Time{}, now, ""
+		return t.markChanged(now, failed)
 	}
 	t.failedAt = now
 	if !failed {
-		t.trialAt = now.Add(trialInterval)
+		t.probeAt = now.Add(probeInterval)
 	}
-	return t.change(now, !failed)
+	return t.markChanged(now, !failed)
 }
 
-func (t *target) change(now time.Time, changed bool) bool {
+func (t *target) markChanged(now time.Time, changed bool) bool {
 	if changed {
-		t.changed = now
+		t.changedAt = now
 	}
 	return changed
 }
 
-// Reaches tells whether the straight way to a process is thought to work: a question of
-// another process is passed on only then. A way that failed is given a chance when the
-// failure is older than a trial.
+// Reaches reports whether the direct path to a process is assumed to work. Queries of
+// other processes are relayed only then. A failed path is tried again after probeInterval.
 func (w *Ways) Reaches(now time.Time, id api.NodeID) bool {
 	t := w.targets[id]
-	return t == nil || t.failedAt.IsZero() || now.Sub(t.failedAt) > trialInterval
+	return t == nil || t.failedAt.IsZero() || now.Sub(t.failedAt) > probeInterval
 }
 
-// Passed takes what became of a question of another process that was passed on, and tells
-// as Ended does.
+// Passed records the result of a query relayed for another process. It returns the same
+// as Question.Ended.
 func (w *Ways) Passed(now time.Time, id api.NodeID, result Result) (changed bool) {
-	return w.straight(now, w.target(now, id), result)
+	return w.recordDirect(now, w.target(now, id), result)
 }
 
-// Via is the peer through which a process is reached at present; empty: straight, or not
-// at all.
+// Via returns the peer that currently relays queries to a process. It is empty if the
+// direct path is in use or no path works.
 func (w *Ways) Via(id api.NodeID) api.NodeID {
 	t := w.targets[id]
 	if t == nil || t.failedAt.IsZero() {
 		return ""
 	}
-	return t.via
+	return t.relay
 }
 
-// Changed is when the way to a process last changed; zero: not that is known.
+// Changed returns when the path to a process last changed; zero if it never did.
 func (w *Ways) Changed(id api.NodeID) time.Time {
 	t := w.targets[id]
 	if t == nil {
 		return time.Time{}
 	}
-	return t.changed
+	return t.changedAt
 }
 
-// apartTime is for how long a straight way that worked, or failed, counts for Apart: over
-// the time between two trials.
-const apartTime = 2 * trialInterval
+// isolationWindow is how long a result of a direct path counts for Apart. It exceeds the
+// interval between probes.
+const isolationWindow = 2 * probeInterval
 
-// Apart tells whether this process reaches none of those that it asks: at least two
-// straight ways failed in the last moments, and none worked.
+// Apart reports whether this process appears to be isolated: at least two direct paths
+// failed within isolationWindow and none succeeded.
 func (w *Ways) Apart(now time.Time) bool {
 	failed := 0
 	for _, t := range w.targets {
 		switch {
-		case !t.failedAt.IsZero() && now.Sub(t.failedAt) < apartTime:
+		case !t.failedAt.IsZero() && now.Sub(t.failedAt) < isolationWindow:
 			failed++
-		case now.Sub(t.workedAt) < apartTime:
+		case now.Sub(t.succeededAt) < isolationWindow:
 			return false
 		}
 	}
 	return failed >= 2
 }
 
-func (p *pause) holds(now time.Time) bool { return p != nil && now.Before(p.until) }
+func (p *backoff) active(now time.Time) bool { return p != nil && now.Before(p.until) }
 
-// longer is the pause after one more failure.
-func (p *pause) longer(now time.Time, fault Fault) *pause {
+// extend returns the backoff after another failure.
+func (p *backoff) extend(now time.Time, fault Fault) *backoff {
 	if fault == FaultNoPause {
 		return nil
 	}
 	if p == nil {
-		p = &pause{}
+		p = &backoff{}
 	}
-	if p.holds(now) {
-		return p // another question failed at the same time
+	if p.active(now) {
+		return p // failure of a concurrent query
 	}
-	p.last = min(max(2*p.last, leastPause), mostPause)
-	p.until = now.Add(p.last)
+	p.duration = min(max(2*p.duration, minBackoff), maxBackoff)
+	p.until = now.Add(p.duration)
 	return p
 }
 
 func (w *Ways) target(now time.Time, id api.NodeID) *target {
 	t := w.targets[id]
 	if t == nil {
-		t = &target{cut: map[api.NodeID]*pause{}}
+		t = &target{backoffs: map[api.NodeID]*backoff{}}
 		w.targets[id] = t
 	}
-	t.usedAt = now
+	t.lastUsed = now
 	return t
 }
 
-// sweep forgets what was not used for long.
-func (w *Ways) sweep(now time.Time) {
-	if now.Sub(w.sweptAt) < memory {
+// evictIdle removes state that has not been used for idleTTL.
+func (w *Ways) evictIdle(now time.Time) {
+	if now.Sub(w.evictedAt) < idleTTL {
 		return
 	}
-	w.sweptAt = now
+	w.evictedAt = now
 	for id, t := range w.targets {
-		if now.Sub(t.usedAt) > memory {
+		if now.Sub(t.lastUsed) > idleTTL {
 			delete(w.targets, id)
 			continue
 		}
-		forget(now, t.cut)
+		evictExpired(now, t.backoffs)
 	}
-	forget(now, w.peers)
+	evictExpired(now, w.backoffs)
 }
 
-func forget(now time.Time, pauses map[api.NodeID]*pause) {
-	for id, p := range pauses {
-		if p == nil || now.Sub(p.until) > memory {
-			delete(pauses, id)
+func evictExpired(now time.Time, backoffs map[api.NodeID]*backoff) {
+	for id, p := range backoffs {
+		if p == nil || now.Sub(p.until) > idleTTL {
+			delete(backoffs, id)
 		}
 	}
 }
--- a/detour/detour_test.go
+++ b/detour/detour_test.go
@@ -11,21 +11,21 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-var start = time.Unix(1_700_000_000, 0)
+var testStart = time.Unix(1_700_000_000, 0)
 
 const ms = time.Millisecond
 
-// step is one thing that happens to a question or to Ways.
+// step is an event of a test case.
 type step struct {
 	at     time.Duration
-	do     string // ask: a new question; once: one that may not be repeated; next; straight, p, q, r: the end of that way
+	do     string // "ask": a new repeatable query; "once": a new non-repeatable query; "next": the next path; "straight", "p", "q", "r": the result of that path
 	result Result
-	want   string // of ask, once and next: the way, "none"
+	want   string // expected path of "ask", "once" and "next", or "none"
 	due    time.Duration
 }
 
-func TestWhomToAskNext(t *testing.T) {
-	// A straight way that failed, and the peer p that answered.
+func TestPathSelection(t *testing.T) {
+	// The direct path fails and p relays the answer.
 	cut := []step{
 		{at: 0, do: "ask", want: "straight"},
 		{at: 20 * ms, do: "next", want: "p"},
@@ -38,29 +38,29 @@
 		fault Fault
 		steps []step
 	}{
-		{"the straight way alone at first, then peers", "", []step{
+		{"direct path first, then relays", "", []step{
 			{at: 0, do: "ask", want: "straight", due: 20 * ms},
 			{at: 20 * ms, do: "next", want: "p", due: 35 * ms},
 			{at: 35 * ms, do: "next", want: "q", due: 50 * ms},
 			{at: 50 * ms, do: "next", want: "r"},
 			{at: 60 * ms, do: "next", want: "none"},
 		}},
-		{"the peer that answered, without the straight way", "", after(
+		{"relay of the last answer, without the direct path", "", after(
 			step{at: 100 * ms, do: "ask", want: "p", due: 115 * ms},
 			step{at: 115 * ms, do: "next", want: "q"},
 		)},
-		{"the straight way is tried beside it after a while", "", after(
+		{"periodic probe of the direct path beside the relay", "", after(
 			step{at: 1100 * ms, do: "ask", want: "straight", due: 1100 * ms},
 			step{at: 1100 * ms, do: "next", want: "p", due: 1115 * ms},
 			step{at: 1110 * ms, do: "ask", want: "p"},
 		)},
-		{"a question that may not be repeated is no trial", "", after(step{at: 1100 * ms, do: "once", want: "p"})},
-		{"straight again after a trial that was answered", "", after(
+		{"non-repeatable query does not probe", "", after(step{at: 1100 * ms, do: "once", want: "p"})},
+		{"direct path after a successful probe", "", after(
 			step{at: 1100 * ms, do: "ask", want: "straight"},
 			step{at: 1102 * ms, do: "straight", result: Answered},
 			step{at: 1110 * ms, do: "ask", want: "straight", due: 1130 * ms},
 		)},
-		{"a peer that is cut off as well is left alone", "", []step{
+		{"backoff of a peer that does not reach the process", "", []step{
 			{at: 0, do: "ask", want: "straight"},
 			{at: 20 * ms, do: "next", want: "p"},
 			{at: 22 * ms, do: "p", result: Unreached},
@@ -69,7 +69,7 @@
 			{at: 60 * ms, do: "straight", result: Silent},
 			{at: 100 * ms, do: "ask", want: "q"},
 		}},
-		{"the peer that answered is kept when a nearer one's pause is over", "", []step{
+		{"relay of the last answer preferred after the backoff of a nearer peer", "", []step{
 			{at: 0, do: "ask", want: "straight"},
 			{at: 20 * ms, do: "next", want: "p"},
 			{at: 35 * ms, do: "p", result: Silent},
@@ -78,7 +78,7 @@
 			{at: 60 * ms, do: "straight", result: Silent},
 			{at: 600 * ms, do: "ask", want: "q"},
 		}},
-		{"a peer that restarts is followed by another and comes back when that one fails", "", after(
+		{"failover to another relay and back", "", after(
 			step{at: 100 * ms, do: "ask", want: "p"},
 			step{at: 100 * ms, do: "p", result: Silent},
 			step{at: 100 * ms, do: "next", want: "q"},
@@ -87,7 +87,7 @@
 			step{at: 700 * ms, do: "q", result: Silent},
 			step{at: 700 * ms, do: "next", want: "p"},
 		)},
-		{"three peers that don't reach it either end the question", "", []step{
+		{"query ends after three unreachable relays", "", []step{
 			{at: 0, do: "ask", want: "straight"},
 			{at: 1 * ms, do: "straight", result: Silent},
 			{at: 1 * ms, do: "next", want: "p"},
@@ -98,7 +98,7 @@
 			{at: 4 * ms, do: "r", result: Unreached},
 			{at: 4 * ms, do: "next", want: "none"},
 		}},
-		{"no peer left: straight", "", []step{
+		{"direct path if all peers are in backoff", "", []step{
 			{at: 0, do: "ask", want: "straight"},
 			{at: 0, do: "next", want: "p"},
 			{at: 0, do: "next", want: "q"},
@@ -111,22 +111,22 @@
 			{at: 160 * ms, do: "s", result: Silent},
 			{at: 200 * ms, do: "ask", want: "straight"},
 		}},
-		{"planted: peers that fail are asked again at once", FaultNoPause, []step{
+		{"fault: no backoff", FaultNoPause, []step{
 			{at: 0, do: "ask", want: "straight"},
 			{at: 20 * ms, do: "next", want: "p"},
 			{at: 22 * ms, do: "p", result: Unreached},
 			{at: 60 * ms, do: "straight", result: Silent},
 			{at: 100 * ms, do: "ask", want: "p"},
 		}},
-		{"peers that failed are not asked again at once", "", []step{
+		{"backoff of a failed peer", "", []step{
 			{at: 0, do: "ask", want: "straight"},
 			{at: 20 * ms, do: "next", want: "p"},
 			{at: 22 * ms, do: "p", result: Unreached},
 			{at: 60 * ms, do: "straight", result: Silent},
 			{at: 100 * ms, do: "ask", want: "q"},
 		}},
-		{"planted: the straight way is not tried again", FaultNoTrial, after(step{at: 5000 * ms, do: "ask", want: "p"})},
-		{"planted: the peer that answered is forgotten", FaultNoMemory, []step{
+		{"fault: no probe", FaultNoTrial, after(step{at: 5000 * ms, do: "ask", want: "p"})},
+		{"fault: relay not remembered", FaultNoMemory, []step{
 			{at: 0, do: "ask", want: "straight"},
 			{at: 20 * ms, do: "next", want: "p"},
 			{at: 35 * ms, do: "p", result: Silent},
@@ -142,17 +142,17 @@
 			w.fault = test.fault
 			var q *Question
 			for i, s := range test.steps {
-				now := start.Add(s.at)
+				now := testStart.Add(s.at)
 				switch s.do {
 				case "ask", "once", "next":
 					if s.do != "next" {
 						q = w.Begin(now, "store", s.do == "ask")
 					}
-					if got := name(q.Next(now, func() []api.NodeID { return []api.NodeID{"p", "q", "r", "s"} })); got != s.want {
-						t.Fatalf("step %d: %s, not %s", i, got, s.want)
+					if got := pathName(q.Next(now, func() []api.NodeID { return []api.NodeID{"p", "q", "r", "s"} })); got != s.want {
+						t.Fatalf("step %d: path %s, want %s", i, got, s.want)
 					}
-					if s.due > 0 && !q.Due().Equal(start.Add(s.due)) {
-						t.Errorf("step %d: the next is due at %v, not %v", i, q.Due().Sub(start), s.due)
+					if s.due > 0 && !q.Due().Equal(testStart.Add(s.due)) {
+						t.Errorf("step %d: next path due at %v, want %v", i, q.Due().Sub(testStart), s.due)
 					}
 				case "straight":
 					q.Ended(now, Way{}, s.result)
@@ -164,7 +164,7 @@
 	}
 }
 
-func name(way Way, ok bool) string {
+func pathName(way Way, ok bool) string {
 	switch {
 	case !ok:
 		return "none"
@@ -174,44 +174,44 @@
 	return string(way.Via)
 }
 
-// A peer's pause grows with each failure that follows and ends with an answer.
-func TestThePauseOfAPeerGrows(t *testing.T) {
+// The backoff of a peer doubles with each failure and ends with an answer.
+func TestPeerBackoffGrows(t *testing.T) {
 	w := New()
-	now := start
+	now := testStart
 	for _, want := range []time.Duration{250 * ms, 500 * ms, 1000 * ms, 2000 * ms, 4000 * ms, 8000 * ms, 8000 * ms} {
 		q := w.Begin(now, "store", true)
 		q.Ended(now, Way{Via: "p"}, Silent)
 		q.Ended(now, Way{Via: "p"}, Silent)
-		if got := w.peers["p"].until.Sub(now); got != want {
-			t.Errorf("%v, not %v", got, want)
+		if got := w.backoffs["p"].until.Sub(now); got != want {
+			t.Errorf("backoff %v, want %v", got, want)
 		}
-		now = w.peers["p"].until
+		now = w.backoffs["p"].until
 	}
 	w.Begin(now, "store", true).Ended(now, Way{Via: "p"}, Answered)
-	if w.peers["p"].holds(now) {
-		t.Error("left alone after an answer")
+	if w.backoffs["p"].active(now) {
+		t.Error("backoff active after an answer")
 	}
 }
 
-func TestOnlyWhoReachesAProcessPassesQuestionsOn(t *testing.T) {
+func TestReachesAfterRelayedQueries(t *testing.T) {
 	w := New()
-	if !w.Reaches(start, "store") {
-		t.Error("nothing is known: not tried")
+	if !w.Reaches(testStart, "store") {
+		t.Error("unknown path not assumed to work")
 	}
-	w.Passed(start, "store", Silent)
-	if w.Reaches(start.Add(100*ms), "store") {
-		t.Error("passed on after a failure")
+	w.Passed(testStart, "store", Silent)
+	if w.Reaches(testStart.Add(100*ms), "store") {
+		t.Error("direct path used after a failure")
 	}
-	if !w.Reaches(start.Add(trialInterval+ms), "store") {
-		t.Error("never tried again")
+	if !w.Reaches(testStart.Add(probeInterval+ms), "store") {
+		t.Error("direct path not tried again")
 	}
-	w.Passed(start.Add(trialInterval+ms), "store", Answered)
-	if !w.Reaches(start.Add(trialInterval+2*ms), "store") {
-		t.Error("not passed on after an answer")
+	w.Passed(testStart.Add(probeInterval+ms), "store", Answered)
+	if !w.Reaches(testStart.Add(probeInterval+2*ms), "store") {
+		t.Error("direct path not used after an answer")
 	}
 }
 
-func TestPeersOfTheOwnZoneAndOfOthersByTurns(t *testing.T) {
+func TestPeersAlternateBetweenZones(t *testing.T) {
 	at := func(region, zone string) api.Location {
 		return api.Location{Region: api.RegionName(region), Zone: api.ZoneName(zone)}
 	}
@@ -237,7 +237,7 @@
 			t.Errorf("%s at %d", id, i)
 		}
 	}
-	// Those that are cut off together ask different peers first.
+	// Processes in the same zone start with different peers.
 	var zone []api.Node
 	for i := range 12 {
 		zone = append(zone, node(fmt.Sprint(i), at("r", "a")))
@@ -247,15 +247,14 @@
 		first[Peers(each, zone)[0]]++
 	}
 	if len(first) < 6 {
-		t.Errorf("12 processes ask %d different peers first", len(first))
+		t.Errorf("12 processes start with %d different peers", len(first))
 	}
 }
 
-// Whatever ends how: no way is taken twice, a question ends, and a process that is
-// reached straight is asked straight.
-func TestQuestionsEnd(t *testing.T) {
+// No path is tried twice, every query ends, and a working direct path is used.
+func TestQueriesEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w, now := New(), start
+		w, now := New(), testStart
 		peers := []api.NodeID{"p", "q", "r", "s", "t"}
 		for range rapid.IntRange(1, 30).Draw(t, "questions") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * ms)
@@ -266,7 +265,7 @@
 				if !ok {
 					break
 				}
-				if seen[way] || len(seen) > mostPeers {
+				if seen[way] || len(seen) > maxRelays {
 					t.Fatalf("%v after %v", way, seen)
 				}
 				seen[way] = true
@@ -277,24 +276,24 @@
 				q.Ended(now, way, result)
 			}
 			if len(seen) == 0 {
-				t.Fatal("nobody is asked")
+				t.Fatal("no path tried")
 			}
 			w.Passed(now, "other", Answered)
 		}
-		now = now.Add(2 * trialInterval)
+		now = now.Add(2 * probeInterval)
 		q := w.Begin(now, "store", true)
 		if way, _ := q.Next(now, func() []api.NodeID { return peers }); way.Straight() {
 			q.Ended(now, way, Answered)
 		} else {
-			t.Fatalf("%v: the straight way is not tried after 2 s", way)
+			t.Fatalf("path %v, want a probe of the direct path after 2 s", way)
 		}
 		if via := w.Via("store"); via != "" {
-			t.Fatalf("still through %s", via)
+			t.Fatalf("still relayed by %s", via)
 		}
 	})
 }
 
-func TestAProcessThatReachesNobodyIsApart(t *testing.T) {
+func TestApart(t *testing.T) {
 	type end struct {
 		at     time.Duration
 		target api.NodeID
@@ -306,37 +305,37 @@
 		at   time.Duration
 		want bool
 	}{
-		{"nothing is known", nil, 0, false},
-		{"one that does not answer", []end{{0, "a", Silent}, {0, "a", Silent}}, 0, false},
-		{"two that don't", []end{{0, "a", Silent}, {0, "b", Silent}}, 0, true},
-		{"a third one answers", []end{{0, "a", Silent}, {0, "b", Silent}, {0, "c", Answered}}, 0, false},
-		{"it answered long ago", []end{{0, "c", Answered}, {2500 * ms, "a", Silent}, {2500 * ms, "b", Silent}}, 2500 * ms, true},
-		{"one answers again", []end{{0, "a", Silent}, {0, "b", Silent}, {500 * ms, "a", Answered}}, 500 * ms, false},
-		{"long ago", []end{{0, "a", Silent}, {0, "b", Silent}}, 2500 * ms, false},
+		{"no results", nil, 0, false},
+		{"one target fails", []end{{0, "a", Silent}, {0, "a", Silent}}, 0, false},
+		{"two targets fail", []end{{0, "a", Silent}, {0, "b", Silent}}, 0, true},
+		{"a third target answers", []end{{0, "a", Silent}, {0, "b", Silent}, {0, "c", Answered}}, 0, false},
+		{"expired success", []end{{0, "c", Answered}, {2500 * ms, "a", Silent}, {2500 * ms, "b", Silent}}, 2500 * ms, true},
+		{"one target recovers", []end{{0, "a", Silent}, {0, "b", Silent}, {500 * ms, "a", Answered}}, 500 * ms, false},
+		{"expired failures", []end{{0, "a", Silent}, {0, "b", Silent}}, 2500 * ms, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			w := New()
 			for _, e := range test.ends {
-				now := start.Add(e.at)
+				now := testStart.Add(e.at)
 				w.Begin(now, e.target, true).Ended(now, Way{}, e.result)
 			}
-			if got := w.Apart(start.Add(test.at)); got != test.want {
+			if got := w.Apart(testStart.Add(test.at)); got != test.want {
 				t.Errorf("%t", got)
 			}
 		})
 	}
 }
 
-func TestWhatIsNotUsedIsForgotten(t *testing.T) {
+func TestIdleStateIsEvicted(t *testing.T) {
 	w := New()
 	for i := range 500 {
-		q := w.Begin(start, api.NodeID(fmt.Sprint("store-", i)), true)
-		q.Ended(start, Way{}, Silent)
-		q.Ended(start, Way{Via: api.NodeID(fmt.Sprint("peer-", i))}, Silent)
+		q := w.Begin(testStart, api.NodeID(fmt.Sprint("store-", i)), true)
+		q.Ended(testStart, Way{}, Silent)
+		q.Ended(testStart, Way{Via: api.NodeID(fmt.Sprint("peer-", i))}, Silent)
 	}
-	w.Begin(start.Add(memory+2*time.Second), "store", true)
-	if len(w.targets) != 1 || len(w.peers) != 0 {
-		t.Errorf("%d processes and %d peers kept", len(w.targets), len(w.peers))
+	w.Begin(testStart.Add(idleTTL+2*time.Second), "store", true)
+	if len(w.targets) != 1 || len(w.backoffs) != 0 {
+		t.Errorf("%d targets and %d peers kept", len(w.targets), len(w.backoffs))
 	}
 }
--- a/detour/peers.go
+++ b/detour/peers.go
@@ -8,27 +8,27 @@
 	"github.com/dykewing/dykewing/placement"
 )
 
-// Peers lists the processes of this one's role that may pass a question on: one of its own
-// zone first, then one of another by turns, its region's before others, since what cuts
-// a process off may cut off its zone. Among equals each process has an order of its own, so
-// that those that are cut off together ask different ones.
+// Peers lists the processes of this one's role that may relay a query, in order of
+// preference. It alternates between the own zone and others, those in the own region first,
+// since an outage may affect the whole zone. Ties are broken by a hash that differs per
+// process, so that processes isolated together start with different peers.
 func Peers(self api.Node, view []api.Node) []api.NodeID {
 	type candidate struct {
-		id    api.NodeID
-		away  int
-		score uint64
+		id       api.NodeID
+		distance int
+		score    uint64
 	}
 	var list []candidate
 	for _, node := range view {
 		if node.ID == self.ID || node.Role != self.Role || node.Suspected || node.Leaving {
 			continue
 		}
-		list = append(list, candidate{node.ID, away(self.Location, node.Location), placement.Score(string(self.ID), node.ID)})
+		list = append(list, candidate{node.ID, distance(self.Location, node.Location), placement.Score(string(self.ID), node.ID)})
 	}
 	slices.SortFunc(list, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.away, b.away), cmp.Compare(b.score, a.score), cmp.Compare(a.id, b.id))
+		return cmp.Or(cmp.Compare(a.distance, b.distance), cmp.Compare(b.score, a.score), cmp.Compare(a.id, b.id))
 	})
-	far := slices.IndexFunc(list, func(c candidate) bool { return c.away > 0 })
+	far := slices.IndexFunc(list, func(c candidate) bool { return c.distance > 0 })
 	if far < 0 {
 		far = len(list)
 	}
@@ -44,7 +44,7 @@
 	return ids
 }
 
-func away(a, b api.Location) int {
+func distance(a, b api.Location) int {
 	switch {
 	case a == b:
 		return 0
--- a/detour/replay_test.go
+++ b/detour/replay_test.go
@@ -14,30 +14,30 @@
 	"github.com/dykewing/dykewing/route"
 )
 
-// fleet replays a cut: some frontends lose all stores for a while, the others keep them,
-// and the frontends reach each other. Each tenant's requests come at any frontend.
+// fleet replays a partition: for a while some frontends cannot reach any store, while all
+// frontends reach each other. The requests of each tenant arrive at random frontends.
 type fleet struct {
 	random    *rand.Rand
 	frontends []*frontend
-	view      []api.Node // all of them
+	members   []api.Node // all frontends
 	stores    []api.Node
 	owners    map[api.NodeID]*ratelimit.Owner
 	sequence  uint64
 }
 
 type frontend struct {
-	node   api.Node
-	cut    bool
-	ways   *Ways
-	holder *ratelimit.Holder
+	node     api.Node
+	isolated bool
+	ways     *Ways
+	holder   *ratelimit.Holder
 }
 
 const (
-	cutAt  = 10 * time.Second
-	cutTo  = 14 * time.Second
-	length = 18 * time.Second
-	within = 60 * ms // for an owner
-	trip   = 2 * ms  // there and back
+	outageStart  = 10 * time.Second
+	outageEnd    = 14 * time.Second
+	replayLength = 18 * time.Second
+	ownerTimeout = 60 * ms // timeout for an answer of an owner
+	roundTrip    = 2 * ms
 )
 
 var tolerance = ratelimit.Tolerance{Window: 5 * time.Second, Overshoot: 0.1, Allowance: 20}
@@ -52,68 +52,68 @@
 	for i := range 30 {
 		zone := api.ZoneName(fmt.Sprint(i % 3))
 		each := &frontend{
-			node: api.Node{ID: api.NodeID(fmt.Sprint("frontend-", i)), Role: api.RoleFrontend, Location: api.Location{Zone: zone}},
-			cut:  cut(i), ways: New(), holder: ratelimit.NewHolder(tolerance),
+			node:     api.Node{ID: api.NodeID(fmt.Sprint("frontend-", i)), Role: api.RoleFrontend, Location: api.Location{Zone: zone}},
+			isolated: cut(i), ways: New(), holder: ratelimit.NewHolder(tolerance),
 		}
 		each.ways.fault = fault
 		f.frontends = append(f.frontends, each)
-		f.view = append(f.view, each.node)
+		f.members = append(f.members, each.node)
 	}
 	return f
 }
 
 func (f *fleet) reaches(by *frontend, at time.Duration) bool {
-	return !by.cut || at < cutAt || at >= cutTo
+	return !by.isolated || at < outageStart || at >= outageEnd
 }
 
-// end is how a way ends.
-type end struct {
+// pathResult is the result of a query on one path.
+type pathResult struct {
 	at     time.Duration
 	way    Way
 	result Result
 	grant  ratelimit.Grant
 }
 
-// send asks by one way, from at on, and gives how it ends; last is when the answer is of
-// no use any more.
-func (f *fleet) send(by *frontend, way Way, owner api.NodeID, ask ratelimit.Ask, at, last time.Duration) end {
+// send sends a query on one path at the given time. An answer later than last is useless.
+func (f *fleet) send(by *frontend, way Way, owner api.NodeID, ask ratelimit.Ask, at, last time.Duration) pathResult {
 	step := func(reached time.Duration) ratelimit.Grant {
-		return f.owners[owner].Step(start.Add(reached), ask, false)
+		return f.owners[owner].Step(testStart.Add(reached), ask, false)
 	}
 	if way.Straight() {
 		if !f.reaches(by, at) {
-			return end{at: last, way: way, result: Silent}
+			return pathResult{at: last, way: way, result: Silent}
 		}
-		return end{at: at + trip, way: way, result: Answered, grant: step(at + trip/2)}
+		return pathResult{at: at + roundTrip, way: way, result: Answered, grant: step(at + roundTrip/2)}
 	}
 	peer := f.frontends[slices.IndexFunc(f.frontends, func(other *frontend) bool { return other.node.ID == way.Via })]
-	now := start.Add(at + trip/2)
+	now := testStart.Add(at + roundTrip/2)
 	switch {
 	case !peer.ways.Reaches(now, owner):
-		return end{at: at + trip, way: way, result: Unreached}
+		return pathResult{at: at + roundTrip, way: way, result: Unreached}
 	case !f.reaches(peer, at):
 		peer.ways.Passed(now, owner, Silent)
-		return end{at: max(last-10*ms, at) + trip/2, way: way, result: Unreached}
+		return pathResult{at: max(last-10*ms, at) + roundTrip/2, way: way, result: Unreached}
 	}
 	peer.ways.Passed(now, owner, Answered)
-	return end{at: at + 2*trip, way: way, result: Answered, grant: step(at + trip)}
+	return pathResult{at: at + 2*roundTrip, way: way, result: Answered, grant: step(at + roundTrip)}
 }
 
-// ask is one question to an owner; false: no answer until took is over.
-func (f *fleet) ask(by *frontend, owner api.NodeID, ask ratelimit.Ask, from time.Duration) (grant ratelimit.Grant, took time.Duration, ok bool) {
-	q, at, last := by.ways.Begin(start.Add(from), owner, true), from, from+within
-	var open []end
+// query sends one query to an owner. It returns false if there was no answer before the
+// timeout.
+func (f *fleet) query(by *frontend, owner api.NodeID, ask ratelimit.Ask, from time.Duration) (grant ratelimit.Grant, took time.Duration, ok bool) {
+	q, at, last := by.ways.Begin(testStart.Add(from), owner, true), from, from+ownerTimeout
+	var open []pathResult
 	more := true
 	next := func() {
 		var way Way
-		if way, more = q.Next(start.Add(at), func() []api.NodeID { return Peers(by.node, f.view) }); more {
+		if way, more = q.Next(testStart.Add(at), func() []api.NodeID { return Peers(by.node, f.members) }); more {
 			open = append(open, f.send(by, way, owner, ask, at, last))
 		}
 	}
 	next()
 	for more || len(open) > 0 {
-		slices.SortStableFunc(open, func(a, b end) int { return cmp.Compare(a.at, b.at) })
-		due := q.Due().Sub(start)
+		slices.SortStableFunc(open, func(a, b pathResult) int { return cmp.Compare(a.at, b.at) })
+		due := q.Due().Sub(testStart)
 		if more && (len(open) == 0 || due <= open[0].at) {
 			at = max(at, due)
 			next()
@@ -121,36 +121,36 @@
 		}
 		first := open[0]
 		open, at = open[1:], first.at
-		q.Ended(start.Add(at), first.way, first.result)
+		q.Ended(testStart.Add(at), first.way, first.result)
 		if first.result == Answered && !ok {
 			grant, took, ok, more = first.grant, at-from, true, false
 		} else if more {
 			next()
 		}
 	}
-	return grant, cmp.Or(took, within), ok
+	return grant, cmp.Or(took, ownerTimeout), ok
 }
 
-// asked is what became of one request.
-type asked struct {
-	at, took time.Duration
-	tenant   int
-	admitted bool
-	alone    bool
-	straight bool
+// requestResult is the outcome of one request.
+type requestResult struct {
+	at, took       time.Duration
+	tenant         int
+	admitted       bool
+	decidedLocally bool
+	direct         bool
 }
 
-func (f *fleet) request(at time.Duration, tenant int, limit route.Limit) asked {
+func (f *fleet) request(at time.Duration, tenant int, limit route.Limit) requestResult {
 	by := f.frontends[f.random.IntN(len(f.frontends))]
-	name, result := fmt.Sprint("tenant-", tenant), asked{at: at, tenant: tenant}
-	decision, _ := by.holder.Arrive(start.Add(at), name)
+	name, result := fmt.Sprint("tenant-", tenant), requestResult{at: at, tenant: tenant}
+	decision, _ := by.holder.Arrive(testStart.Add(at), name)
 	if decision != ratelimit.Query {
 		result.admitted = decision == ratelimit.Admit
 		return result
 	}
 	tried := 0
 	for _, owner := range placement.Stores(name, f.stores) {
-		now := start.Add(at + result.took)
+		now := testStart.Add(at + result.took)
 		if tried == 2 || !by.holder.Usable(now, string(owner.ID)) {
 			continue
 		}
@@ -158,29 +158,29 @@
 		question := by.holder.Ask(now, string(owner.ID), name, limit, 1, 1)
 		f.sequence++
 		question.Holder, question.Sequence = string(by.node.ID), f.sequence
-		grant, took, ok := f.ask(by, owner.ID, question, at+result.took)
+		grant, took, ok := f.query(by, owner.ID, question, at+result.took)
 		result.took += took
-		now = start.Add(at + result.took)
+		now = testStart.Add(at + result.took)
 		if ok {
-			result.straight = by.ways.Via(owner.ID) == ""
+			result.direct = by.ways.Via(owner.ID) == ""
 			result.admitted = by.holder.Granted(now, string(owner.ID), question, grant, 1) == 1
 			return result
 		}
 		by.holder.Silent(now, string(owner.ID), name)
 	}
-	result.alone = true
-	result.admitted = by.holder.Alone(start.Add(at+result.took), name, limit, len(f.frontends), f.random.Float64())
+	result.decidedLocally = true
+	result.admitted = by.holder.Alone(testStart.Add(at+result.took), name, limit, len(f.frontends), f.random.Float64())
 	return result
 }
 
-// run plays 40 tenants of 8 requests a second under a limit of 1.6 times that; the first
-// one sends 7.5 times its usual while the cut lasts.
-func (f *fleet) run() (all []asked) {
+// run replays 40 tenants with 8 requests a second each and a limit of 1.6 times that. The
+// first tenant sends 7.5 times its usual rate during the outage.
+func (f *fleet) run() (all []requestResult) {
 	limit := route.Limit{Rate: 12.8, Burst: 12.8}
-	for now := time.Duration(0); now < length; now += ms {
+	for now := time.Duration(0); now < replayLength; now += ms {
 		for tenant := range 40 {
 			rate := 8.0
-			if tenant == 0 && now >= cutAt && now < cutTo {
+			if tenant == 0 && now >= outageStart && now < outageEnd {
 				rate *= 7.5
 			}
 			if f.random.Float64() < rate/1000 {
@@ -191,49 +191,48 @@
 	return all
 }
 
-// The load: a third of the frontends reach no owner while a tenant is hot. Through peers
-// hardly a request is decided without an owner, the answer comes in time, the hot
-// tenant stays within its bound, and all go straight again soon after.
-func TestACutFromTheOwnersIsPassedRound(t *testing.T) {
+// Guards against local rate-limit decisions, late answers and exceeded limits while a
+// third of the frontends reach no owner and one tenant is over its limit.
+func TestQueriesAreRelayedDuringPartition(t *testing.T) {
 	limit := route.Limit{Rate: 12.8, Burst: 12.8}
-	anywhere := func(i int) bool { return i < 10 }
+	third := func(i int) bool { return i < 10 }
 	zone := func(i int) bool { return i%3 == 0 }
 	tests := []struct {
 		name  string
 		cut   func(i int) bool
 		fault Fault
-		seen  string // what the plant shows
+		check string // the check that must fail under the fault
 	}{
-		{"a third of each zone", anywhere, FaultNone, ""},
+		{"a third of each zone", third, FaultNone, ""},
 		{"a whole zone", zone, FaultNone, ""},
-		{"planted: no peer", anywhere, FaultNoPeer, "alone"},
-		{"planted: no trial", anywhere, FaultNoTrial, "straight"},
+		{"fault: no relay", third, FaultNoPeer, "local"},
+		{"fault: no probe", third, FaultNoTrial, "relayed"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			during, alone, refused, late, bent := 0, 0, 0, 0, 0
+			during, local, rejected, late, relayed := 0, 0, 0, 0, 0
 			worst := 0
 			for seed := range uint64(3) {
 				var hot []time.Duration
 				for _, each := range newFleet(seed, test.cut, test.fault).run() {
-					if each.took > 2*within {
+					if each.took > 2*ownerTimeout {
 						t.Errorf("decided after %v", each.took)
 					}
 					if each.tenant == 0 && each.admitted {
 						hot = append(hot, each.at)
 					}
-					if each.at >= cutTo+1500*ms && each.took > 0 && !each.straight {
-						bent++
+					if each.at >= outageEnd+1500*ms && each.took > 0 && !each.direct {
+						relayed++
 					}
-					if each.tenant == 0 || each.at < cutAt+100*ms || each.at >= cutTo {
+					if each.tenant == 0 || each.at < outageStart+100*ms || each.at >= outageEnd {
 						continue
 					}
 					during++
-					if each.alone {
-						alone++
+					if each.decidedLocally {
+						local++
 					}
 					if !each.admitted {
-						refused++
+						rejected++
 					}
 					if each.took > 25*ms {
 						late++
@@ -249,21 +248,21 @@
 					worst = max(worst, n)
 				}
 			}
-			t.Logf("%d requests of calm tenants in the cut: %d alone, %d refused, %d over 25 ms; hot %d in a window of %.0f; %d not straight after",
-				during, alone, refused, late, worst, tolerance.Bound(limit), bent)
+			t.Logf("%d requests of other tenants during the outage: %d decided locally, %d rejected, %d over 25 ms; hot tenant %d in a window of %.0f; %d relayed afterwards",
+				during, local, rejected, late, worst, tolerance.Bound(limit), relayed)
 			failed := map[string]bool{
-				"alone": alone*100 > during, "refused": refused*100 > during, "slow": late*20 > during,
-				"bound": worst > int(tolerance.Bound(limit)), "straight": bent > 0,
+				"local": local*100 > during, "rejected": rejected*100 > during, "slow": late*20 > during,
+				"bound": worst > int(tolerance.Bound(limit)), "relayed": relayed > 0,
 			}
-			if test.seen != "" {
-				if !failed[test.seen] {
-					t.Errorf("the plant is not seen")
+			if test.check != "" {
+				if !failed[test.check] {
+					t.Errorf("injected fault not detected")
 				}
 				return
 			}
 			for what, bad := range failed {
 				if bad {
-					t.Errorf("failed: %s", what)
+					t.Errorf("check failed: %s", what)
 				}
 			}
 		})
