--- a/overload/overload.go
+++ b/overload/overload.go
@@ -1,9 +1,10 @@
-// Package overload decides, for one request that finds no free slot, whether it waits or
-// is refused at once with when to return. It answers the load in which more callers
-// come than slots: without it everybody waits until nearly everybody is late.
+// Package overload decides whether a request that finds no free slot waits or is rejected at
+// once with a time to retry. Without admission control, under overload all requests queue
+// until nearly all miss their objective.
 //
-// A Line is what one process observes of one service: how long a slot is held, how many
-// there are, who comes, and who was told to return. It has no clock, input or output.
+// A Line is one process's view of one service: slot holding times, number of slots,
+// arrivals, and promised retries. It does no I/O and reads no clock: callers pass the
+// current time.
 package overload
 
 import (
@@ -15,286 +16,293 @@
 )
 
 const (
-	// slotsMemory smooths the number of slots: a worker that turned a request away is
-	// left out for a moment and has its slots all the same.
-	slotsMemory = 200 * time.Millisecond
-	// holdingMemory is over how long the time that a slot is held is averaged: some
-	// holdings, so that it follows workers that turn slow.
-	holdingMemory = 2 * time.Second
-	// leastWaited is how long requests have waited, within momentMemory, from when on the
-	// slots that they were given tell the rate.
-	leastWaited = 200 * time.Millisecond
-	// leastEnds is from how many ends on, within holdingMemory, that time is known.
-	leastEnds = 4
-	// momentMemory of who comes says what requests that come later will take now.
-	momentMemory = time.Second
-	// seasonMemory of who comes says what they leave to late ones: longer than a caller
-	// waits, so that a late one is kept through a rise that a fall follows.
-	seasonMemory = 10 * time.Second
-	// sure is the share of the time left that the expected wait may take when a request
-	// begins to wait: holdings and first events differ, and one that is let in and then
-	// late is worse off than one refused. Slots stay busy by a far shorter queue. Of 0.2,
-	// 0.4, 0.6 and 0.8 the best in time on each load of reservation's replay but one.
-	sure = 0.4
-	// leastLeft of the slots is counted on for those told to return and for less urgent
-	// ones, however many come; without it their time would have no bound.
-	leastLeft = 0.1
+	// slotsDecay is the time constant that smooths the slot count, since a worker that
+	// rejected a request is excluded for a moment but keeps its slots.
+	slotsDecay = 200 * time.Millisecond
+	// holdTimeDecay is the time constant of the average slot holding time. It spans a few
+	// holding times, to follow workers that slow down.
+	holdTimeDecay = 2 * time.Second
+	// minWaited is the decayed waiting time from which the observed placements bound the
+	// rate.
+	minWaited = 200 * time.Millisecond
+	// minEnded is the decayed number of finished requests from which the holding time is
+	// known.
+	minEnded = 4
+	// shortDecay is the time constant of the current arrival rate.
+	shortDecay = time.Second
+	// longDecay is the time constant of the rate of on-time placements, which limits the
+	// slots left to late requests. It exceeds the time that a caller waits, so that late
+	// requests are kept through a short peak.
+	longDecay = 10 * time.Second
+	// maxWaitShare is the fraction of the remaining time that the expected wait may take
+	// when a request is queued. It leaves room for variance: a request that is queued and
+	// then late is worse off than one rejected, and a far shorter queue keeps the slots
+	// busy.
+	maxWaitShare = 0.4
+	// minSpareShare is the fraction of the rate always left to retries and less urgent
+	// requests, so that their expected wait is bounded.
+	minSpareShare = 0.1
 )
 
-// Line is one service's, as one process sees it. The zero value is ready.
+// Line is the load state of one service as seen by one process. The zero value is ready to
+// use. It is not safe for concurrent use.
 type Line struct {
-	at    time.Time
-	slots float64
-	held  int
-	area  float64  // slot-seconds held, within holdingMemory
-	ends  float64  // within holdingMemory
-	ranks []ranked // ascending
+	at          time.Time
+	slots       float64
+	held        int
+	slotSeconds float64     // slot-seconds held, decayed by holdTimeDecay
+	ended       float64     // finished requests, decayed by holdTimeDecay
+	ranks       []rankState // in ascending order of rank
 
-	waits    bool // since waitedAt
-	waitedAt time.Time
-	waited   float64 // seconds in which requests waited, within momentMemory
-	given    float64 // slots given then
+	waiting       bool // requests are queued, as of waitingAt
+	waitingAt     time.Time
+	waited        float64 // seconds with queued requests, decayed by shortDecay
+	placedWaiting float64 // placements during that time
 }
 
-// ranked is what is known of one rank: its first tries, and those told to return.
-type ranked struct {
-	rank           hold.Rank
-	moment, season rate
-	returns        returns
+// rankState is the state of one rank: its first attempts and its promised retries.
+type rankState struct {
+	rank             hold.Rank
+	arrivals, onTime rate
+	retries          retrySchedule
 }
 
-// Observe takes how many slots there are, how many of them requests hold, and how
-// many requests have ended since the last time.
+// Observe records the number of slots, how many are held, and how many requests have ended
+// since the last call.
 func (l *Line) Observe(now time.Time, slots, held, ended int) {
-	passed := now.Sub(l.at)
+	elapsed := now.Sub(l.at)
 	if l.at.IsZero() {
-		passed = 0
+		elapsed = 0
 	}
 	if l.slots == 0 {
 		l.slots = float64(slots)
 	}
-	passed = max(passed, 0)
-	fade := fading(passed, holdingMemory)
-	l.area = l.area*fade + float64(l.held)*passed.Seconds()
-	l.ends = l.ends*fade + float64(ended)
-	l.slots += (float64(slots) - l.slots) * (1 - fading(passed, slotsMemory))
+	elapsed = max(elapsed, 0)
+	factor := decay(elapsed, holdTimeDecay)
+	l.slotSeconds = l.slotSeconds*factor + float64(l.held)*elapsed.Seconds()
+	l.ended = l.ended*factor + float64(ended)
+	l.slots += (float64(slots) - l.slots) * (1 - decay(elapsed, slotsDecay))
 	l.at, l.held = now, held
 }
 
-// Waits notes whether requests wait from now on.
+// Waits sets whether requests are queued from now on.
 func (l *Line) Waits(now time.Time, waits bool) {
-	passed := max(now.Sub(l.waitedAt), 0)
-	if l.waitedAt.IsZero() {
-		passed = 0
+	elapsed := max(now.Sub(l.waitingAt), 0)
+	if l.waitingAt.IsZero() {
+		elapsed = 0
 	}
-	fade := fading(passed, momentMemory)
-	l.waited, l.given = l.waited*fade, l.given*fade
-	if l.waits {
-		l.waited += passed.Seconds()
+	factor := decay(elapsed, shortDecay)
+	l.waited, l.placedWaiting = l.waited*factor, l.placedWaiting*factor
+	if l.waiting {
+		l.waited += elapsed.Seconds()
 	}
-	l.waits, l.waitedAt = waits, now
+	l.waiting, l.waitingAt = waits, now
 }
 
-// Rate is how many slots come free a second when all are held (Little's law: slots over
-// the time that one is held), and no more than were given while requests waited: some
-// slots come free that can't be given. False while too little has been seen: unknown, not
-// small.
+// Rate returns how many slots become free per second when all are held (Little's law: the
+// slots divided by the mean holding time), limited to the placements made while requests
+// were queued, since some free slots cannot be used. It returns false if there are too few
+// observations; the rate is then unknown, not low.
 func (l *Line) Rate() (float64, bool) {
-	if l.ends < leastEnds || l.area <= 0 {
+	if l.ended < minEnded || l.slotSeconds <= 0 {
 		return 0, false
 	}
-	rate := l.slots * l.ends / l.area
-	if l.waited >= leastWaited.Seconds() {
-		rate = min(rate, max(l.given, 1)/l.waited)
+	rate := l.slots * l.ended / l.slotSeconds
+	if l.waited >= minWaited.Seconds() {
+		rate = min(rate, max(l.placedWaiting, 1)/l.waited)
 	}
 	return rate, true
 }
 
-// Arrived notes a first try.
+// Arrived records the first attempt of a request.
 func (l *Line) Arrived(now time.Time, rank hold.Rank) {
-	l.of(now, rank).moment.add(now, momentMemory)
+	l.state(now, rank).arrivals.add(now, shortDecay)
 }
 
-// Placed notes that a request got a slot, in time or not.
+// Placed records that a request got a slot, and whether it did in time.
 func (l *Line) Placed(now time.Time, rank hold.Rank, inTime bool) {
 	if inTime {
-		l.of(now, rank).season.add(now, seasonMemory)
+		l.state(now, rank).onTime.add(now, longDecay)
 	}
-	if l.waits {
-		l.given++
+	if l.waiting {
+		l.placedWaiting++
 	}
 }
 
-// Claim gives the slot that one who returns was told of, if that is well before its
-// last moment; the promise is taken.
+// Claim redeems the oldest promise of a rank for a retry and returns the time of its slot.
+// It returns false if the slot is due less than claimMargin before last, the time left to
+// start.
 func (l *Line) Claim(now time.Time, rank hold.Rank, last time.Duration) (time.Time, bool) {
-	return l.of(now, rank).returns.claim(now, now.Add(last-claimMargin))
+	return l.state(now, rank).retries.claim(now, now.Add(last-claimMargin))
 }
 
-// Told is how many promises are kept.
+// Told returns the number of open promises.
 func (l *Line) Told() (n int) {
 	for i := range l.ranks {
-		n += len(l.ranks[i].returns.promises)
+		n += len(l.ranks[i].retries.promises)
 	}
 	return n
 }
 
-// of gives a rank's entry; ranks of which nobody comes any more are forgotten.
-func (l *Line) of(now time.Time, rank hold.Rank) *ranked {
-	compare := func(r ranked, rank hold.Rank) int { return r.rank.Compare(rank) }
+// state returns the state of a rank and creates it if needed, evicting inactive ranks.
+func (l *Line) state(now time.Time, rank hold.Rank) *rankState {
+	compare := func(r rankState, rank hold.Rank) int { return r.rank.Compare(rank) }
 	i, found := slices.BinarySearchFunc(l.ranks, rank, compare)
 	if !found {
-		l.ranks = slices.DeleteFunc(l.ranks, func(r ranked) bool {
-			return r.moment.value(now, momentMemory) < forgotten && len(r.returns.promises) == 0
+		l.ranks = slices.DeleteFunc(l.ranks, func(r rankState) bool {
+			return r.arrivals.value(now, shortDecay) < minRate && len(r.retries.promises) == 0
 		})
 		i, _ = slices.BinarySearchFunc(l.ranks, rank, compare)
-		l.ranks = slices.Insert(l.ranks, i, ranked{rank: rank})
+		l.ranks = slices.Insert(l.ranks, i, rankState{rank: rank})
 	}
 	return &l.ranks[i]
 }
 
-// told is how many promises of a rank and those before it fall before a moment.
-func (l *Line) told(rank hold.Rank, by time.Time) (n int) {
+// promisedBy counts the promises of a rank and of more urgent ones that are due before a
+// time.
+func (l *Line) promisedBy(rank hold.Rank, by time.Time) (n int) {
 	for i := range l.ranks {
 		if l.ranks[i].rank.Compare(rank) > 0 {
 			break
 		}
-		n += l.ranks[i].returns.due(by)
+		n += l.ranks[i].retries.countBefore(by)
 	}
 	return n
 }
 
-// forgotten is the rate, a second, below which a rank is no longer kept.
-const forgotten = 0.001
+// minRate is the arrival rate per second below which a rank is evicted.
+const minRate = 0.001
 
-// comes is how many first tries a second come now of ranks before this one, and with this
-// one; and how many of these had slots in time over the season.
-func (l *Line) comes(now time.Time, rank hold.Rank) (before, with, season float64) {
+// rates returns the rate of first attempts per second of the ranks before this one, the same
+// including this one, and the rate of on-time placements of the latter.
+func (l *Line) rates(now time.Time, rank hold.Rank) (before, with, onTime float64) {
 	for i := range l.ranks {
-		a := &l.ranks[i]
-		order := a.rank.Compare(rank)
+		r := &l.ranks[i]
+		order := r.rank.Compare(rank)
 		if order > 0 {
 			break
 		}
-		moment := a.moment.value(now, momentMemory)
-		with += moment
-		season += a.season.value(now, seasonMemory)
+		arrivals := r.arrivals.value(now, shortDecay)
+		with += arrivals
+		onTime += r.onTime.value(now, longDecay)
 		if order < 0 {
-			before += moment
+			before += arrivals
 		}
 	}
-	return before, with, season
+	return before, with, onTime
 }
 
-// Use is what a wait is worth to the caller of one request.
+// Use describes the request to decide for.
 type Use struct {
 	Rank hold.Rank
-	// Begin and Last are the time left to begin in time, and to begin at all.
+	// Begin is the time left to start on time, Last the time left to start at all.
 	Begin, Last time.Duration
-	// Promised: it was told to return, and its slot is due after so long.
+	// Promised is set for a retry that has claimed a slot, which is due after Due.
 	Promised bool
 	Due      time.Duration
-	// Waits already: it is let go only when there is no hope.
+	// Waits is set if the request is already queued. It is then rejected only if no slot is
+	// expected in the time left.
 	Waits bool
 }
 
-// Verdict is what is decided, with what it rests on.
+// Verdict is a decision with the estimates behind it.
 type Verdict struct {
 	Refuse bool
-	// Bound of the wait, after which it is decided anew; Return is when to come back.
+	// Bound is the maximum wait, after which to decide again. Return is the delay until the
+	// retry of a rejected request.
 	Bound, Return time.Duration
 
-	Until     time.Duration // when it would be placed
-	Ahead     int           // that wait and go before it
-	Told      int           // told to return by then
-	PerSecond float64       // slots that come free for its rank; 0: unknown
+	Until     time.Duration // expected wait for a slot
+	Ahead     int           // queued requests that go first
+	Told      int           // promised retries due by then
+	PerSecond float64       // free slots per second for its rank; 0 if unknown
 	Known     bool
 }
 
-// Decide decides for a request that finds no slot. ahead wait and go before it. What is
-// refused is promised a slot.
+// Decide decides for a request that finds no slot, with ahead queued requests that go first.
+// A rejected request is promised a slot for its retry if the rate is known.
 func (l *Line) Decide(now time.Time, use Use, ahead int) Verdict {
 	v := l.Look(now, use, ahead)
 	if !v.Refuse {
 		return v
 	}
-	v.Return = unknownReturn
-	if all, known := l.Rate(); known {
-		_, with, _ := l.comes(now, use.Rank)
-		v.Return = l.of(now, use.Rank).returns.tell(now, max(all-with, leastLeft*all), after(ahead+1, all))
+	v.Return = defaultRetryAfter
+	if total, known := l.Rate(); known {
+		_, with, _ := l.rates(now, use.Rank)
+		v.Return = l.state(now, use.Rank).retries.schedule(now, max(total-with, minSpareShare*total), waitFor(ahead+1, total))
 	}
 	return v
 }
 
-// Look is Decide without a promise.
+// Look returns the same decision as Decide without promising a slot.
 func (l *Line) Look(now time.Time, use Use, ahead int) Verdict {
 	v := Verdict{Ahead: ahead, Bound: use.Last, Refuse: use.Last <= 0}
-	all, known := l.Rate()
+	total, known := l.Rate()
 	if !known {
 		return v
 	}
 	v.Known = true
 	use.Begin = min(use.Begin, use.Last)
-	before, with, season := l.comes(now, use.Rank)
-	own := max(all-before, leastLeft*all)
-	spare := max(all-with, all-season)
-	part := sure
+	before, with, onTime := l.rates(now, use.Rank)
+	own := max(total-before, minSpareShare*total)
+	spare := max(total-with, total-onTime)
+	share := maxWaitShare
 	if use.Waits {
-		part = 1
+		share = 1
 	}
 	v.PerSecond = own
 	switch {
 	case use.Promised:
-		v.Until = max(use.Due, after(ahead+1, own))
+		v.Until = max(use.Due, waitFor(ahead+1, own))
 		v.Refuse = v.Refuse || v.Until > use.Last
 	case use.Begin > 0:
-		v.Told = l.told(use.Rank, now.Add(use.Begin))
-		v.Until = after(ahead+v.Told+1, own)
-		if !v.Refuse && v.Until <= scaled(use.Begin, part) {
+		v.Told = l.promisedBy(use.Rank, now.Add(use.Begin))
+		v.Until = waitFor(ahead+v.Told+1, own)
+		if !v.Refuse && v.Until <= scale(use.Begin, share) {
 			v.Bound = use.Begin
 			return v
 		}
 		fallthrough
-	default: // late, or it will be: only by slots that nobody needs who can be in time
-		v.Told = l.told(use.Rank, now.Add(use.Last))
+	default: // late now or later: gets only slots that on-time requests leave free
+		v.Told = l.promisedBy(use.Rank, now.Add(use.Last))
 		v.Until = use.Last + 1
 		if spare > 0 {
-			v.PerSecond, v.Until = spare, after(ahead+v.Told+1, spare)
+			v.PerSecond, v.Until = spare, waitFor(ahead+v.Told+1, spare)
 		}
-		v.Refuse = v.Refuse || v.Until > scaled(use.Last, part)
+		v.Refuse = v.Refuse || v.Until > scale(use.Last, share)
 	}
 	return v
 }
 
-func after(n int, perSecond float64) time.Duration {
+func waitFor(n int, perSecond float64) time.Duration {
 	return min(time.Duration(float64(n)/max(perSecond, 1e-6)*float64(time.Second)), time.Hour)
 }
 
-func scaled(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
+func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
 
-func fading(passed, memory time.Duration) float64 {
-	return math.Exp(-passed.Seconds() / memory.Seconds())
+func decay(elapsed, timeConstant time.Duration) float64 {
+	return math.Exp(-elapsed.Seconds() / timeConstant.Seconds())
 }
 
-// rate is events a second with a fading memory. Since its first event it has seen less
-// than its memory, which counts.
+// rate is an exponentially decayed rate of events per second, corrected for the time since
+// its first event being shorter than the time constant.
 type rate struct {
 	sum       float64
 	at, since time.Time
 }
 
-func (r *rate) add(now time.Time, memory time.Duration) {
+func (r *rate) add(now time.Time, timeConstant time.Duration) {
 	if r.since.IsZero() {
 		r.since, r.at = now, now
 	}
-	r.sum = r.sum*fading(max(now.Sub(r.at), 0), memory) + 1
+	r.sum = r.sum*decay(max(now.Sub(r.at), 0), timeConstant) + 1
 	r.at = now
 }
 
-func (r *rate) value(now time.Time, memory time.Duration) float64 {
+func (r *rate) value(now time.Time, timeConstant time.Duration) float64 {
 	if r.since.IsZero() {
 		return 0
 	}
-	seen := max(now.Sub(r.since), memory/10)
-	return r.sum * fading(max(now.Sub(r.at), 0), memory) / (memory.Seconds() * (1 - fading(seen, memory)))
+	seen := max(now.Sub(r.since), timeConstant/10)
+	return r.sum * decay(max(now.Sub(r.at), 0), timeConstant) / (timeConstant.Seconds() * (1 - decay(seen, timeConstant)))
 }
--- a/overload/returns.go
+++ b/overload/returns.go
@@ -6,53 +6,53 @@
 )
 
 const (
-	// mostPromises of a rank are kept; who is refused beyond them is told a time without one.
-	mostPromises = 4096
-	// promiseAhead is how far ahead slots are promised: callers come back sooner than
-	// they are told when that is late for them, and what is far ahead is a guess.
-	promiseAhead = 4 * time.Second
-	// promiseLife is how long after its time a promise is kept: the way back of a caller
-	// that opens a connection to another frontend.
-	promiseLife = 500 * time.Millisecond
-	// claimMargin is how long before the last moment of one who returns its slot must be
-	// due: it goes first from then on, and waits for the next slot that comes free.
+	// maxPromises limits the promises per rank. Requests rejected beyond it get a retry time
+	// without a promise.
+	maxPromises = 4096
+	// promiseHorizon is how far ahead slots are promised. Estimates further ahead are
+	// inaccurate, and callers for which the time is too late retry earlier.
+	promiseHorizon = 4 * time.Second
+	// promiseTTL is how long a promise outlives its time, to cover a caller that opens a
+	// connection to another frontend.
+	promiseTTL = 500 * time.Millisecond
+	// claimMargin is how long before the last possible start of a retry its slot must be
+	// due, so that it can wait for the next free slot.
 	claimMargin = 200 * time.Millisecond
-	// leastReturn is the least pause that is told: below it a return only adds work.
-	leastReturn = 50 * time.Millisecond
-	// unknownReturn is told where nothing is known of slots: callers' own next tries
-	// come about then.
-	unknownReturn = 200 * time.Millisecond
+	// minRetryAfter is the minimum retry delay; shorter ones only add load.
+	minRetryAfter = 50 * time.Millisecond
+	// defaultRetryAfter is the retry delay while the rate is unknown, similar to the
+	// callers' own retry interval.
+	defaultRetryAfter = 200 * time.Millisecond
 )
 
-// returns is the book of one rank's those who were turned away and told when to come back, in that
-// order. An attempt that returns has another id: promises are counted, not named.
-// Who returns takes the oldest one.
-type returns struct {
-	promises []time.Time // ascending
-	next     time.Time   // the next promise's earliest
+// retrySchedule holds the promised retry times of one rank. Retries carry new IDs, so
+// promises are anonymous: each retry takes the oldest one.
+type retrySchedule struct {
+	promises []time.Time // in ascending order
+	nextSlot time.Time   // earliest time of the next promise
 }
 
-// tell gives one who is turned away the time until its return: after the backlog, and
-// after those told before it, so many a second.
-func (r *returns) tell(now time.Time, perSecond float64, backlog time.Duration) time.Duration {
+// schedule returns the delay until the retry of a rejected request: after the backlog and
+// after earlier promises, at the given rate.
+func (r *retrySchedule) schedule(now time.Time, perSecond float64, backlog time.Duration) time.Duration {
 	r.expire(now)
-	at := now.Add(max(backlog, leastReturn))
-	if r.next.After(at) {
-		at = r.next
+	at := now.Add(max(backlog, minRetryAfter))
+	if r.nextSlot.After(at) {
+		at = r.nextSlot
 	}
-	if at.Sub(now) > promiseAhead {
-		return at.Sub(now) // true as far as is known, without a promise
+	if at.Sub(now) > promiseHorizon {
+		return at.Sub(now) // estimate without a promise
 	}
-	r.next = at.Add(time.Duration(float64(time.Second) / perSecond))
-	if len(r.promises) < mostPromises {
+	r.nextSlot = at.Add(time.Duration(float64(time.Second) / perSecond))
+	if len(r.promises) < maxPromises {
 		r.promises = append(r.promises, at)
 	}
 	return at.Sub(now)
 }
 
-// claim takes the oldest promise for one who returns; false where none is due before its
-// last moment. It may come early: callers return no later than suits them.
-func (r *returns) claim(now, last time.Time) (time.Time, bool) {
+// claim takes the oldest promise for a retry. It returns false if none is due before last.
+// The retry may arrive before the promised time.
+func (r *retrySchedule) claim(now, last time.Time) (time.Time, bool) {
 	r.expire(now)
 	if len(r.promises) == 0 || r.promises[0].After(last) {
 		return time.Time{}, false
@@ -62,14 +62,14 @@
 	return at, true
 }
 
-// due is how many promises fall before a moment.
-func (r *returns) due(by time.Time) int {
+// countBefore returns the number of promises due before a time.
+func (r *retrySchedule) countBefore(by time.Time) int {
 	n, _ := slices.BinarySearchFunc(r.promises, by, time.Time.Compare)
 	return n
 }
 
-// expire forgets promises whose callers did not come.
-func (r *returns) expire(now time.Time) {
-	n, _ := slices.BinarySearchFunc(r.promises, now.Add(-promiseLife), time.Time.Compare)
+// expire removes promises that were not claimed.
+func (r *retrySchedule) expire(now time.Time) {
+	n, _ := slices.BinarySearchFunc(r.promises, now.Add(-promiseTTL), time.Time.Compare)
 	r.promises = slices.Delete(r.promises, 0, n)
 }
