--- a/hold/hold.go
+++ b/hold/hold.go
@@ -1,8 +1,8 @@
-// Package hold orders requests for which no worker has a slot: the more urgent ones by
-// their tenant and route, then those that were told to return for a slot that is due, then
-// those that can still be in time, the one that must begin soonest in front; those that
-// can't wait until nothing else does, also when their last moment is near: each would take
-// the slot of one that can be in time. It has no input or output and no clock.
+// Package hold orders requests that are queued for a slot: by the rank of their tenant and
+// route, then promised retries whose slot is due, then requests that can still start on
+// time, earliest deadline first, then late ones. Late requests go last even if they are
+// about to expire, since each would take the slot of a request that can be on time. The
+// package does no I/O and reads no clock.
 package hold
 
 import (
@@ -10,40 +10,41 @@
 	"time"
 )
 
-// Rank is how urgent a request is; the least goes first, its tenant's priority before
-// its route's.
+// Rank is the priority of a request. Lower values go first; the tenant's priority takes
+// precedence over the route's.
 type Rank struct {
 	Tenant int `json:"tenant,omitempty"`
 	Route  int `json:"route,omitempty"`
 }
 
-// Compare orders two ranks.
+// Compare returns a negative number if r goes before other, 0 if they are equal, and a
+// positive number otherwise.
 func (r Rank) Compare(other Rank) int {
 	return cmp.Or(cmp.Compare(r.Tenant, other.Tenant), cmp.Compare(r.Route, other.Route))
 }
 
-// Request is what is known of one that waits.
+// Request is a queued request.
 type Request struct {
 	Rank Rank
-	// Begin is when it must begin at the latest to be in time.
+	// Begin is the latest start at which the request is on time.
 	Begin time.Time
-	// Last is when it must begin at the latest to be answered at all.
+	// Last is the latest start at which the request can be answered at all.
 	Last time.Time
-	// Promised is the slot that it was told to return for; zero without one.
+	// Promised is the time of the slot promised for this retry; zero if there is none.
 	Promised time.Time
 }
 
-// Class is how soon a request is to be taken; the least goes first.
+// Class is the order of requests of equal rank. Lower values go first.
 type Class int
 
-// The classes.
+// Request classes.
 const (
-	Promised Class = iota // was told to return, and the slot it was told of is due
-	InTime                // can still be in time
-	Late                  // can't be in time any more
+	Promised Class = iota // retry whose promised slot is due
+	InTime                // can still start on time
+	Late                  // can no longer start on time
 )
 
-// Class tells how a request stands now.
+// Class returns the class of the request at the given time.
 func (r Request) Class(now time.Time) Class {
 	switch {
 	case !r.Promised.IsZero() && !now.Before(r.Promised):
@@ -54,13 +55,13 @@
 	return Late
 }
 
-// Compare orders two requests as they are to be taken now.
+// Compare compares two requests by the order in which they get slots at the given time.
 func Compare(now time.Time, a, b Request) int {
 	class := a.Class(now)
-	return cmp.Or(a.Rank.Compare(b.Rank), cmp.Compare(class, b.Class(now)), compareIn(class, a, b))
+	return cmp.Or(a.Rank.Compare(b.Rank), cmp.Compare(class, b.Class(now)), compareInClass(class, a, b))
 }
 
-func compareIn(class Class, a, b Request) int {
+func compareInClass(class Class, a, b Request) int {
 	switch class {
 	case Promised:
 		return a.Promised.Compare(b.Promised)
