--- a/pressure/pressure_test.go
+++ b/pressure/pressure_test.go
@@ -9,9 +9,9 @@
 
 const mib = 1 << 20
 
-var start = time.Unix(1_700_000_000, 0)
+var testStart = time.Unix(1_700_000_000, 0)
 
-func TestTheLargestAndTheLeastUrgentAreRefusedFirst(t *testing.T) {
+func TestLargeAndLessUrgentBodiesAreRefusedFirst(t *testing.T) {
 	tests := []struct {
 		name  string
 		held  int64 // by others, of 100 MiB
@@ -21,31 +21,31 @@
 	}{
 		{"a small body, nothing held", 0, Body, 10 << 10, true},
 		{"a large body, nothing held", 0, Body, 30 * mib, true},
-		{"one over half of what new ones may have", 0, Body, 38 * mib, false},
-		{"a job of that size", 0, Job, 30 * mib, false},
+		{"a body over half of the free budget", 0, Body, 38 * mib, false},
+		{"a job as large as an accepted body", 0, Job, 30 * mib, false},
 		{"a smaller job", 0, Job, 15 * mib, true},
-		{"a large body, much held", 60 * mib, Body, 10 * mib, false},
-		{"a small one", 60 * mib, Body, 7 * mib, true},
-		{"a job of that size, much held", 60 * mib, Job, 7 * mib, false},
-		{"the smallest body, all held but for answers", 75 * mib, Body, 1, false},
-		{"an answer has its reserve", 75 * mib, Answer, 20 * mib, true},
+		{"a large body, budget mostly used", 60 * mib, Body, 10 * mib, false},
+		{"a small body, budget mostly used", 60 * mib, Body, 7 * mib, true},
+		{"a job as large as an accepted body, budget mostly used", 60 * mib, Job, 7 * mib, false},
+		{"the smallest body, only the reserve left", 75 * mib, Body, 1, false},
+		{"a response uses the reserve", 75 * mib, Answer, 20 * mib, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			b := New(100 * mib)
 			others, _ := b.Begin(Answer, 0)
 			if !b.Grow(others, test.held) {
-				t.Fatal("no room for what is held")
+				t.Fatal("initial allocation refused")
 			}
-			if ok := takes(b, test.use, test.bytes); ok != test.want {
-				t.Errorf("taken: %t", ok)
+			if ok := allocate(b, test.use, test.bytes); ok != test.want {
+				t.Errorf("allocated: %t", ok)
 			}
 		})
 	}
 }
 
-// takes tells whether bytes are had for something new: an answer takes them as it is read.
-func takes(b *Budget, use Use, bytes int64) bool {
+// allocate reports whether bytes for something new fit. A response grows as it is read.
+func allocate(b *Budget, use Use, bytes int64) bool {
 	if use != Answer {
 		_, ok := b.Begin(use, bytes)
 		return ok
@@ -54,20 +54,20 @@
 	return ok && b.Grow(h, bytes)
 }
 
-func TestWhatIsCut(t *testing.T) {
+func TestSlowest(t *testing.T) {
 	type reader struct {
-		writing time.Duration // ago; negative: nothing is sent
+		writing time.Duration // time since the last read; negative if nothing was sent
 		bytes   int64
 	}
 	tests := []struct {
 		name    string
 		readers []reader
-		want    int // index; -1: nobody
+		want    int // index; -1 for none
 	}{
-		{"nobody writes", []reader{{-1, 5}, {-1, 9}}, -1},
-		{"all read in time", []reader{{time.Second, 5}, {unreadBound - 1, 9}}, -1},
-		{"the slowest", []reader{{3 * time.Second, 5}, {4 * time.Second, 1}, {time.Second, 9}}, 1},
-		{"of two alike the larger", []reader{{3 * time.Second, 5}, {3 * time.Second, 6}}, 1},
+		{"nothing sent", []reader{{-1, 5}, {-1, 9}}, -1},
+		{"all callers read in time", []reader{{time.Second, 5}, {unreadTimeout - 1, 9}}, -1},
+		{"the slowest caller", []reader{{3 * time.Second, 5}, {4 * time.Second, 1}, {time.Second, 9}}, 1},
+		{"the larger of two equally slow", []reader{{3 * time.Second, 5}, {3 * time.Second, 6}}, 1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -76,23 +76,23 @@
 			for _, r := range test.readers {
 				h, _ := b.Begin(Answer, r.bytes)
 				if r.writing >= 0 {
-					b.Writing(start.Add(-r.writing), h)
+					b.Writing(testStart.Add(-r.writing), h)
 				}
 				holds = append(holds, h)
 			}
-			got := b.Slowest(start)
+			got := b.Slowest(testStart)
 			for i, h := range holds {
 				if (got == h) != (i == test.want) {
-					t.Errorf("reader %d is cut: %t", i, got == h)
+					t.Errorf("reader %d aborted: %t", i, got == h)
 				}
 			}
 		})
 	}
 }
 
-// TestASlowCrowdStaysInTheBudget replays a thousand callers that read slowly: what is held
-// stays within the budget, answers go on coming, and nobody that reads is cut.
-func TestASlowCrowdStaysInTheBudget(t *testing.T) {
+// Under a thousand slow readers, allocations stay within the budget, responses are still
+// delivered, and callers that read are not aborted.
+func TestSlowReadersStayWithinBudget(t *testing.T) {
 	tests := []struct {
 		name    string
 		callers int
@@ -108,7 +108,7 @@
 			callers := make([]caller, test.callers)
 			delivered := 0
 			for round := range rounds {
-				now := start.Add(time.Duration(round) * step)
+				now := testStart.Add(time.Duration(round) * step)
 				for i := range callers {
 					c := &callers[i]
 					c.slow = i%4 == 0
@@ -124,9 +124,9 @@
 						}
 						c.hold = h
 						b.Writing(now, h)
-					case c.hold.ended && !c.slow:
-						t.Fatalf("caller %d reads and was cut", i)
-					case c.hold.ended:
+					case c.hold.released && !c.slow:
+						t.Fatalf("caller %d reads but was aborted", i)
+					case c.hold.released:
 						c.hold = nil
 					case !c.slow:
 						b.End(c.hold)
@@ -146,16 +146,16 @@
 	}
 }
 
-// TestBytesAreCountedOnce: whatever comes, what is held is what holds hold, and within the
+// For any sequence of calls, the budget's total matches the holds and stays within the
 // limit.
-func TestBytesAreCountedOnce(t *testing.T) {
+func TestAllocatedBytesMatchHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(1000)
 		var holds []*Hold
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			bytes := rapid.Int64Range(0, 600).Draw(t, "bytes")
 			if len(holds) == 0 || rapid.Bool().Draw(t, "new") {
-				use := Use(rapid.IntRange(0, uses-1).Draw(t, "use"))
+				use := Use(rapid.IntRange(0, numUses-1).Draw(t, "use"))
 				if use == Answer {
 					bytes = 0
 				}
@@ -178,7 +178,7 @@
 				total += each.bytes
 			}
 			if total != b.limit-b.Free() || total > b.limit {
-				t.Fatalf("%d bytes in holds, %d of %d free", total, b.Free(), b.limit)
+				t.Fatalf("%d bytes in holds, but %d of %d free", total, b.Free(), b.limit)
 			}
 		}
 	})
