--- a/fairness/fairness.go
+++ b/fairness/fairness.go
@@ -1,13 +1,13 @@
-// Package fairness divides room that is short between tenants: of those that wait in one
-// rank, who asks for no more than its share goes before what others ask for above theirs,
-// so that a tenant that turns hot costs nobody else. Among requests within their shares
-// the order in which they came in stands, and so it does within a tenant.
+// Package fairness divides scarce capacity between tenants of equal rank: requests within
+// their tenant's share go before requests above it, so that an overactive tenant does not
+// affect others. Requests within their shares, and those of one tenant, keep their arrival
+// order.
 //
-// Shares are max-min fair by weight: what a tenant does not ask for is the others'. They
-// are of the places that were given in the last moments, so that nothing has to be known
-// of the room itself. Order only orders: no place stays empty for it.
+// Shares are weighted max-min fair: capacity that a tenant does not request goes to others.
+// They are shares of recent placements, so the total capacity need not be known. The package
+// is work-conserving: it only orders requests.
 //
-// The machine has no clock, input or output.
+// It does no I/O and reads no clock: callers pass the current time.
 package fairness
 
 import (
@@ -18,31 +18,32 @@
 )
 
 const (
-	// memory is over how long what a tenant was given counts against it: about the
-	// objective of a first token, within which a late place is of use.
-	memory = time.Second
-	// burst is how many requests above its share a tenant has before the others' excess,
-	// since few requests a second come in clumps.
+	// usageDecay is the time constant of a tenant's usage. It matches the objective for the
+	// first token, after which a slot is of little use.
+	usageDecay = time.Second
+	// burst is how many requests above its share a tenant may have before it is
+	// deprioritized, to allow for the variance of low arrival rates.
 	burst = 2
-	// levelLife is how long a worked out level is used: it costs a sort of all tenants.
-	levelLife = 20 * time.Millisecond
-	// least of a decayed count is kept; under it a tenant is as one that was given nothing.
-	least = 0.05
-	// mostTenants are counted at once; of more those with the least are forgotten.
-	mostTenants = 8192
+	// levelTTL is how long a computed level is reused; computing it sorts all tenants.
+	levelTTL = 20 * time.Millisecond
+	// minUsage is the decayed usage below which a tenant is removed.
+	minUsage = 0.05
+	// maxTenants limits the number of tracked tenants. The half with the least usage is
+	// removed when it is reached.
+	maxTenants = 8192
 )
 
-// Request is what counts of a request that waits or was placed.
+// Request is a queued or placed request.
 type Request struct {
 	Tenant string
-	// Weight of the tenant, as its limit; 0: as any other one.
+	// Weight of the tenant, proportional to its limit; 0 means 1.
 	Weight float64
 }
 
-// Fault is a planted defect; tests only.
+// Fault is a fault injected by tests.
 type Fault string
 
-// The planted defects.
+// Injected faults.
 const (
 	FaultNone     Fault = ""
 	FaultNoShares Fault = "the order in which they came stands"
@@ -50,51 +51,51 @@
 	FaultForgets  Fault = "what was given does not count"
 )
 
-// Shares is what the tenants of one rank were given by one process lately.
+// Shares tracks the recent usage of tenants of one rank by one process. It is not safe for
+// concurrent use.
 type Shares struct {
-	given   map[string]*count
-	level   float64 // share of a weight of 1, over memory
-	levelAt time.Time
-	sweptAt time.Time
-	fault   Fault
+	usage     map[string]*decayingCount
+	level     float64 // share of a tenant with weight 1, in decayed placements
+	levelAt   time.Time
+	evictedAt time.Time
+	fault     Fault
 }
 
-// count decays by memory.
-type count struct {
-	n  float64
-	at time.Time
+// decayingCount is a count that decays exponentially with usageDecay.
+type decayingCount struct {
+	value float64
+	at    time.Time
 }
 
-func (c *count) now(now time.Time) float64 {
+func (c *decayingCount) valueAt(now time.Time) float64 {
 	if c == nil {
 		return 0
 	}
-	return c.n * math.Exp(-max(now.Sub(c.at), 0).Seconds()/memory.Seconds())
+	return c.value * math.Exp(-max(now.Sub(c.at), 0).Seconds()/usageDecay.Seconds())
 }
 
-// New has given nothing.
-func New() *Shares { return &Shares{given: map[string]*count{}} }
+// New returns Shares without usage.
+func New() *Shares { return &Shares{usage: map[string]*decayingCount{}} }
 
-// Served notes that a request was placed, whether it had waited or not.
+// Served records that a request got a slot, whether it had been queued or not.
 func (s *Shares) Served(now time.Time, request Request) {
 	if s.fault == FaultForgets {
 		return
 	}
-	s.sweep(now)
-	c := s.given[request.Tenant]
+	s.evict(now)
+	c := s.usage[request.Tenant]
 	if c == nil {
-		c = &count{}
-		s.given[request.Tenant] = c
+		c = &decayingCount{}
+		s.usage[request.Tenant] = c
 	}
-	c.n, c.at = c.now(now)+1, now
+	c.value, c.at = c.valueAt(now)+1, now
 }
 
-// Tenants is how many are counted.
-func (s *Shares) Tenants() int { return len(s.given) }
+// Tenants returns the number of tracked tenants.
+func (s *Shares) Tenants() int { return len(s.usage) }
 
-// Order gives the places in list of requests that wait, in the order in which they are to
-// be placed; list is in the order that holds between equals. Requests of one tenant
-// stay in order.
+// Order returns the indexes of queued requests in the order in which to place them. The
+// order in list is kept within a tenant and between requests within their shares.
 func (s *Shares) Order(now time.Time, list []Request) []int {
 	order := make([]int, len(list))
 	for i := range list {
@@ -103,16 +104,16 @@
 	if len(list) < 2 || s.fault == FaultNoShares {
 		return order
 	}
-	level := s.levelFor(now, list)
-	// excess is by how much a request is above its tenant's share, by weight; 0: within.
-	excess, asked := make([]float64, len(list)), map[string]float64{}
+	level := s.currentLevel(now, list)
+	// excess is the weighted usage of a request above its tenant's share; 0 if within.
+	excess, usage := make([]float64, len(list)), map[string]float64{}
 	for i, request := range list {
-		used, known := asked[request.Tenant]
+		used, known := usage[request.Tenant]
 		if !known {
-			used = s.given[request.Tenant].now(now)
+			used = s.usage[request.Tenant].valueAt(now)
 		}
 		used++
-		asked[request.Tenant] = used
+		usage[request.Tenant] = used
 		if weight := s.weight(request); used > weight*level+burst {
 			excess[i] = (used - burst) / weight
 		}
@@ -121,8 +122,8 @@
 	return order
 }
 
-// Level is the last share of a weight of 1, in places over memory; infinite while all is
-// within reach.
+// Level returns the last computed share of a tenant with weight 1, in placements over
+// usageDecay; infinite if all demand fits.
 func (s *Shares) Level() float64 { return s.level }
 
 func (s *Shares) weight(request Request) float64 {
@@ -132,10 +133,10 @@
 	return request.Weight
 }
 
-// levelFor is the level at which what tenants were given and ask for, cut at their
-// weight of it, is what was given in all.
-func (s *Shares) levelFor(now time.Time, list []Request) float64 {
-	if !s.levelAt.IsZero() && now.Sub(s.levelAt) < levelLife {
+// currentLevel returns the level at which the demand of all tenants, each capped at its
+// weight times the level, equals the recent placements (water filling).
+func (s *Shares) currentLevel(now time.Time, list []Request) float64 {
+	if !s.levelAt.IsZero() && now.Sub(s.levelAt) < levelTTL {
 		return s.level
 	}
 	type demand struct{ given, n, weight float64 }
@@ -144,12 +145,12 @@
 		i, known := places[request.Tenant]
 		if !known {
 			i = len(sorted)
-			given := s.given[request.Tenant].now(now)
+			given := s.usage[request.Tenant].valueAt(now)
 			places[request.Tenant], sorted = i, append(sorted, demand{given: given, n: given, weight: s.weight(request)})
 		}
 		sorted[i].n++
 	}
-	// Tenants of which nobody waits have what they asked for: it is not to be divided.
+	// Only tenants with queued requests take part; the usage of others is not divided.
 	room := 0.0
 	for _, d := range sorted {
 		room += d.given
@@ -173,28 +174,28 @@
 	return s.level
 }
 
-// sweep forgets those that were given nothing lately.
-func (s *Shares) sweep(now time.Time) {
-	if now.Sub(s.sweptAt) < memory && len(s.given) < mostTenants {
+// evict removes tenants with little recent usage.
+func (s *Shares) evict(now time.Time) {
+	if now.Sub(s.evictedAt) < usageDecay && len(s.usage) < maxTenants {
 		return
 	}
-	s.sweptAt = now
-	for tenant, c := range s.given {
-		if c.now(now) < least {
-			delete(s.given, tenant)
+	s.evictedAt = now
+	for tenant, c := range s.usage {
+		if c.valueAt(now) < minUsage {
+			delete(s.usage, tenant)
 		}
 	}
-	if len(s.given) < mostTenants {
+	if len(s.usage) < maxTenants {
 		return
 	}
-	tenants := make([]string, 0, len(s.given))
-	for tenant := range s.given {
+	tenants := make([]string, 0, len(s.usage))
+	for tenant := range s.usage {
 		tenants = append(tenants, tenant)
 	}
 	slices.SortFunc(tenants, func(a, b string) int {
-		return cmp.Or(cmp.Compare(s.given[a].now(now), s.given[b].now(now)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(s.usage[a].valueAt(now), s.usage[b].valueAt(now)), cmp.Compare(a, b))
 	})
 	for _, tenant := range tenants[:len(tenants)/2] {
-		delete(s.given, tenant)
+		delete(s.usage, tenant)
 	}
 }
--- a/fairness/within.go
+++ b/fairness/within.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Within orders a sorted list by shares, inside each run of entries that are same: those of
-// one rank and class. The order of the runs stands. shares gives those of an entry's rank;
-// nil: the order of its run stands, as where places were promised.
+// Within applies shares to a sorted list, separately in each run of entries for which same
+// is true, which are those of equal rank and class. shares returns the Shares of an entry's
+// rank; a run for which it returns nil, such as promised retries, keeps its order.
 func Within[T any](now time.Time, list []T, same func(a, b T) bool, shares func(T) *Shares, request func(T) Request) {
 	for begin := 0; begin < len(list); {
 		end := begin + 1
