--- a/worker/choose.go
+++ b/worker/choose.go
@@ -60,8 +60,8 @@
 	affinityDiscount = 0.75
 	tieBreakCost     = 40.0 // random, to decorrelate processes
 	// requestCost is the cost of a request beyond its prompt at the usual pace. It keeps an
-	// empty slow worker from being as attractive as an empty fast one: a fast worker fills up
-	// until its queueing delay outweighs an empty slow worker.
+	// empty slow worker from being as attractive as an empty fast one: a fast worker fills
+	// up until its queueing delay outweighs an empty slow worker.
 	requestCost = 1500
 	// newConnectionCost is the cost of a worker without an open connection: setup takes
 	// about a millisecond, the time in which an engine reads as many tokens.
@@ -141,8 +141,8 @@
 	return append(usable, fallback...)
 }
 
-// classify splits eligible workers into usable ones and fallbacks, which are used only if
-// no other is left. Ineligible workers are dropped.
+// classify splits eligible workers into usable ones and fallbacks, which are used only if no
+// other is left. Ineligible workers are dropped.
 func (p *Pool) classify(now time.Time, query Query, list []*entry) (usable, fallback []*entry) {
 	for _, e := range list {
 		switch {
@@ -178,8 +178,8 @@
 	}
 }
 
-// applySlowStart keeps each candidate with probability slowStartShare, or all of them
-// if none remains.
+// applySlowStart keeps each candidate with probability slowStartShare, or all of them if
+// none remains.
 func applySlowStart(now time.Time, candidates []*entry, random *rand.Rand) []*entry {
 	kept := make([]*entry, 0, len(candidates))
 	for _, e := range candidates {
@@ -194,9 +194,9 @@
 }
 
 // drawCandidates samples Settings.Draw workers weighted by speed, so that processes that
-// share the same sparse observations do not converge on the same workers. The affinity worker
-// of a large prompt part and a worker with most of the prompt cached are always included if
-// reading that much would cost more than the request itself.
+// share the same sparse observations do not converge on the same workers. The affinity
+// worker of a large prompt part and a worker with most of the prompt cached are always
+// included if reading that much would cost more than the request itself.
 func (p *Pool) drawCandidates(now time.Time, candidates []*entry, mean float64, query Query, random *rand.Rand) []*entry {
 	if p.settings.Draw == 0 || len(candidates) <= p.settings.Draw {
 		return candidates
@@ -227,8 +227,8 @@
 	return kept
 }
 
-// mostCached returns the worker with the longest cached prefix of a prompt, with ties
-// broken at random, or nil if none has more than requestCost tokens cached.
+// mostCached returns the worker with the longest cached prefix of a prompt, with ties broken
+// at random, or nil if none has more than requestCost tokens cached.
 func mostCached(parts []Part, candidates []*entry, random *rand.Rand) *entry {
 	var best *entry
 	most, ties := int(requestCost), 0
@@ -277,8 +277,8 @@
 // unchanged.
 func scaleCost(cost, pace float64) float64 { return pace*(cost+requestCost) - requestCost }
 
-// affinityWorker returns the worker that all processes with the same view agree on for
-// the longest shared prompt part, by rendezvous hashing in small services and a hash ring in
+// affinityWorker returns the worker that all processes with the same view agree on for the
+// longest shared prompt part, by rendezvous hashing in small services and a hash ring in
 // large ones. It returns nil if no part exceeds the minimum.
 func (p *Pool) affinityWorker(query Query, candidates []*entry, minimum int) *entry {
 	part := longestShared(query.Parts, minimum)
@@ -302,8 +302,8 @@
 	return best
 }
 
-// longestShared returns the longest part of a prompt except the last, or "" if none
-// exceeds the minimum.
+// longestShared returns the longest part of a prompt except the last, or "" if none exceeds
+// the minimum.
 func longestShared(parts []Part, minimum int) string {
 	id, tokens := "", minimum
 	for _, part := range parts[:max(len(parts)-1, 0)] {
--- a/worker/growth_test.go
+++ b/worker/growth_test.go
@@ -33,7 +33,7 @@
 }
 
 // Guards against sorting the list anew for each added worker.
-func TestListingWorkersScalesLinearly(t *testing.T) {
+func TestListingWorkersIsNotQuadratic(t *testing.T) {
 	comparisons := func(n int) int {
 		count := 0
 		o := sortedEntries{compare: func(a, b *entry) int { count++; return byID(a, b) }}
@@ -130,8 +130,8 @@
 	}
 }
 
-// Guards against herding: many processes that learn at once of one emptier worker must
-// not all choose it.
+// Guards against herding: many processes that learn at once of one emptier worker must not
+// all choose it.
 func TestProcessesWithSameInformationDoNotHerd(t *testing.T) {
 	const processes, workers = 50, 2000
 	list := testWorkers(workers)
@@ -154,7 +154,7 @@
 	}
 }
 
-// Large prompt parts have one affinity worker also where each process comparisons a sample.
+// Large prompt parts have one affinity worker also where each process compares a sample.
 func TestLargePartHasOneAffinityWorkerInLargeFleet(t *testing.T) {
 	list := testWorkers(3000)
 	parts := []Part{{ID: "letter", Tokens: 13_000}, {ID: "own", Tokens: 200}}
--- a/worker/observed.go
+++ b/worker/observed.go
@@ -7,8 +7,8 @@
 
 // Parameters of the detection of slow workers.
 const (
-	// intervalTTL is how long observed event intervals stay valid without a new one. A worker
-	// avoided because of them is then tried again.
+	// intervalTTL is how long observed event intervals stay valid without a new one. A
+	// worker avoided because of them is then tried again.
 	intervalTTL = 10 * time.Second
 	// minIntervalSamples is the number of streams required per worker, and minIntervalPeers
 	// the number of workers with as many, before workers are compared.
@@ -22,8 +22,8 @@
 	baselineInterval = 200 * time.Millisecond
 )
 
-// intervalMean is the moving average of the time between two stream events of a worker.
-// The zero value has no samples.
+// intervalMean is the moving average of the time between two stream events of a worker. The
+// zero value has no samples.
 type intervalMean struct {
 	mean    float64 // in seconds
 	samples int
@@ -34,8 +34,8 @@
 	return s.samples >= minIntervalSamples && now.Sub(s.at) < intervalTTL
 }
 
-// intervalBaseline is the lower median of the pace-normalized event intervals of a
-// service's workers.
+// intervalBaseline is the lower median of the pace-normalized event intervals of a service's
+// workers.
 type intervalBaseline struct {
 	at         time.Time
 	interval   float64 // seconds at the usual pace; 0 if too few workers are known
@@ -105,8 +105,8 @@
 	return 1
 }
 
-// Slowness returns the ratio of a worker's observed event interval to the one expected
-// from its pace and its peers, or 1 if that is below the threshold.
+// Slowness returns the ratio of a worker's observed event interval to the one expected from
+// its pace and its peers, or 1 if that is below the threshold.
 func (p *Pool) Slowness(now time.Time, id string) float64 {
 	e, ok := p.entries[id]
 	if !ok {
--- a/worker/outlier.go
+++ b/worker/outlier.go
@@ -12,18 +12,20 @@
 	// minFailures is the decayed number of failures required to eject a worker; a single
 	// connection reset causes fewer.
 	minFailures = 2.5
-	// minFailureRate is the failure rate required to eject a worker, and peerFailureFactor the
-	// required ratio to its peers' rate: failures common to all workers are no worker's fault.
+	// minFailureRate is the failure rate required to eject a worker, and peerFailureFactor
+	// the required ratio to its peers' rate: failures common to all workers are no worker's
+	// fault.
 	minFailureRate    = 0.3
 	peerFailureFactor = 3.0
-	// ejectionDivisor limits concurrent ejections to the number of known workers of a service
-	// divided by it, but allows one. No worker is ejected where fewer than minPeers are known.
+	// ejectionDivisor limits concurrent ejections to the number of known workers of a
+	// service divided by it, but allows one. No worker is ejected where fewer than minPeers
+	// are known.
 	ejectionDivisor = 4
 	minPeers        = 3
 	// minOutcomes is the decayed number of outcomes from which a worker counts as known.
 	minOutcomes = 0.1
-	// minEjectionTime is the duration of the first ejection. Each failed probe doubles it, up
-	// to maxEjectionTime.
+	// minEjectionTime is the duration of the first ejection. Each failed probe doubles it,
+	// up to maxEjectionTime.
 	minEjectionTime = time.Second
 	maxEjectionTime = 8 * time.Second
 )
@@ -74,8 +76,8 @@
 	Peers         float64 // failure rate of its peers
 }
 
-// TakeOutcomes records how requests to a worker ended and ejects it if it is an outlier
-// of its service. It returns true if the worker was ejected or reinstated.
+// TakeOutcomes records how requests to a worker ended and ejects it if it is an outlier of
+// its service. It returns true if the worker was ejected or reinstated.
 func (p *Pool) TakeOutcomes(now time.Time, id string, outcomes Outcomes) (Judgement, bool) {
 	e, ok := p.entries[id]
 	if !ok || outcomes.Whole < 0 || outcomes.Broken < 0 {
@@ -111,9 +113,9 @@
 	return judgement, true
 }
 
-// peerFailureRate returns the failure rate of the other workers of the service, and
-// whether this one may be ejected: the limit on ejections is not reached, and the peers have
-// at least as many outcomes as it has failures. Otherwise the first worker to report a
+// peerFailureRate returns the failure rate of the other workers of the service, and whether
+// this one may be ejected: the limit on ejections is not reached, and the peers have at
+// least as many outcomes as it has failures. Otherwise the first worker to report a
 // service-wide failure would be ejected.
 func (p *Pool) peerFailureRate(now time.Time, of *entry) (rate float64, allowed bool) {
 	peers, ejected, known := outlier{}, 0, 0
--- a/worker/pace.go
+++ b/worker/pace.go
@@ -11,8 +11,8 @@
 	// paceDecay is the time constant of the stable average. It spans many bursts of
 	// interference on a shared machine, which last well under a second.
 	paceDecay = 3 * time.Second
-	// maxPaceSamples limits the sample count of the average. Until it is reached, all samples
-	// have equal weight.
+	// maxPaceSamples limits the sample count of the average. Until it is reached, all
+	// samples have equal weight.
 	maxPaceSamples = 16
 	// transientDecay is the time constant with which the deviation of the last report from
 	// the average is discounted.
@@ -59,42 +59,42 @@
 	source    PaceSource
 }
 
-func (b *paceEstimate) known(now time.Time) bool {
-	return b.samples > 0 && now.Sub(b.updatedAt) < paceTTL
+func (e *paceEstimate) known(now time.Time) bool {
+	return e.samples > 0 && now.Sub(e.updatedAt) < paceTTL
 }
 
 // observe adds a report made at a given time. A report older than the latest one updates
 // only the average.
-func (b *paceEstimate) observe(at time.Time, pace float64, source PaceSource) {
+func (e *paceEstimate) observe(at time.Time, pace float64, source PaceSource) {
 	pace = min(max(pace, minPace), maxPace)
-	if b.samples > 0 && at.Sub(b.updatedAt) >= paceTTL {
-		*b = paceEstimate{}
+	if e.samples > 0 && at.Sub(e.updatedAt) >= paceTTL {
+		*e = paceEstimate{}
 	}
-	b.samples = min(b.samples+1, maxPaceSamples)
-	weight := 1 / float64(b.samples)
-	if elapsed := at.Sub(b.updatedAt); b.samples > 1 && elapsed > 0 {
+	e.samples = min(e.samples+1, maxPaceSamples)
+	weight := 1 / float64(e.samples)
+	if elapsed := at.Sub(e.updatedAt); e.samples > 1 && elapsed > 0 {
 		weight = max(weight, 1-math.Exp(-float64(elapsed)/float64(paceDecay)))
 	}
-	b.stable += weight * (pace - b.stable)
-	if !at.Before(b.lastAt) {
-		b.last, b.lastAt = pace, at
+	e.stable += weight * (pace - e.stable)
+	if !at.Before(e.lastAt) {
+		e.last, e.lastAt = pace, at
 	}
-	if !at.Before(b.updatedAt) {
-		b.updatedAt, b.source = at, source
+	if !at.Before(e.updatedAt) {
+		e.updatedAt, e.source = at, source
 	}
 }
 
 // set replaces the average by one collected by another process from more reports.
-func (b *paceEstimate) set(now time.Time, slow float64) {
-	b.stable, b.samples = min(max(slow, minPace), maxPace), maxPaceSamples
-	b.updatedAt, b.source = now, PaceGathered
+func (e *paceEstimate) set(now time.Time, stable float64) {
+	e.stable, e.samples = min(max(stable, minPace), maxPace), maxPaceSamples
+	e.updatedAt, e.source = now, PaceGathered
 }
 
-func (b *paceEstimate) at(now time.Time) Pace {
-	pace := Pace{Value: b.stable, Slow: b.stable, Age: now.Sub(b.updatedAt), Source: b.source}
-	if b.last > 0 {
-		age := max(now.Sub(b.lastAt), 0)
-		pace.Value += (b.last - b.stable) * math.Exp(-float64(age)/float64(transientDecay))
+func (e *paceEstimate) at(now time.Time) Pace {
+	pace := Pace{Value: e.stable, Slow: e.stable, Age: now.Sub(e.updatedAt), Source: e.source}
+	if e.last > 0 {
+		age := max(now.Sub(e.lastAt), 0)
+		pace.Value += (e.last - e.stable) * math.Exp(-float64(age)/float64(transientDecay))
 	}
 	pace.Value = min(max(pace.Value, minPace), maxPace)
 	return pace
@@ -109,10 +109,10 @@
 }
 
 // LearnPace sets the stable component of a worker's pace, as collected by another process.
-func (p *Pool) LearnPace(now time.Time, id string, slow float64) {
-	if e, ok := p.entries[id]; ok && slow > 0 {
+func (p *Pool) LearnPace(now time.Time, id string, stable float64) {
+	if e, ok := p.entries[id]; ok && stable > 0 {
 		p.trackPace(e)
-		e.pace.set(now, slow)
+		e.pace.set(now, stable)
 	}
 }
 
@@ -138,8 +138,8 @@
 	return e.pace.at(now), true
 }
 
-// meanPace returns the mean stable pace of a service's workers, used for those without
-// one. It is false if none is known.
+// meanPace returns the mean stable pace of a service's workers, used for those without one.
+// It is false if none is known.
 func (p *Pool) meanPace(now time.Time, service string) (float64, bool) {
 	sum, known := 0.0, 0
 	for _, e := range p.index(service).withPace {
@@ -172,9 +172,9 @@
 	p.seenServices[service] = true
 }
 
-// slowStartShare returns the fraction of choices in which a worker is a candidate. It
-// grows over slowStartWindow for a worker added to a running service that has not reported,
-// since every process sees it appear empty at the same time.
+// slowStartShare returns the fraction of choices in which a worker is a candidate. It grows
+// over slowStartWindow for a worker added to a running service that has not reported, since
+// every process sees it appear empty at the same time.
 func (e *entry) slowStartShare(now time.Time) float64 {
 	elapsed := now.Sub(e.firstSeen)
 	if !e.addedLater || elapsed >= slowStartWindow || !e.reportedAt.IsZero() || e.pace.samples > 0 {
--- a/worker/replay_test.go
+++ b/worker/replay_test.go
@@ -9,9 +9,8 @@
 )
 
 // Parameters of a replay of overload without reports from leaders: many processes choose by
-// their own observations, the arrival rate alternates between two levels, and three tenths of
-// the workers
-// start to drain within a second, during a peak.
+// their own observations, the arrival rate alternates between two levels, and three tenths
+// of the workers start to drain within a second, during a peak.
 const (
 	replayStep        = 20 * time.Millisecond
 	replayLength      = 8 * time.Second
@@ -110,8 +109,8 @@
 	}
 }
 
-// maxQueuedPercent is the percentage of requests that may wait at a full worker while
-// more than half of all slots are free.
+// maxQueuedPercent is the percentage of requests that may wait at a full worker while more
+// than half of all slots are free.
 const maxQueuedPercent = 1
 
 // Draining workers get no requests, and few requests wait at a full worker, at any fleet
--- a/worker/roster.go
+++ b/worker/roster.go
@@ -8,8 +8,8 @@
 )
 
 // serviceIndex holds the workers of one service in several orders. Workers with a known
-// pace, interval or outcome are listed separately, so that a choice costs time by their number
-// and not by the size of the fleet.
+// pace, interval or outcome are listed separately, so that a choice costs time by their
+// number and not by the size of the fleet.
 type serviceIndex struct {
 	all          sortedEntries
 	groups       map[int]*sortedEntries
@@ -105,8 +105,8 @@
 // one; more are appended and sorted together.
 const maxSingleInserts = 8
 
-// sortedEntries is a sorted list of distinct entries. Added entries stay pending until
-// the list is read, so that adding thousands of workers sorts once.
+// sortedEntries is a sorted list of distinct entries. Added entries stay pending until the
+// list is read, so that adding thousands of workers sorts once.
 type sortedEntries struct {
 	compare func(a, b *entry) int
 	sorted  []*entry
--- a/worker/sample.go
+++ b/worker/sample.go
@@ -9,9 +9,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Up to maxCompared workers are all compared, since any of them may have the prompt
-// cached. Beyond that a choice compares a sample: it almost always contains one of the least
-// loaded workers, and processes with the same information choose different ones.
+// Up to maxCompared workers are all compared, since any of them may have the prompt cached.
+// Beyond that a choice compares a sample: it almost always contains one of the least loaded
+// workers, and processes with the same information choose different ones.
 const (
 	maxCompared = 384
 	// zoneSampleSize workers are drawn from the zone, globalSampleSize from all.
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// ringOwner returns the worker that all processes agree on for a prompt part: the first
-// one on the hash ring at or after the part's hash that accepts requests.
+// ringOwner returns the worker that all processes agree on for a prompt part: the first one
+// on the hash ring at or after the part's hash that accepts requests.
 func (p *Pool) ringOwner(service, part string) *entry {
 	ring := p.index(service).ring.list()
 	place := xxhash.Sum64String(part)
--- a/worker/unpaced_test.go
+++ b/worker/unpaced_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// unpacedDigest is the digest of 3000 choices among workers that report no pace, mixed
-// with load reports, failures, prompts, and workers that come and go. It pins the choices made
+// unpacedDigest is the digest of 3000 choices among workers that report no pace, mixed with
+// load reports, failures, prompts, and workers that come and go. It pins the choices made
 // before pace was supported.
 const unpacedDigest uint64 = 11992734857788680168
 
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -1,6 +1,6 @@
-// Package worker tracks the workers of each service as seen by one process: which exist,
-// how loaded they are, and which prompt parts they have cached. Pool.Choose selects a worker
-// for a request. The package does no I/O and reads no clock: callers pass the current time.
+// Package worker tracks the workers of each service as seen by one process: which exist, how
+// loaded they are, and which prompt parts they have cached. Pool.Choose selects a worker for
+// a request. The package does no I/O and reads no clock: callers pass the current time.
 package worker
 
 import (
@@ -46,8 +46,8 @@
 	// CacheShare is the fraction of an engine's memory assumed to cache prompt parts.
 	CacheShare float64
 	// Draw is the number of workers sampled per choice where workers report their pace.
-	// Sampling keeps many processes, each with few observations per worker, from choosing the
-	// same one. 0 compares all.
+	// Sampling keeps many processes, each with few observations per worker, from choosing
+	// the same one. 0 compares all.
 	Draw int
 	// GroupOf returns the group of a worker, which Query.Groups filters by. If nil, all
 	// workers are in group 0.
@@ -59,9 +59,9 @@
 	return Settings{Zone: zone, DownFor: time.Second, LoadLife: 3 * time.Second, CacheShare: 0.5}
 }
 
-// BlindSettings returns DefaultSettings with two-choice sampling, for one of many
-// processes that choose concurrently and observe each worker rarely. The better of two random
-// workers is nearly as good as the best of all and avoids herding.
+// BlindSettings returns DefaultSettings with two-choice sampling, for one of many processes
+// that choose concurrently and observe each worker rarely. The better of two random workers
+// is nearly as good as the best of all and avoids herding.
 func BlindSettings(zone string) Settings {
 	settings := DefaultSettings(zone)
 	settings.Draw = 2
@@ -87,10 +87,10 @@
 	pendingTokens     int // prompt tokens sent by this process and not yet read
 	otherInFlight     float64
 	otherExact        bool      // otherInFlight was reported by the processes themselves; kept until the next such report
-	reportedAt        time.Time // time of the last load report
+	reportedAt        time.Time // when otherInFlight was last updated
 	slots             int       // as reported by the worker, else as listed
-	downUntil         time.Time // excluded after a refused connection
-	failures          int       // consecutive refused connections
+	downUntil         time.Time // excluded until then after failures
+	failures          int       // consecutive failures
 	consecutiveBroken int       // consecutive interrupted answers
 	parts             *partSet
 	fullUntil         time.Time
@@ -115,8 +115,8 @@
 // SetCapacity sets the memory, in tokens, of each engine of a service.
 func (p *Pool) SetCapacity(service string, tokens int) { p.capacity[service] = tokens }
 
-// Put adds a worker or updates its listing. A later incarnation starts with fresh state;
-// an earlier one is ignored.
+// Put adds a worker or updates its listing. A later incarnation starts with fresh state; an
+// earlier one is ignored.
 func (p *Pool) Put(w Worker) {
 	listed, ok := p.entries[w.ID]
 	if ok && w.Incarnation().Before(listed.Incarnation()) {
@@ -282,8 +282,8 @@
 }
 
 // SetHeld sets the exact number of requests that all other processes have at a worker, as
-// reported by them. It stays valid until the next call and takes precedence over the worker's
-// own, older load reports.
+// reported by them. It stays valid until the next call and takes precedence over the
+// worker's own, older load reports.
 func (p *Pool) SetHeld(now time.Time, id string, held int) {
 	if e, ok := p.entries[id]; ok {
 		e.otherInFlight, e.otherExact = float64(held), true
@@ -314,8 +314,8 @@
 	return list
 }
 
-// EachOccupancy calls visit for each entry that Occupancies would return; nil groups
-// select all workers.
+// EachOccupancy calls visit for each entry that Occupancies would return; nil groups select
+// all workers.
 func (p *Pool) EachOccupancy(now time.Time, service string, groups []int, visit func(Occupancy)) {
 	for _, part := range p.index(service).lists(groups) {
 		for _, e := range part {
