--- a/detour/detour.go
+++ b/detour/detour.go
@@ -1,11 +1,12 @@
 // Package detour selects paths for queries to a process that may be unreachable: the direct
-// path, or one relayed by a peer that reaches the process. If the direct path does not answer
-// within a short delay, peers are queried as well. The peer that relayed an answer is used
-// first for the next query, while the direct path is probed periodically. Failing peers are
-// skipped with exponential backoff.
+// path, or one relayed by a peer that reaches the process. If the direct path does not
+// answer within a short delay, peers are queried as well. The peer that relayed an answer is
+// used first for the next query, while the direct path is probed periodically. Failing peers
+// are skipped with exponential backoff.
 //
 // A repeatable query may be in flight on several paths, so the process that answers it must
-// recognize duplicates. Any other query uses the next path only after the previous one failed.
+// recognize duplicates. Any other query uses the next path only after the previous one
+// failed.
 //
 // The package does no I/O and reads no clock: callers pass the current time.
 package detour
@@ -223,21 +224,21 @@
 	return changed
 }
 
-// Reaches reports whether the direct path to a process is assumed to work. Queries of
-// other processes are relayed only then. A failed path is tried again after probeInterval.
+// Reaches reports whether the direct path to a process is assumed to work. Queries of other
+// processes are relayed only then. A failed path is tried again after probeInterval.
 func (w *Ways) Reaches(now time.Time, id api.NodeID) bool {
 	t := w.targets[id]
 	return t == nil || t.failedAt.IsZero() || now.Sub(t.failedAt) > probeInterval
 }
 
-// Passed records the result of a query relayed for another process. It returns the same
-// as Question.Ended.
+// Passed records the result of a query relayed for another process. It returns the same as
+// Question.Ended.
 func (w *Ways) Passed(now time.Time, id api.NodeID, result Result) (changed bool) {
 	return w.recordDirect(now, w.target(now, id), result)
 }
 
-// Via returns the peer that currently relays queries to a process. It is empty if the
-// direct path is in use or no path works.
+// Via returns the peer that currently relays queries to a process. It is empty if the direct
+// path is in use or no path works.
 func (w *Ways) Via(id api.NodeID) api.NodeID {
 	t := w.targets[id]
 	if t == nil || t.failedAt.IsZero() {
--- a/detour/replay_test.go
+++ b/detour/replay_test.go
@@ -102,25 +102,25 @@
 // timeout.
 func (f *fleet) query(by *frontend, owner api.NodeID, ask ratelimit.Ask, from time.Duration) (grant ratelimit.Grant, took time.Duration, ok bool) {
 	q, at, last := by.ways.Begin(testStart.Add(from), owner, true), from, from+ownerTimeout
-	var open []pathResult
+	var pending []pathResult
 	more := true
 	next := func() {
 		var way Way
 		if way, more = q.Next(testStart.Add(at), func() []api.NodeID { return Peers(by.node, f.members) }); more {
-			open = append(open, f.send(by, way, owner, ask, at, last))
+			pending = append(pending, f.send(by, way, owner, ask, at, last))
 		}
 	}
 	next()
-	for more || len(open) > 0 {
-		slices.SortStableFunc(open, func(a, b pathResult) int { return cmp.Compare(a.at, b.at) })
+	for more || len(pending) > 0 {
+		slices.SortStableFunc(pending, func(a, b pathResult) int { return cmp.Compare(a.at, b.at) })
 		due := q.Due().Sub(testStart)
-		if more && (len(open) == 0 || due <= open[0].at) {
+		if more && (len(pending) == 0 || due <= pending[0].at) {
 			at = max(at, due)
 			next()
 			continue
 		}
-		first := open[0]
-		open, at = open[1:], first.at
+		first := pending[0]
+		pending, at = pending[1:], first.at
 		q.Ended(testStart.Add(at), first.way, first.result)
 		if first.result == Answered && !ok {
 			grant, took, ok, more = first.grant, at-from, true, false
@@ -155,15 +155,15 @@
 			continue
 		}
 		tried++
-		question := by.holder.Ask(now, string(owner.ID), name, limit, 1, 1)
+		ask := by.holder.Ask(now, string(owner.ID), name, limit, 1, 1)
 		f.sequence++
-		question.Holder, question.Sequence = string(by.node.ID), f.sequence
-		grant, took, ok := f.query(by, owner.ID, question, at+result.took)
+		ask.Holder, ask.Sequence = string(by.node.ID), f.sequence
+		grant, took, ok := f.query(by, owner.ID, ask, at+result.took)
 		result.took += took
 		now = testStart.Add(at + result.took)
 		if ok {
 			result.direct = by.ways.Via(owner.ID) == ""
-			result.admitted = by.holder.Granted(now, string(owner.ID), question, grant, 1) == 1
+			result.admitted = by.holder.Granted(now, string(owner.ID), ask, grant, 1) == 1
 			return result
 		}
 		by.holder.Silent(now, string(owner.ID), name)
@@ -191,8 +191,8 @@
 	return all
 }
 
-// Guards against local rate-limit decisions, late answers and exceeded limits while a
-// third of the frontends reach no owner and one tenant is over its limit.
+// Guards against local rate-limit decisions, late answers and exceeded limits while a third
+// of the frontends reach no owner and one tenant is over its limit.
 func TestQueriesAreRelayedDuringPartition(t *testing.T) {
 	limit := route.Limit{Rate: 12.8, Burst: 12.8}
 	third := func(i int) bool { return i < 10 }
