--- a/detour/detour.go
+++ b/detour/detour.go
@@ -93,7 +93,7 @@
 	duration time.Duration
 }
 
-// New returns a Ways that assumes every direct path to work.
+// New returns an empty state, in which every direct path is assumed to work.
 func New() *Ways {
 	return &Ways{targets: map[api.NodeID]*target{}, backoffs: map[api.NodeID]*backoff{}}
 }
@@ -231,8 +231,8 @@
 	return t == nil || t.failedAt.IsZero() || now.Sub(t.failedAt) > probeInterval
 }
 
-// Passed records the result of a query relayed for another process. It returns the same as
-// Question.Ended.
+// Passed records the result of a query relayed for another process, and reports whether the
+// path to the process changed.
 func (w *Ways) Passed(now time.Time, id api.NodeID, result Result) (changed bool) {
 	return w.recordDirect(now, w.target(now, id), result)
 }
@@ -256,8 +256,8 @@
 	return t.changedAt
 }
 
-// isolationWindow is how long a result of a direct path counts for Apart. It exceeds the
-// interval between probes.
+// isolationWindow is how long a result of a direct path counts as evidence of isolation. It
+// exceeds the interval between probes.
 const isolationWindow = 2 * probeInterval
 
 // Apart reports whether this process appears to be isolated: at least two direct paths
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -2,9 +2,9 @@
 // once with a time to retry. Without admission control, under overload all requests queue
 // until nearly all miss their objective.
 //
-// A Line is one process's view of one service: slot holding times, number of slots,
-// arrivals, and promised retries. It does no I/O and reads no clock: callers pass the
-// current time.
+// The state covers one service as seen by one process: slot holding times, number of slots,
+// arrivals, and promised retries. The package does no I/O and reads no clock: callers pass
+// the current time.
 package overload
 
 import (
@@ -195,7 +195,7 @@
 // Use describes the request to decide for.
 type Use struct {
 	Rank hold.Rank
-	// Begin is the time left to start on time, Last the time left to start at all.
+	// Time left to start on time, and to start at all.
 	Begin, Last time.Duration
 	// Promised is set for a retry that has claimed a slot, which is due after Due.
 	Promised bool
@@ -208,15 +208,15 @@
 // Verdict is a decision with the estimates behind it.
 type Verdict struct {
 	Refuse bool
-	// Bound is the maximum wait, after which to decide again. Return is the delay until the
-	// retry of a rejected request.
+	// Maximum wait, after which to decide again, and delay until the retry of a rejected
+	// request.
 	Bound, Return time.Duration
 
 	Until     time.Duration // expected wait for a slot
 	Ahead     int           // queued requests that go first
 	Told      int           // promised retries due by then
 	PerSecond float64       // free slots per second for its rank; 0 if unknown
-	Known     bool
+	Known     bool          // whether the rate is known
 }
 
 // Decide decides for a request that finds no slot, with ahead queued requests that go first.
--- a/worker/choose.go
+++ b/worker/choose.go
@@ -193,10 +193,10 @@
 	return kept
 }
 
-// drawCandidates samples Settings.Draw workers weighted by speed, so that processes that
-// share the same sparse observations do not converge on the same workers. The affinity
-// worker of a large prompt part and a worker with most of the prompt cached are always
-// included if reading that much would cost more than the request itself.
+// drawCandidates samples the configured number of workers weighted by speed, so that
+// processes that share the same sparse observations do not converge on the same workers. The
+// affinity worker of a large prompt part and a worker with most of the prompt cached are
+// always included if reading that much would cost more than the request itself.
 func (p *Pool) drawCandidates(now time.Time, candidates []*entry, mean float64, query Query, random *rand.Rand) []*entry {
 	if p.settings.Draw == 0 || len(candidates) <= p.settings.Draw {
 		return candidates
--- a/worker/outlier.go
+++ b/worker/outlier.go
@@ -70,10 +70,10 @@
 
 // Judgement is the ejection or reinstatement of a worker.
 type Judgement struct {
-	Out           bool // ejected for Pause; false if reinstated
-	Pause         time.Duration
-	Whole, Broken float64 // decayed outcomes of the worker
-	Peers         float64 // failure rate of its peers
+	Out           bool          // false if reinstated
+	Pause         time.Duration // how long it is ejected
+	Whole, Broken float64       // decayed outcomes of the worker
+	Peers         float64       // failure rate of its peers
 }
 
 // TakeOutcomes records how requests to a worker ended and ejects it if it is an outlier of
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -273,7 +273,7 @@
 }
 
 // SetOthers sets the number of requests that other processes report to have at a worker.
-// Unless SetHeld is in effect, the value decays like that of a load report.
+// Unless the exact number is known, the value decays like that of a load report.
 func (p *Pool) SetOthers(now time.Time, id string, held int) {
 	if e, ok := p.entries[id]; ok {
 		e.otherInFlight = float64(held)
@@ -291,7 +291,8 @@
 	}
 }
 
-// ForgetHeld makes the values set by SetHeld estimates again, for all workers.
+// ForgetHeld makes exact numbers of other processes' requests estimates again, for all
+// workers.
 func (p *Pool) ForgetHeld() {
 	for _, e := range p.entries {
 		e.otherExact = false
@@ -367,7 +368,7 @@
 	}
 }
 
-// maxBackoffFactor limits the growth of Settings.DownFor over consecutive failures.
+// maxBackoffFactor limits the growth of the backoff over consecutive failures.
 const maxBackoffFactor = 4
 
 // Full records that a worker rejected a request because it was full.
