--- a/worker/replay_test.go
+++ b/worker/replay_test.go
@@ -10,7 +10,7 @@
 
 // Parameters of a replay of overload without reports from leaders: many processes choose by
 // their own observations, the arrival rate alternates between two levels, and three tenths
-// of the workers start to drain within a second, during a peak.
+// of the workers start to drain halfway through.
 const (
 	replayStep        = 20 * time.Millisecond
 	replayLength      = 8 * time.Second
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -251,7 +251,7 @@
 }
 
 // Report applies a load reported by a worker. Requests beyond those of this process are
-// attributed to other processes.
+// attributed to other processes. A report also ends a backoff after failures.
 func (p *Pool) Report(now time.Time, id string, load Load) {
 	e, ok := p.entries[id]
 	if !ok {
