--- a/reservation/queue.go
+++ b/reservation/queue.go
@@ -9,17 +9,18 @@
 	"github.com/dykewing/dykewing/overload"
 )
 
-// Waiting is one request that waits for a place.
+// Waiting is a request that waits for a slot.
 type Waiting struct {
 	Node  api.NodeID
 	Ask   Ask
 	Since time.Time
 	Order hold.Request
-	// Place gets the answer once there is one; it has room for it.
+	// Place receives the answer. It is buffered, so that sending does not block.
 	Place chan Answer
 }
 
-// Wait makes a request wait from now on.
+// Wait returns a Waiting for a request of the frontend that arrived at now. Its deadlines
+// are computed from the durations in ask.
 func Wait(now time.Time, node api.NodeID, ask Ask) *Waiting {
 	w := &Waiting{
 		Node: node, Ask: ask, Since: now, Place: make(chan Answer, 1),
@@ -31,17 +32,17 @@
 	return w
 }
 
-// Queue is the requests of one service that wait, and what decides how long.
+// Queue holds the waiting requests of one service and the overload controller that bounds
+// their wait. The zero value is ready to use.
 type Queue struct {
-	Line overload.Line
-	list []*Waiting
+	Line    overload.Line
+	waiters []*Waiting
 }
 
-// Len is how many wait.
-func (q *Queue) Len() int { return len(q.list) }
+func (q *Queue) Len() int { return len(q.waiters) }
 
-// Arrived notes a request that is to be placed or to wait here. One that was told to
-// return is found out, and goes before new ones of its rank.
+// Arrived records the arrival of a request. A request that returns after a rejection takes
+// over the promise of an earlier one and precedes new requests of its rank.
 func (q *Queue) Arrived(now time.Time, w *Waiting) {
 	switch {
 	case w.Ask.Again:
@@ -52,14 +53,14 @@
 	}
 }
 
-// Placed notes that a request got a place.
+// Placed records that a request was granted a slot.
 func (q *Queue) Placed(now time.Time, w *Waiting) {
 	q.Line.Placed(now, w.Order.Rank, w.Order.Class(now) == hold.InTime)
 }
 
-// Full answers a request that has no slot, and waits no longer here.
+// Full returns the answer for a request that got no slot and no longer waits.
 func (q *Queue) Full(now time.Time, w *Waiting) Answer {
-	answer := Answer{Full: true, Waiting: q.Len(), Until: q.Line.Look(now, use(now, w, false), q.ahead(now, w)).Until}
+	answer := Answer{Full: true, Waiting: q.Len(), Until: q.Line.Look(now, overloadUse(now, w, false), q.countAhead(now, w)).Until}
 	if !w.Order.Promised.IsZero() {
 		due := w.Order.Promised.Sub(now)
 		answer.Promise = &due
@@ -67,34 +68,33 @@
 	return answer
 }
 
-// Add lets a request wait.
-func (q *Queue) Add(w *Waiting) { q.list = append(q.list, w) }
+func (q *Queue) Add(w *Waiting) { q.waiters = append(q.waiters, w) }
 
-// Remove takes a request out; false when it is not there any more.
+// Remove removes a request and reports whether it was queued.
 func (q *Queue) Remove(w *Waiting) bool {
-	before := len(q.list)
-	q.list = slices.DeleteFunc(q.list, func(other *Waiting) bool { return other == w })
-	return len(q.list) < before
+	before := len(q.waiters)
+	q.waiters = slices.DeleteFunc(q.waiters, func(other *Waiting) bool { return other == w })
+	return len(q.waiters) < before
 }
 
-// Sorted gives those that wait in the order in which they are to be placed.
+// Sorted returns the waiting requests in the order in which they are to be granted slots.
 func (q *Queue) Sorted(now time.Time) []*Waiting {
-	slices.SortStableFunc(q.list, func(a, b *Waiting) int { return hold.Compare(now, a.Order, b.Order) })
-	return slices.Clone(q.list)
+	slices.SortStableFunc(q.waiters, func(a, b *Waiting) int { return hold.Compare(now, a.Order, b.Order) })
+	return slices.Clone(q.waiters)
 }
 
-// Decide decides for a request that finds no slot: it waits, or is refused.
+// Decide decides whether a request that finds no free slot waits or is rejected.
 func (q *Queue) Decide(now time.Time, w *Waiting) overload.Verdict {
 	if w.Ask.Elsewhere {
-		return q.Line.Look(now, use(now, w, false), q.ahead(now, w))
+		return q.Line.Look(now, overloadUse(now, w, false), q.countAhead(now, w))
 	}
-	return q.Line.Decide(now, use(now, w, false), q.ahead(now, w))
+	return q.Line.Decide(now, overloadUse(now, w, false), q.countAhead(now, w))
 }
 
-// ahead is how many that wait go before a request, or will once their slots are due
-// while it can be in time.
-func (q *Queue) ahead(now time.Time, w *Waiting) (ahead int) {
-	for _, other := range q.list {
+// countAhead returns the number of waiting requests that precede w, including those whose
+// promised slot is due before w must start.
+func (q *Queue) countAhead(now time.Time, w *Waiting) (ahead int) {
+	for _, other := range q.waiters {
 		due := !other.Order.Promised.IsZero() && !other.Order.Promised.After(w.Order.Begin) && other.Order.Rank.Compare(w.Order.Rank) <= 0
 		if other != w && (due || hold.Compare(now, other.Order, w.Order) <= 0) {
 			ahead++
@@ -103,18 +103,17 @@
 	return ahead
 }
 
-// Refused is a request that waits no longer, with why.
+// Refused is a request that was removed from the queue, with the reason.
 type Refused struct {
 	*Waiting
 	Verdict overload.Verdict
 }
 
-// Refuse takes out those that can't have a slot in time any more, as is known now:
-// nobody waits on for what won't come.
+// Refuse removes and returns the requests that are not expected to get a slot in time.
 func (q *Queue) Refuse(now time.Time) (refused []Refused) {
 	ahead := 0
 	for _, w := range q.Sorted(now) {
-		if verdict := q.Line.Decide(now, use(now, w, true), ahead); verdict.Refuse {
+		if verdict := q.Line.Decide(now, overloadUse(now, w, true), ahead); verdict.Refuse {
 			q.Remove(w)
 			refused = append(refused, Refused{Waiting: w, Verdict: verdict})
 			continue
@@ -124,9 +123,10 @@
 	return refused
 }
 
-// use is what a wait is worth. One that returns is taken as one that waits: it has no
-// further try, as far as is known, and is let go only without hope.
-func use(now time.Time, w *Waiting, waits bool) overload.Use {
+// overloadUse describes a request to the overload controller. A returning request counts as
+// waiting: it is assumed to have no further attempt, so it is rejected only when no slot is
+// expected in time.
+func overloadUse(now time.Time, w *Waiting, waits bool) overload.Use {
 	return overload.Use{
 		Rank: w.Order.Rank, Begin: w.Order.Begin.Sub(now), Last: w.Order.Last.Sub(now), Waits: waits || w.Ask.Returned,
 		Promised: !w.Order.Promised.IsZero(), Due: w.Order.Promised.Sub(now),
--- a/reservation/replay_test.go
+++ b/reservation/replay_test.go
@@ -12,29 +12,28 @@
 	"github.com/dykewing/dykewing/hold"
 )
 
-// The replay is a leader's queue before slots that become fewer while callers come in
-// steps, each with one more try. Time goes in steps of replayStep; nothing runs beside
-// it.
+// The replay simulates the queue of one service with a varying number of slots. Requests
+// arrive at random and are retried once. Simulated time advances in steps of replayStep.
 const (
-	replayStep = 5 * time.Millisecond
-	aim        = 300 * time.Millisecond // to the first event
-	target     = 200 * time.Millisecond // to begin in time, as far as is known before
-	firstEvent = 75 * time.Millisecond  // from the begin, at the usual pace
-	patience   = 5 * time.Second
-	lastShare  = 0.6 // of the time left; the rest is for the answer
-	callers    = 8   // tenants
+	replayStep         = 5 * time.Millisecond
+	responseTarget     = 300 * time.Millisecond // arrival to first event
+	startTarget        = 200 * time.Millisecond // arrival to start
+	firstEventLatency  = 75 * time.Millisecond  // start to first event, at pace 1
+	callerTimeout      = 5 * time.Second
+	startDeadlineShare = 0.6 // share of the time left within which a request must start
+	tenantCount        = 8
 )
 
-// load is what callers and workers do.
-type load struct {
-	name    string
-	length  time.Duration
-	slots   func(at time.Duration) int
-	arrives func(at time.Duration) float64 // first tries a second
+// scenario is a load and the capacity to serve it.
+type scenario struct {
+	name        string
+	length      time.Duration
+	slots       func(at time.Duration) int
+	arrivalRate func(at time.Duration) float64 // new requests per second
 }
 
-// steps is demand in steps: low for 3.8 s of 6.6, then high.
-func steps(mean float64) func(time.Duration) float64 {
+// squareWave is low for 3.8 s and high for 2.8 s of each period, with the given mean.
+func squareWave(mean float64) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at%(6600*time.Millisecond) < 3800*time.Millisecond {
 			return 0.377 * mean
@@ -43,8 +42,8 @@
 	}
 }
 
-var loads = []load{
-	{"a third of the slots leaves, demand rises", 30 * time.Second,
+var scenarios = []scenario{
+	{"a third of the slots lost during a surge", 30 * time.Second,
 		func(at time.Duration) int {
 			switch {
 			case at < 4*time.Second:
@@ -56,197 +55,197 @@
 		},
 		func(at time.Duration) float64 {
 			if at > 6*time.Second && at < 24*time.Second {
-				return 1.6 * steps(66)(at)
+				return 1.6 * squareWave(66)(at)
 			}
-			return steps(66)(at)
+			return squareWave(66)(at)
 		}},
-	{"steps that fit on the mean", 30 * time.Second, func(time.Duration) int { return 90 }, steps(66)},
-	{"twice as many as slots, for long", 30 * time.Second, func(time.Duration) int { return 60 }, func(time.Duration) float64 { return 120 }},
-	{"all fit", 20 * time.Second, func(time.Duration) int { return 112 }, func(time.Duration) float64 { return 80 }},
+	{"square wave within mean capacity", 30 * time.Second, func(time.Duration) int { return 90 }, squareWave(66)},
+	{"sustained overload at twice the capacity", 30 * time.Second, func(time.Duration) int { return 60 }, func(time.Duration) float64 { return 120 }},
+	{"within capacity", 20 * time.Second, func(time.Duration) int { return 112 }, func(time.Duration) float64 { return 80 }},
 }
 
-// caller is one request with what became of it.
+// caller is one request and its outcome.
 type caller struct {
 	*Waiting
-	tenant   int
-	first    time.Time
-	tries    int
-	asked    time.Time // of this try
-	begun    time.Time
-	answered time.Time       // its first event
-	refusals []time.Duration // how long each refused try had waited
+	tenant        int
+	arrivedAt     time.Time
+	tries         int
+	askedAt       time.Time // of the current attempt
+	startedAt     time.Time
+	firstEventAt  time.Time
+	rejectedAfter []time.Duration // wait of each rejected attempt
 }
 
-// way is a way of waiting and refusing.
-type way struct {
-	name  string
-	begin func() *policy
+// strategy is a queueing and rejection strategy.
+type strategy struct {
+	name      string
+	newPolicy func() *policy
 }
 
-// policy is a way at work. A refusal tells when to return.
+// policy is the state of a strategy in one replay. Rejections carry a retry delay.
 type policy struct {
 	observe func(now time.Time, slots, held, ended int)
 	placed  func(now time.Time, c *caller)
-	arrive  func(now time.Time, c *caller, waiting []*caller, free bool) (refuse bool, back time.Duration)
-	order   func(now time.Time, a, b *caller) int
-	drop    func(now time.Time, waiting []*caller) []dropped
+	arrive  func(now time.Time, c *caller, waiting []*caller, free bool) (reject bool, retryAfter time.Duration)
+	compare func(now time.Time, a, b *caller) int
+	shed    func(now time.Time, waiting []*caller) []shedCaller
 }
 
-type dropped struct {
+type shedCaller struct {
 	*caller
-	back time.Duration
+	retryAfter time.Duration
 }
 
-// outcome of a replay.
+// outcome is the result of a replay.
 type outcome struct {
-	callers            int
-	first, inTime, all float64 // shares: in time at the first try, in time, served at all
-	median, p99        time.Duration
-	refusals, second   int
-	fair               float64 // least of all tenants' shares in time over the greatest
+	requests                       int
+	inTimeFirstTry, inTime, served float64 // shares of requests
+	medianRejection, p99Rejection  time.Duration
+	rejections, rejectedTwice      int
+	fairness                       float64 // lowest in-time share of a tenant divided by the highest
 }
 
-func replay(l load, w way, seed uint64) outcome {
+func runReplay(s scenario, st strategy, seed uint64) outcome {
 	random := rand.New(rand.NewPCG(seed, 1))
-	p := w.begin()
-	now, began := start, start
-	var waiting, everybody, returning []*caller
-	var held []time.Time // when each held slot comes free
-	refuse := func(c *caller, back time.Duration) {
-		c.refusals = append(c.refusals, now.Sub(c.asked))
-		if c.tries < 2 { // callers come back no later than after a third of what is left
-			left := c.first.Add(patience).Sub(now)
-			c.asked = now.Add(min(back, left/3) + replayStep)
+	p := st.newPolicy()
+	now, begin := start, start
+	var waiting, all, returning []*caller
+	var held []time.Time // end of each request in service
+	reject := func(c *caller, back time.Duration) {
+		c.rejectedAfter = append(c.rejectedAfter, now.Sub(c.askedAt))
+		if c.tries < 2 { // callers wait at most a third of their remaining time
+			left := c.arrivedAt.Add(callerTimeout).Sub(now)
+			c.askedAt = now.Add(min(back, left/3) + replayStep)
 			returning = append(returning, c)
 		}
 	}
 	offer := func(c *caller, free bool) {
 		c.tries++
-		c.asked = now
-		left := c.first.Add(patience).Sub(now)
+		c.askedAt = now
+		left := c.arrivedAt.Add(callerTimeout).Sub(now)
 		c.Waiting = Wait(now, "f", Ask{
-			Begin: c.first.Add(target).Sub(now), Last: time.Duration(lastShare * float64(left)), Returned: c.tries > 1,
+			Begin: c.arrivedAt.Add(startTarget).Sub(now), Last: time.Duration(startDeadlineShare * float64(left)), Returned: c.tries > 1,
 		})
 		if refused, back := p.arrive(now, c, waiting, free); refused {
-			refuse(c, back)
+			reject(c, back)
 			return
 		}
 		waiting = append(waiting, c)
 	}
-	for ; now.Sub(began) < l.length; now = now.Add(replayStep) {
-		at := now.Sub(began)
-		before, slots := len(held), l.slots(at)
+	for ; now.Sub(begin) < s.length; now = now.Add(replayStep) {
+		at := now.Sub(begin)
+		before, slots := len(held), s.slots(at)
 		held = slices.DeleteFunc(held, func(end time.Time) bool { return !end.After(now) })
 		p.observe(now, slots, min(len(held), slots), before-len(held))
 		for _, c := range slices.Clone(returning) {
-			if !c.asked.After(now) {
+			if !c.askedAt.After(now) {
 				returning = slices.DeleteFunc(returning, func(other *caller) bool { return other == c })
 				offer(c, len(waiting) == 0 && len(held) < slots)
 			}
 		}
-		if random.Float64() < l.arrives(at)*replayStep.Seconds() {
-			c := &caller{first: now, tenant: min(int(random.ExpFloat64()*2), callers-1)}
-			everybody = append(everybody, c)
+		if random.Float64() < s.arrivalRate(at)*replayStep.Seconds() {
+			c := &caller{arrivedAt: now, tenant: min(int(random.ExpFloat64()*2), tenantCount-1)}
+			all = append(all, c)
 			offer(c, len(waiting) == 0 && len(held) < slots)
 		}
-		slices.SortStableFunc(waiting, func(a, b *caller) int { return p.order(now, a, b) })
+		slices.SortStableFunc(waiting, func(a, b *caller) int { return p.compare(now, a, b) })
 		for len(waiting) > 0 && len(held) < slots {
 			c := waiting[0]
 			waiting = waiting[1:]
-			c.begun = now
+			c.startedAt = now
 			p.placed(now, c)
 			pace := []float64{0.7, 0.7, 1.7}[random.IntN(3)]
 			if random.Float64() < 0.15 {
 				pace *= 2.5
 			}
-			c.answered = now.Add(time.Duration(pace * float64(firstEvent)))
+			c.firstEventAt = now.Add(time.Duration(pace * float64(firstEventLatency)))
 			held = append(held, now.Add(time.Duration(0.8*pace*(0.4+1.2*random.Float64())*float64(time.Second))))
 		}
-		for _, d := range p.drop(now, waiting) {
+		for _, d := range p.shed(now, waiting) {
 			waiting = slices.DeleteFunc(waiting, func(other *caller) bool { return other == d.caller })
-			refuse(d.caller, d.back)
+			reject(d.caller, d.retryAfter)
 		}
 	}
-	return judge(everybody, now)
+	return summarize(all, now)
 }
 
-func judge(everybody []*caller, end time.Time) (o outcome) {
+func summarize(all []*caller, end time.Time) (o outcome) {
 	var waits []time.Duration
-	inTime, of := make([]float64, callers), make([]float64, callers)
-	for _, c := range everybody {
-		if end.Sub(c.first) < patience { // not decided yet
+	inTime, count := make([]float64, tenantCount), make([]float64, tenantCount)
+	for _, c := range all {
+		if end.Sub(c.arrivedAt) < callerTimeout { // undecided at the end
 			continue
 		}
-		o.callers++
-		of[c.tenant]++
-		waits = append(waits, c.refusals...)
-		if len(c.refusals) > 1 {
-			o.second++
+		o.requests++
+		count[c.tenant]++
+		waits = append(waits, c.rejectedAfter...)
+		if len(c.rejectedAfter) > 1 {
+			o.rejectedTwice++
 		}
-		if c.begun.IsZero() {
+		if c.startedAt.IsZero() {
 			continue
 		}
-		o.all++
-		if c.answered.Sub(c.first) <= aim {
+		o.served++
+		if c.firstEventAt.Sub(c.arrivedAt) <= responseTarget {
 			o.inTime++
 			inTime[c.tenant]++
 			if c.tries == 1 {
-				o.first++
+				o.inTimeFirstTry++
 			}
 		}
 	}
-	o.refusals = len(waits)
+	o.rejections = len(waits)
 	if len(waits) > 0 {
 		slices.Sort(waits)
-		o.median, o.p99 = waits[len(waits)/2], waits[len(waits)*99/100]
+		o.medianRejection, o.p99Rejection = waits[len(waits)/2], waits[len(waits)*99/100]
 	}
-	least, most := math.Inf(1), 0.0
-	for i := range of {
-		if of[i] > 30 {
-			least, most = min(least, inTime[i]/of[i]), max(most, inTime[i]/of[i])
+	lowest, highest := math.Inf(1), 0.0
+	for i := range count {
+		if count[i] > 30 {
+			lowest, highest = min(lowest, inTime[i]/count[i]), max(highest, inTime[i]/count[i])
 		}
 	}
-	n := float64(o.callers)
-	o.first, o.inTime, o.all, o.fair = o.first/n, o.inTime/n, o.all/n, least/max(most, 1e-9)
+	n := float64(o.requests)
+	o.inTimeFirstTry, o.inTime, o.served, o.fairness = o.inTimeFirstTry/n, o.inTime/n, o.served/n, lowest/max(highest, 1e-9)
 	return o
 }
 
 func (o outcome) String() string {
-	return fmt.Sprintf("%.3f | %.3f | %.3f | %d | %d | %d | %.2f", o.first, o.inTime, o.all, o.median.Milliseconds(), o.p99.Milliseconds(), o.second, o.fair)
+	return fmt.Sprintf("%.3f | %.3f | %.3f | %d | %d | %d | %.2f", o.inTimeFirstTry, o.inTime, o.served, o.medianRejection.Milliseconds(), o.p99Rejection.Milliseconds(), o.rejectedTwice, o.fairness)
 }
 
-func byClass(now time.Time, a, b *caller) int { return hold.Compare(now, a.Order, b.Order) }
+func compareByClass(now time.Time, a, b *caller) int { return hold.Compare(now, a.Order, b.Order) }
 
-func oldestFirst(_ time.Time, a, b *caller) int { return a.asked.Compare(b.asked) }
+func compareByAge(_ time.Time, a, b *caller) int { return a.askedAt.Compare(b.askedAt) }
 
-// expired drops those that can't begin any more.
-func expired(back time.Duration) func(time.Time, []*caller) []dropped {
-	return func(now time.Time, waiting []*caller) (list []dropped) {
+// shedExpired rejects requests past their start deadline.
+func shedExpired(retryAfter time.Duration) func(time.Time, []*caller) []shedCaller {
+	return func(now time.Time, waiting []*caller) (list []shedCaller) {
 		for _, c := range waiting {
 			if now.After(c.Order.Last) {
-				list = append(list, dropped{c, back})
+				list = append(list, shedCaller{c, retryAfter})
 			}
 		}
 		return list
 	}
 }
 
-func plain() *policy {
+func fifoPolicy() *policy {
 	return &policy{
 		observe: func(time.Time, int, int, int) {}, placed: func(time.Time, *caller) {},
-		arrive: func(time.Time, *caller, []*caller, bool) (bool, time.Duration) { return false, 0 },
-		order:  oldestFirst, drop: expired(200 * time.Millisecond),
+		arrive:  func(time.Time, *caller, []*caller, bool) (bool, time.Duration) { return false, 0 },
+		compare: compareByAge, shed: shedExpired(200 * time.Millisecond),
 	}
 }
 
-// theQueue is what the product does.
-func theQueue() *policy {
-	q, p := &Queue{}, plain()
+// queuePolicy is the Queue under test.
+func queuePolicy() *policy {
+	q, p := &Queue{}, fifoPolicy()
 	p.observe = q.Line.Observe
 	p.placed = func(now time.Time, c *caller) { q.Placed(now, c.Waiting) }
-	p.order = byClass
+	p.compare = compareByClass
 	p.arrive = func(now time.Time, c *caller, waiting []*caller, free bool) (bool, time.Duration) {
-		q.list = nil
+		q.waiters = nil
 		for _, other := range waiting {
 			q.Add(other.Waiting)
 		}
@@ -257,26 +256,25 @@
 		v := q.Decide(now, c.Waiting)
 		return v.Refuse, v.Return
 	}
-	p.drop = func(now time.Time, waiting []*caller) (list []dropped) {
-		q.list = nil
+	p.shed = func(now time.Time, waiting []*caller) (list []shedCaller) {
+		q.waiters = nil
 		for _, c := range waiting {
 			q.Add(c.Waiting)
 		}
 		q.Line.Waits(now, len(waiting) > 0)
 		for _, r := range q.Refuse(now) {
 			i := slices.IndexFunc(waiting, func(c *caller) bool { return c.Waiting == r.Waiting })
-			list = append(list, dropped{waiting[i], r.Verdict.Return})
+			list = append(list, shedCaller{waiting[i], r.Verdict.Return})
 		}
 		return list
 	}
 	return p
 }
 
-// byPlaces is the plant: an estimate from places given lately, at least five a second,
-// all wait as long as that is before their last moment, and those whose last moment is
-// near go before those in time.
-func byPlaces() *policy {
-	p := plain()
+// grantRatePolicy is a known-bad baseline: it estimates waits from the recent grant rate and
+// puts requests close to their deadline ahead of those that can still be in time.
+func grantRatePolicy() *policy {
+	p := fifoPolicy()
 	rate, at := 0.0, start
 	p.placed = func(now time.Time, _ *caller) {
 		rate, at = rate*math.Exp(-now.Sub(at).Seconds())+1, now
@@ -284,16 +282,16 @@
 	expiring := func(now time.Time, c *caller) bool {
 		return now.After(c.Order.Begin) && now.Add(300*time.Millisecond).After(c.Order.Last)
 	}
-	p.order = func(now time.Time, a, b *caller) int {
+	p.compare = func(now time.Time, a, b *caller) int {
 		if x, y := expiring(now, a), expiring(now, b); x != y {
 			return map[bool]int{true: -1, false: 1}[x]
 		}
-		return byClass(now, a, b)
+		return compareByClass(now, a, b)
 	}
 	p.arrive = func(now time.Time, c *caller, waiting []*caller, _ bool) (bool, time.Duration) {
 		ahead := 1
 		for _, other := range waiting {
-			if p.order(now, other, c) <= 0 {
+			if p.compare(now, other, c) <= 0 {
 				ahead++
 			}
 		}
@@ -303,13 +301,13 @@
 	return p
 }
 
-// bounded lets all wait for a bound, the oldest first.
-func bounded() *policy {
-	p := plain()
-	p.drop = func(now time.Time, waiting []*caller) (list []dropped) {
+// boundedWaitPolicy is FIFO with a maximum wait.
+func boundedWaitPolicy() *policy {
+	p := fifoPolicy()
+	p.shed = func(now time.Time, waiting []*caller) (list []shedCaller) {
 		for _, c := range waiting {
-			if now.Sub(c.asked) > target {
-				list = append(list, dropped{c, 200 * time.Millisecond})
+			if now.Sub(c.askedAt) > startTarget {
+				list = append(list, shedCaller{c, 200 * time.Millisecond})
 			}
 		}
 		return list
@@ -317,29 +315,29 @@
 	return p
 }
 
-// controlled is control of the delay: once the queue has not been empty for an
-// interval, a wait is bounded by a small one, and the newest go first.
-func controlled() *policy {
-	p := plain()
+// codelPolicy resembles CoDel with adaptive LIFO: once the queue has been non-empty for an
+// interval, the maximum wait shrinks and the newest request goes first.
+func codelPolicy() *policy {
+	p := fifoPolicy()
 	emptyAt := start
-	long := func(now time.Time) bool { return now.Sub(emptyAt) > 100*time.Millisecond }
-	p.order = func(now time.Time, a, b *caller) int {
-		if long(now) {
-			return -oldestFirst(now, a, b)
+	congested := func(now time.Time) bool { return now.Sub(emptyAt) > 100*time.Millisecond }
+	p.compare = func(now time.Time, a, b *caller) int {
+		if congested(now) {
+			return -compareByAge(now, a, b)
 		}
-		return oldestFirst(now, a, b)
+		return compareByAge(now, a, b)
 	}
-	p.drop = func(now time.Time, waiting []*caller) (list []dropped) {
+	p.shed = func(now time.Time, waiting []*caller) (list []shedCaller) {
 		if len(waiting) == 0 {
 			emptyAt = now
 		}
-		bound := target
-		if long(now) {
+		bound := startTarget
+		if congested(now) {
 			bound = 20 * time.Millisecond
 		}
 		for _, c := range waiting {
-			if now.Sub(c.asked) > bound {
-				list = append(list, dropped{c, 200 * time.Millisecond})
+			if now.Sub(c.askedAt) > bound {
+				list = append(list, shedCaller{c, 200 * time.Millisecond})
 			}
 		}
 		return list
@@ -347,56 +345,56 @@
 	return p
 }
 
-func newestFirst() *policy {
-	p := plain()
-	p.order = func(now time.Time, a, b *caller) int { return -oldestFirst(now, a, b) }
+func lifoPolicy() *policy {
+	p := fifoPolicy()
+	p.compare = func(now time.Time, a, b *caller) int { return -compareByAge(now, a, b) }
 	return p
 }
 
-// byTimeLeft lets those that have the least time left go first, until they are late.
-func byTimeLeft() *policy {
-	p := plain()
-	p.order = func(_ time.Time, a, b *caller) int {
+// earliestDeadlinePolicy is earliest deadline first.
+func earliestDeadlinePolicy() *policy {
+	p := fifoPolicy()
+	p.compare = func(_ time.Time, a, b *caller) int {
 		return cmp.Compare(a.Order.Last.UnixNano(), b.Order.Last.UnixNano())
 	}
 	return p
 }
 
-var ways = []way{
-	{"slots that free, refusal at once", theQueue}, {"places given lately", byPlaces}, {"oldest first, bound", bounded},
-	{"delay controlled", controlled}, {"newest first", newestFirst}, {"least time left first", byTimeLeft},
+var strategies = []strategy{
+	{"queue", queuePolicy}, {"grant rate", grantRatePolicy}, {"bounded wait", boundedWaitPolicy},
+	{"CoDel", codelPolicy}, {"LIFO", lifoPolicy}, {"earliest deadline first", earliestDeadlinePolicy},
 }
 
-// replaySeeds are averaged for what docs/design/overload.md says.
+// replaySeeds is the number of runs that are averaged.
 const replaySeeds = 8
 
-// BenchmarkWays gives what docs/design/overload.md says of each way.
-func BenchmarkWays(b *testing.B) {
-	for _, l := range loads {
-		for _, w := range ways {
-			b.Run(l.name+"/"+w.name, func(b *testing.B) {
+// BenchmarkStrategies reports the results quoted in docs/design/overload.md.
+func BenchmarkStrategies(b *testing.B) {
+	for _, s := range scenarios {
+		for _, st := range strategies {
+			b.Run(s.name+"/"+st.name, func(b *testing.B) {
 				for b.Loop() {
-					b.Log(mean(l, w))
+					b.Log(averageReplay(s, st))
 				}
 			})
 		}
 	}
 }
 
-func mean(l load, w way) (sum outcome) {
+func averageReplay(s scenario, st strategy) (sum outcome) {
 	for seed := uint64(1); seed <= replaySeeds; seed++ {
-		o := replay(l, w, seed)
-		sum.first, sum.inTime, sum.all, sum.fair = sum.first+o.first/replaySeeds, sum.inTime+o.inTime/replaySeeds, sum.all+o.all/replaySeeds, sum.fair+o.fair/replaySeeds
-		sum.median, sum.p99, sum.second = sum.median+o.median/replaySeeds, sum.p99+o.p99/replaySeeds, sum.second+o.second
+		o := runReplay(s, st, seed)
+		sum.inTimeFirstTry, sum.inTime, sum.served, sum.fairness = sum.inTimeFirstTry+o.inTimeFirstTry/replaySeeds, sum.inTime+o.inTime/replaySeeds, sum.served+o.served/replaySeeds, sum.fairness+o.fairness/replaySeeds
+		sum.medianRejection, sum.p99Rejection, sum.rejectedTwice = sum.medianRejection+o.medianRejection/replaySeeds, sum.p99Rejection+o.p99Rejection/replaySeeds, sum.rejectedTwice+o.rejectedTwice
 	}
-	sum.second /= replaySeeds
+	sum.rejectedTwice /= replaySeeds
 	return sum
 }
 
-// needs is what callers need in each load, in its order.
-var needs = []struct {
-	first, all float64       // at least
-	median     time.Duration // of refused ones' waits, at most
+// objectives holds the requirements for each scenario, in the same order.
+var objectives = []struct {
+	inTimeFirstTry, served float64       // minimum
+	medianRejection        time.Duration // maximum
 }{
 	{0.51, 0.66, 100 * time.Millisecond},
 	{0.74, 0.99, 100 * time.Millisecond},
@@ -404,25 +402,25 @@
 	{0.93, 1, 0},
 }
 
-func unmet(o outcome, i int) bool {
-	return o.first < needs[i].first || o.all < needs[i].all || o.median > needs[i].median
+func missesObjective(o outcome, i int) bool {
+	return o.inTimeFirstTry < objectives[i].inTimeFirstTry || o.served < objectives[i].served || o.medianRejection > objectives[i].medianRejection
 }
 
-func TestCallersAreServedInTimeOrToldAtOnce(t *testing.T) {
-	for i, l := range loads {
+func TestReplayMeetsObjectives(t *testing.T) {
+	for i, s := range scenarios {
 		for seed := uint64(1); seed <= 4; seed++ {
-			if o := replay(l, way{"", theQueue}, seed); unmet(o, i) {
-				t.Errorf("%s, seed %d: %v", l.name, seed, o)
+			if o := runReplay(s, strategy{"", queuePolicy}, seed); missesObjective(o, i) {
+				t.Errorf("%s, seed %d: objectives missed: %v", s.name, seed, o)
 			}
 		}
 	}
 }
 
-// An estimate from places given lately is the plant that the needs must catch.
-func TestTheNeedsCatchAnEstimateByPlaces(t *testing.T) {
+// The objectives must detect the known-bad baseline.
+func TestObjectivesRejectGrantRateEstimate(t *testing.T) {
 	for _, i := range []int{0, 2} {
-		if o := replay(loads[i], way{"", byPlaces}, 1); !unmet(o, i) {
-			t.Errorf("%s: %v", loads[i].name, o)
+		if o := runReplay(scenarios[i], strategy{"", grantRatePolicy}, 1); !missesObjective(o, i) {
+			t.Errorf("%s: objectives met by the baseline: %v", scenarios[i].name, o)
 		}
 	}
 }
--- a/reservation/reservation.go
+++ b/reservation/reservation.go
@@ -1,10 +1,11 @@
-// Package reservation keeps what frontends hold at the workers that one process fills
-// with batch, so that each request gets a slot that is free: a frontend asks that
-// process for a place before it sends a request, and tells it what it holds with each
-// message. A place that was given counts until a report of its frontend shows it.
-// Requests for which there is no slot wait in a Queue.
+// Package reservation grants worker slots to requests. The process that leads a group of
+// workers tracks how many requests each frontend has at them: a frontend requests a slot
+// before it dispatches a request, and reports its requests in flight with each message. A
+// grant counts until a report of its frontend includes it. Requests for which no slot is
+// free wait in a Queue.
 //
-// The machines have no clock, input or output.
+// The package performs no I/O and reads no clock. Its types are not safe for concurrent
+// use.
 package reservation
 
 import (
@@ -16,35 +17,35 @@
 	"github.com/dykewing/dykewing/worker"
 )
 
-// Path takes a Message and answers an Answer; only processes that lead a group serve
-// it.
+// Path is the HTTP path that accepts a Message and replies with an Answer. Only processes
+// that lead a group serve it.
 const Path = "/internal/v1/places"
 
-// Report is what a frontend holds at the workers that the asked process fills.
+// Report is the number of requests that a frontend has at the workers led by the receiver.
 type Report struct {
 	Node     api.NodeID     `json:"node"`
-	Sequence uint64         `json:"sequence"`       // grows with each report, also over restarts
-	Seen     uint64         `json:"seen,omitempty"` // the newest grant that Held counts
-	Held     map[string]int `json:"held,omitempty"` // requests, by worker
-	// Heard is what the frontend heard of workers there since its last report; of at most
-	// MaximumWords.
+	Sequence uint64         `json:"sequence"`       // increases with each report, also across restarts
+	Seen     uint64         `json:"seen,omitempty"` // latest grant included in Held
+	Held     map[string]int `json:"held,omitempty"` // requests in flight by worker
+	// Heard is what the frontend has observed of these workers since its last report, at
+	// most reservation.MaximumWords entries.
 	Heard []Word `json:"heard,omitempty"`
-	// Born is when the workers of Held started, of those that tell it.
+	// Born is the start time of the workers in Held that report one.
 	Born map[string]time.Time `json:"born,omitempty"`
 }
 
-// MaximumWords of one report: more workers than a frontend hears of at one leader between
-// two of its messages.
+// MaximumWords is the maximum number of worker observations in one report.
 const MaximumWords = 64
 
-// Word is what a frontend heard of one start of a worker.
+// Word is what a frontend has observed of one incarnation of a worker.
 type Word struct {
 	Worker string    `json:"worker"`
-	Born   time.Time `json:"born,omitzero"` // when it started, where it tells it
-	// Pace that it told last, so long ago; 0: none.
+	Born   time.Time `json:"born,omitzero"` // start time of the worker, if reported
+	// Pace is the pace last reported by the worker, PaceAge ago; 0 if none.
 	Pace    float64       `json:"pace,omitempty"`
 	PaceAge time.Duration `json:"pace_age,omitempty"`
-	// Streams that ended there, and the mean time between two of their events.
+	// Streams is the number of streams that ended, and Step the mean interval between
+	// their events.
 	Streams int           `json:"streams,omitempty"`
 	Step    time.Duration `json:"step,omitempty"`
 	worker.Outcomes
@@ -65,172 +66,175 @@
 	r.Born[w.ID] = w.Born
 }
 
-// Ask asks for a place at a worker of a service.
+// Ask is a request for a slot at a worker of a service.
 type Ask struct {
 	Service  string        `json:"service"`
-	Worker   string        `json:"worker"` // that the frontend would choose
+	Worker   string        `json:"worker"` // the frontend's choice
 	Parts    []worker.Part `json:"parts,omitempty"`
 	Tokens   int           `json:"tokens,omitempty"`
 	Excluded []string      `json:"excluded,omitempty"`
 	Zone     string        `json:"zone,omitempty"` // of the frontend
 	Rank     hold.Rank     `json:"rank"`
-	// Begin and Last are until when it must begin, to be in time and at all; they
-	// may have passed.
+	// Begin and Last are the time left until the request must start to meet its target,
+	// and to be served at all. They are negative once that has passed.
 	Begin time.Duration `json:"begin"`
 	Last  time.Duration `json:"last"`
-	// Wait is how long it waits for a place; 0: not at all.
+	// Wait is the maximum time to queue for a slot; 0 disables queueing.
 	Wait time.Duration `json:"wait,omitempty"`
-	// Returned: its caller was turned away before, as far as the time it has left
-	// tells. Again: this attempt has waited here or at another leader before.
+	// Returned reports that the caller was probably rejected before, judging by the time
+	// it has left. Again reports that this attempt has queued at a leader before.
 	Returned bool `json:"returned,omitempty"`
 	Again    bool `json:"again,omitempty"`
-	// Elsewhere: another leader is asked if this one has no place in time, so that it
-	// promises none for a return.
+	// Elsewhere reports that the frontend tries another leader if this one has no slot in
+	// time, so that a rejection records no promise.
 	Elsewhere bool `json:"elsewhere,omitempty"`
-	// Promise is the time until the slot that it was told to return for; it stays with
-	// an attempt that asks again.
+	// Promise is the time until the slot that the caller was told to return for. An
+	// attempt that queues again keeps it.
 	Promise *time.Duration `json:"promise,omitempty"`
 }
 
-// Message is what a frontend sends: a report, and a question or none.
+// Message is a frontend's report with an optional request for a slot.
 type Message struct {
 	Report Report `json:"report"`
 	Ask    *Ask   `json:"ask,omitempty"`
 }
 
-// Answer to a Message with an Ask; exactly one of Worker, Blind, Full and Hopeless is
-// set.
+// Answer is the reply to a Message that requests a slot. Exactly one of Worker, Blind,
+// Full and Hopeless is set.
 type Answer struct {
-	Worker string `json:"worker,omitempty"` // the place
-	Grant  uint64 `json:"grant,omitempty"`  // number of the place
-	// Blind: the process has only begun to lead and knows of no place yet.
+	Worker string `json:"worker,omitempty"` // where the slot was granted
+	Grant  uint64 `json:"grant,omitempty"`  // number of the grant
+	// Blind reports that the process became leader recently and has no slot counts yet.
 	Blind bool `json:"blind,omitempty"`
-	// Full: there is no slot; Waiting requests wait for one.
+	// Full reports that no slot is free. Waiting is the length of the queue.
 	Full    bool `json:"full,omitempty"`
 	Waiting int  `json:"waiting,omitempty"`
-	// Until is when this request would have a slot there, with Full; 0: not known.
+	// Until is the expected wait for a slot, set with Full; 0 if unknown.
 	Until time.Duration `json:"until,omitempty"`
-	// Promise is as in Ask.
+	// Promise is the time until the slot promised to the request, set with Full.
 	Promise *time.Duration `json:"promise,omitempty"`
-	// Hopeless: there will be no slot in time; the request is best sent again after
+	// Hopeless reports that no slot is expected in time. The caller should retry after
 	// RetryAfter.
 	Hopeless   bool          `json:"hopeless,omitempty"`
 	RetryAfter time.Duration `json:"retry_after,omitempty"`
-	// Paces of some of the workers that the process fills, in turn: the part that is
-	// their machines', as all frontends' words tell it. It comes beside the others.
+	// Paces is the machine part of the pace of some workers led by the process, estimated
+	// from the observations of all frontends. Consecutive answers cover the workers in
+	// turn. It may accompany any answer.
 	Paces map[string]float64 `json:"paces,omitempty"`
 }
 
 const (
-	// reportLife is how long a report is believed: a frontend that is lost takes its
-	// requests with it.
-	reportLife = 1500 * time.Millisecond
-	// grantLife is how long a place counts of which no report tells: its answer was
-	// lost, or its frontend.
-	grantLife = 500 * time.Millisecond
+	// reportTTL is how long a report remains valid: the requests of a failed frontend end
+	// with it.
+	reportTTL = 1500 * time.Millisecond
+	// grantTTL is how long an unreported grant counts: either its answer was lost or its
+	// frontend failed.
+	grantTTL = 500 * time.Millisecond
 )
 
-// Book is what is held at workers. The zero value is not usable; make it with New.
+// Book counts the requests at each worker from reports and grants. The zero value is not
+// usable; create one with New.
 type Book struct {
-	nodes  map[api.NodeID]*holder
-	online map[string]int // by worker
-	ended  map[string]int // by worker, since it was last asked for
-	born   map[string]time.Time
-	grants uint64
-	// touched are the workers of which something was told since it was last asked for.
-	touched map[string]bool
+	frontends map[api.NodeID]*frontend
+	online    map[string]int // requests by worker
+	ended     map[string]int // finished requests by worker since the last call of Ended
+	startedAt map[string]time.Time
+	lastGrant uint64
+	// changed holds the workers whose count may have changed since the last call of
+	// Touched.
+	changed map[string]bool
 }
 
-// holder is one frontend.
-type holder struct {
-	at       time.Time
-	sequence uint64
-	held     map[string]int
-	born     map[string]time.Time // of the workers of held that tell it
-	given    []given              // not yet in held
+// frontend holds the counts of one frontend.
+type frontend struct {
+	reportedAt time.Time
+	sequence   uint64
+	held       map[string]int
+	startedAt  map[string]time.Time // of the workers in held that report it
+	pending    []pendingGrant       // grants not yet included in held
 }
 
-type given struct {
-	grant  uint64
-	worker string
-	at     time.Time
+type pendingGrant struct {
+	grant     uint64
+	worker    string
+	grantedAt time.Time
 }
 
-// New gives an empty book.
+// New returns an empty Book.
 func New() *Book {
-	return &Book{nodes: map[api.NodeID]*holder{}, online: map[string]int{}, ended: map[string]int{}, born: map[string]time.Time{}, touched: map[string]bool{}}
+	return &Book{frontends: map[api.NodeID]*frontend{}, online: map[string]int{}, ended: map[string]int{}, startedAt: map[string]time.Time{}, changed: map[string]bool{}}
 }
 
-// Touched gives the workers where what is held may have changed since it was last called.
+// Touched returns the workers whose count may have changed since the last call.
 func (b *Book) Touched() map[string]bool {
-	touched := b.touched
-	b.touched = map[string]bool{}
+	touched := b.changed
+	b.changed = map[string]bool{}
 	return touched
 }
 
-// Ended gives how many requests ended at each worker since it was last called, as far
-// as reports show.
+// Ended returns the number of requests that ended at each worker since the last call,
+// according to the reports.
 func (b *Book) Ended() map[string]int {
 	ended := b.ended
 	b.ended = map[string]int{}
 	return ended
 }
 
-// Began notes when a worker started: what was held there by an earlier start is held no
-// more.
+// Began records the start time of a worker. Requests and grants of an earlier incarnation
+// no longer count.
 func (b *Book) Began(w worker.Incarnation) {
-	if !w.Born.After(b.born[w.ID]) {
+	if !w.Born.After(b.startedAt[w.ID]) {
 		return
 	}
-	_, restarted := b.born[w.ID]
-	b.born[w.ID] = w.Born
-	for _, h := range b.nodes {
-		if b.outlived(h.born, w.ID) {
-			b.add(w.ID, -h.held[w.ID])
-			delete(h.held, w.ID)
+	_, restarted := b.startedAt[w.ID]
+	b.startedAt[w.ID] = w.Born
+	for _, f := range b.frontends {
+		if b.isStale(f.startedAt, w.ID) {
+			b.add(w.ID, -f.held[w.ID])
+			delete(f.held, w.ID)
 		}
 		if restarted {
-			b.drop(h, func(g given) bool { return g.worker == w.ID })
+			b.removePending(f, func(g pendingGrant) bool { return g.worker == w.ID })
 		}
 	}
 }
 
-// outlived tells whether what is told of a worker is of an earlier start than the known
-// one.
-func (b *Book) outlived(told map[string]time.Time, worker string) bool {
-	at, ok := told[worker]
-	return ok && at.Before(b.born[worker])
+// isStale reports whether a start time in reported precedes the known start of the worker.
+func (b *Book) isStale(reported map[string]time.Time, worker string) bool {
+	at, ok := reported[worker]
+	return ok && at.Before(b.startedAt[worker])
 }
 
-// Online is how many requests are at a worker, or on their way to it.
+// Online returns the number of requests at a worker, including those that were granted a
+// slot and have not been reported yet.
 func (b *Book) Online(worker string) int { return b.online[worker] }
 
-// Report takes what a frontend holds, unless a newer report of it has been taken.
+// Report replaces the counts of a frontend, unless a newer report was received before.
 func (b *Book) Report(now time.Time, report Report) {
-	h := b.nodes[report.Node]
-	if h == nil {
-		h = &holder{}
-		b.nodes[report.Node] = h
+	f := b.frontends[report.Node]
+	if f == nil {
+		f = &frontend{}
+		b.frontends[report.Node] = f
 	}
-	if report.Sequence <= h.sequence {
+	if report.Sequence <= f.sequence {
 		return
 	}
 	held := maps.Clone(report.Held)
-	maps.DeleteFunc(held, func(worker string, _ int) bool { return b.outlived(report.Born, worker) })
-	b.end(h, held, report.Seen)
-	b.count(h.held, -1)
-	b.count(held, 1)
-	h.at, h.sequence, h.held, h.born = now, report.Sequence, held, report.Born
-	b.drop(h, func(g given) bool { return g.grant <= report.Seen })
+	maps.DeleteFunc(held, func(worker string, _ int) bool { return b.isStale(report.Born, worker) })
+	b.recordEnded(f, held, report.Seen)
+	b.addAll(f.held, -1)
+	b.addAll(held, 1)
+	f.reportedAt, f.sequence, f.held, f.startedAt = now, report.Sequence, held, report.Born
+	b.removePending(f, func(g pendingGrant) bool { return g.grant <= report.Seen })
 }
 
-// end counts those of a frontend that a new report shows no more.
-func (b *Book) end(h *holder, held map[string]int, seen uint64) {
-	had := maps.Clone(h.held)
+// recordEnded counts the requests that are missing from a frontend's new report.
+func (b *Book) recordEnded(f *frontend, held map[string]int, seen uint64) {
+	had := maps.Clone(f.held)
 	if had == nil {
 		had = map[string]int{}
 	}
-	for _, g := range h.given {
+	for _, g := range f.pending {
 		if g.grant <= seen {
 			had[g.worker]++
 		}
@@ -242,54 +246,54 @@
 	}
 }
 
-// Give notes a place for a frontend and gives its number.
+// Give records a grant to a frontend and returns its number.
 func (b *Book) Give(now time.Time, node api.NodeID, worker string) uint64 {
-	h := b.nodes[node]
-	if h == nil {
-		h = &holder{at: now}
-		b.nodes[node] = h
+	f := b.frontends[node]
+	if f == nil {
+		f = &frontend{reportedAt: now}
+		b.frontends[node] = f
 	}
-	b.grants++
-	b.touched[worker] = true
-	h.given = append(h.given, given{grant: b.grants, worker: worker, at: now})
+	b.lastGrant++
+	b.changed[worker] = true
+	f.pending = append(f.pending, pendingGrant{grant: b.lastGrant, worker: worker, grantedAt: now})
 	b.online[worker]++
-	return b.grants
+	return b.lastGrant
 }
 
-// Expire forgets what is not believed any more.
+// Expire drops reports and grants that are older than their TTL.
 func (b *Book) Expire(now time.Time) {
-	for id, h := range b.nodes {
-		b.drop(h, func(g given) bool { return now.Sub(g.at) > grantLife })
-		if now.Sub(h.at) > reportLife {
-			b.count(h.held, -1)
-			h.held = nil
-			if len(h.given) == 0 {
-				delete(b.nodes, id)
+	for id, f := range b.frontends {
+		b.removePending(f, func(g pendingGrant) bool { return now.Sub(g.grantedAt) > grantTTL })
+		if now.Sub(f.reportedAt) > reportTTL {
+			b.addAll(f.held, -1)
+			f.held = nil
+			if len(f.pending) == 0 {
+				delete(b.frontends, id)
 			}
 		}
 	}
 }
 
-func (b *Book) drop(h *holder, ended func(given) bool) {
-	kept := h.given[:0]
-	for _, g := range h.given {
+func (b *Book) removePending(f *frontend, ended func(pendingGrant) bool) {
+	kept := f.pending[:0]
+	for _, g := range f.pending {
 		if ended(g) {
 			b.add(g.worker, -1)
 			continue
 		}
 		kept = append(kept, g)
 	}
-	h.given = kept
+	f.pending = kept
 }
 
-func (b *Book) count(held map[string]int, sign int) {
+func (b *Book) addAll(held map[string]int, sign int) {
 	for worker, n := range held {
 		b.add(worker, sign*n)
 	}
 }
 
 func (b *Book) add(worker string, n int) {
-	b.touched[worker] = true
+	b.changed[worker] = true
 	b.online[worker] += n
 	if b.online[worker] == 0 {
 		delete(b.online, worker)
--- a/reservation/reservation_test.go
+++ b/reservation/reservation_test.go
@@ -12,65 +12,65 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-func TestAPlaceCountsUntilAReportShowsIt(t *testing.T) {
+func TestGrantCountsUntilReported(t *testing.T) {
 	b := New()
 	b.Report(start, Report{Node: "f", Sequence: 1, Held: map[string]int{"w": 2}})
 	grant := b.Give(start, "f", "w")
 	if n := b.Online("w"); n != 3 {
-		t.Fatalf("%d with a place", n)
+		t.Fatalf("%d requests online after the grant, want 3", n)
 	}
 	b.Report(start, Report{Node: "f", Sequence: 2, Seen: grant - 1, Held: map[string]int{"w": 1}})
 	if n := b.Online("w"); n != 2 {
-		t.Errorf("%d after a report that was sent before the place was known", n)
+		t.Errorf("%d requests online after a report without the grant, want 2", n)
 	}
 	b.Report(start, Report{Node: "f", Sequence: 4, Seen: grant, Held: map[string]int{"w": 2}})
 	b.Report(start, Report{Node: "f", Sequence: 3, Seen: grant, Held: map[string]int{"w": 9}})
 	if n := b.Online("w"); n != 2 {
-		t.Errorf("%d after a report that shows it, and an older one", n)
+		t.Errorf("%d requests online after a report with the grant and an older report, want 2", n)
 	}
 }
 
-func TestWhatIsLostIsForgotten(t *testing.T) {
+func TestReportsAndGrantsExpire(t *testing.T) {
 	b := New()
 	b.Report(start, Report{Node: "f", Sequence: 1, Held: map[string]int{"w": 2}})
-	b.Give(start.Add(reportLife), "f", "w")
-	b.Expire(start.Add(reportLife))
+	b.Give(start.Add(reportTTL), "f", "w")
+	b.Expire(start.Add(reportTTL))
 	if n := b.Online("w"); n != 3 {
-		t.Errorf("%d before its time", n)
+		t.Errorf("%d requests online before expiry, want 3", n)
 	}
-	b.Expire(start.Add(reportLife + time.Millisecond))
+	b.Expire(start.Add(reportTTL + time.Millisecond))
 	if n := b.Online("w"); n != 1 {
-		t.Errorf("%d after the report's life", n)
+		t.Errorf("%d requests online after the report expired, want 1", n)
 	}
-	b.Expire(start.Add(reportLife + grantLife + time.Millisecond))
+	b.Expire(start.Add(reportTTL + grantTTL + time.Millisecond))
 	if n := b.Online("w"); n != 0 {
-		t.Errorf("%d after the place's life", n)
+		t.Errorf("%d requests online after the grant expired, want 0", n)
 	}
 }
 
-// A restarted frontend's reports go on, since their numbers begin with the time.
-func TestARestartedFrontendsReportCounts(t *testing.T) {
+// Sequence numbers start from the clock, so that reports of a restarted frontend are newer.
+func TestReportOfRestartedFrontendIsAccepted(t *testing.T) {
 	b := New()
 	b.Report(start, Report{Node: "f", Sequence: 100, Held: map[string]int{"w": 5}})
 	b.Report(start, Report{Node: "f", Sequence: 200})
 	if n := b.Online("w"); n != 0 {
-		t.Errorf("%d", n)
+		t.Errorf("%d requests online, want 0", n)
 	}
 }
 
-// What the book counts is never less than what frontends hold, whatever is lost and
-// however messages overtake each other, while nothing is older than its life.
-func TestTheBookNeverCountsLess(t *testing.T) {
+// The count must never be lower than the requests in flight, even if reports are lost or
+// reordered, as long as nothing expires.
+func TestOnlineCountIsNeverTooLow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New()
 		held := map[api.NodeID]map[string]int{"f": {}, "g": {}}
 		seen, sequence := map[api.NodeID]uint64{}, uint64(0)
-		onTheirWay := []Report{}
+		inFlight := []Report{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			node := rapid.SampledFrom([]api.NodeID{"f", "g"}).Draw(t, "node")
 			worker := rapid.SampledFrom([]string{"v", "w"}).Draw(t, "worker")
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
-			case 0: // a place is given and taken
+			case 0: // a slot is granted and used
 				seen[node] = b.Give(start, node, worker)
 				held[node][worker]++
 			case 1: // a request ends
@@ -83,29 +83,29 @@
 				for id, n := range held[node] {
 					report.Held[id] = n
 				}
-				onTheirWay = append(onTheirWay, report)
-			case 3: // one arrives, or is lost
-				if len(onTheirWay) > 0 {
-					i := rapid.IntRange(0, len(onTheirWay)-1).Draw(t, "which")
+				inFlight = append(inFlight, report)
+			case 3: // a report arrives or is lost
+				if len(inFlight) > 0 {
+					i := rapid.IntRange(0, len(inFlight)-1).Draw(t, "which")
 					if rapid.Bool().Draw(t, "arrives") {
-						b.Report(start, onTheirWay[i])
+						b.Report(start, inFlight[i])
 					}
-					onTheirWay = append(onTheirWay[:i], onTheirWay[i+1:]...)
+					inFlight = append(inFlight[:i], inFlight[i+1:]...)
 				}
 			}
 			for _, id := range []string{"v", "w"} {
 				if n := held["f"][id] + held["g"][id]; b.Online(id) < n {
-					t.Fatalf("%s: %d counted, %d held", id, b.Online(id), n)
+					t.Fatalf("worker %s: %d requests counted, %d in flight", id, b.Online(id), n)
 				}
 			}
 		}
 	})
 }
 
-func TestAQueueEstimatesByThoseAhead(t *testing.T) {
+func TestQueueEstimatesWaitFromRequestsAhead(t *testing.T) {
 	const ms = time.Millisecond
 	var q Queue
-	for i := range 101 { // a hundred slots a second come free
+	for i := range 101 { // 100 slots per second become free
 		q.Line.Observe(start.Add(time.Duration(i)*10*ms), 100, 100, 1)
 	}
 	now := start.Add(time.Second)
@@ -116,76 +116,76 @@
 		q.Add(wait(1, 200*ms))
 	}
 	tests := []struct {
-		name        string
-		waits       *Waiting
-		least, most time.Duration
+		name     string
+		request  *Waiting
+		min, max time.Duration
 	}{
-		{"before all others", wait(0, 200*ms), 5 * ms, 40 * ms},
-		{"behind all others", wait(2, 200*ms), 400 * ms, 1200 * ms},
-		{"late, behind those in time", wait(1, -ms), 400 * ms, 1200 * ms},
+		{"ahead of all", wait(0, 200*ms), 5 * ms, 40 * ms},
+		{"behind all", wait(2, 200*ms), 400 * ms, 1200 * ms},
+		{"late request", wait(1, -ms), 400 * ms, 1200 * ms},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := q.Decide(now, test.waits).Until; got < test.least || got > test.most {
-				t.Errorf("%v", got)
+			if got := q.Decide(now, test.request).Until; got < test.min || got > test.max {
+				t.Errorf("expected wait %v is out of range", got)
 			}
 		})
 	}
 	urgent := wait(0, 300*ms)
 	q.Add(urgent)
 	if first := q.Sorted(now)[0]; first != urgent {
-		t.Errorf("not the most urgent one first")
+		t.Errorf("the most urgent request is not first")
 	}
 	if !q.Remove(urgent) || q.Remove(urgent) || q.Len() != 50 {
-		t.Errorf("%d wait", q.Len())
+		t.Errorf("%d requests wait after removal, want 50", q.Len())
 	}
 }
 
-func TestTheBookTellsWhatEnded(t *testing.T) {
+func TestEndedCountsFinishedRequests(t *testing.T) {
 	tests := []struct {
-		name  string
-		given int // places at w, of which the report counts as many as it has seen
-		seen  int
-		held  map[string]int
-		want  int
+		name    string
+		granted int // grants at w
+		seen    int // of these, included in the second report
+		held    map[string]int
+		want    int
 	}{
-		{"nothing", 0, 0, map[string]int{"w": 3}, 0},
+		{"none", 0, 0, map[string]int{"w": 3}, 0},
 		{"one of three", 0, 0, map[string]int{"w": 2}, 1},
 		{"all", 0, 0, nil, 3},
-		{"one was given, one has ended", 1, 1, map[string]int{"w": 3}, 1},
-		{"one was given that the report does not count", 1, 0, map[string]int{"w": 3}, 0},
-		{"it chose one by itself", 0, 0, map[string]int{"w": 4}, 0},
+		{"one granted and one ended", 1, 1, map[string]int{"w": 3}, 1},
+		{"one granted but not yet reported", 1, 0, map[string]int{"w": 3}, 0},
+		{"one started without a grant", 0, 0, map[string]int{"w": 4}, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			b := New()
 			b.Report(start, Report{Node: "f", Sequence: 1, Held: map[string]int{"w": 3}})
 			seen := uint64(0)
-			for i := range test.given {
+			for i := range test.granted {
 				if grant := b.Give(start, "f", "w"); i < test.seen {
 					seen = grant
 				}
 			}
 			b.Report(start, Report{Node: "f", Sequence: 2, Seen: seen, Held: test.held})
 			if got := b.Ended()["w"]; got != test.want {
-				t.Errorf("%d ended", got)
+				t.Errorf("unexpected number of ended requests: %d", got)
 			}
 			if got := b.Ended()["w"]; got != 0 {
-				t.Errorf("%d ended once more", got)
+				t.Errorf("%d requests ended on the second call, want 0", got)
 			}
 		})
 	}
 }
 
-// fullQueue is a queue before a hundred slots that are all held, for a second each, and
-// to which as many a second come.
-func fullQueue(comes int) (*Queue, time.Time) {
+// saturatedQueue returns a queue for 100 slots that are all in use for one second each, with
+// arrivals requests per second.
+func saturatedQueue(arrivals int) (*Queue, time.Time) {
 	q := &Queue{}
 	now := start
 	for i := range 1500 {
 		now = start.Add(time.Duration(i) * 10 * time.Millisecond)
 		q.Line.Observe(now, 100, 100, 1)
-		for n := i * comes / 100; n < (i+1)*comes/100; n++ {
+		for n := i * arrivals / 100; n < (i+1)*arrivals/100; n++ {
 			q.Line.Arrived(now, hold.Rank{})
 		}
 		q.Line.Placed(now, hold.Rank{}, true)
@@ -193,81 +193,80 @@
 	return q, now
 }
 
-// Those for whom there is no hope any more wait no longer; the others stay.
-func TestThoseWithoutHopeWaitNoLonger(t *testing.T) {
-	q, now := fullQueue(200)
+func TestRequestsThatCannotBeServedAreRejected(t *testing.T) {
+	q, now := saturatedQueue(200)
 	for range 30 {
 		q.Add(Wait(now, "f", Ask{Begin: 200 * time.Millisecond, Last: 3 * time.Second}))
 	}
 	refused := q.Refuse(now)
 	if q.Len() < 18 || q.Len() > 20 || len(refused)+q.Len() != 30 {
-		t.Errorf("%d wait, %d are refused", q.Len(), len(refused))
+		t.Errorf("%d requests wait and %d were rejected, want 18 to 20 of 30 to wait", q.Len(), len(refused))
 	}
 	for _, r := range refused {
 		if r.Verdict.Return <= 0 {
-			t.Errorf("%+v", r.Verdict)
+			t.Errorf("rejected without a retry delay: %+v", r.Verdict)
 		}
 	}
 	if refused := q.Refuse(now.Add(201 * time.Millisecond)); len(refused) == 0 || q.Len() != 0 {
-		t.Errorf("%d wait on, late and with no slot left for late ones", q.Len())
+		t.Errorf("%d late requests still wait, want 0", q.Len())
 	}
 }
 
-// A caller that was told to return goes before new ones once its slot is due, also when
-// its attempt asks again.
-func TestOneToldToReturnGoesFirst(t *testing.T) {
-	q, now := fullQueue(200)
+// A returning request precedes new ones once its promised slot is due, and keeps the promise
+// when its attempt queues again.
+func TestReturningRequestGoesFirstWhenDue(t *testing.T) {
+	q, now := saturatedQueue(200)
 	for range 30 {
 		q.Add(Wait(now, "f", Ask{Begin: 200 * time.Millisecond, Last: 3 * time.Second}))
 	}
 	verdict := q.Decide(now, Wait(now, "f", Ask{Begin: 200 * time.Millisecond, Last: 3 * time.Second}))
 	if !verdict.Refuse || verdict.Return <= 0 {
-		t.Fatalf("%+v", verdict)
+		t.Fatalf("want a rejection with a retry delay, got %+v", verdict)
 	}
 	later := now.Add(verdict.Return)
 	back := Wait(later, "f", Ask{Begin: -time.Millisecond, Last: 2 * time.Second, Returned: true})
 	q.Arrived(later, back)
 	if v := q.Decide(later, back); v.Refuse {
-		t.Fatalf("%+v", v)
+		t.Fatalf("returning request was rejected: %+v", v)
 	}
-	early := q.ahead(now, Wait(now, "f", Ask{Begin: verdict.Return + time.Second, Last: 3 * time.Second}))
+	early := q.countAhead(now, Wait(now, "f", Ask{Begin: verdict.Return + time.Second, Last: 3 * time.Second}))
 	q.Add(back)
-	if q.ahead(now, Wait(now, "f", Ask{Begin: verdict.Return + time.Second, Last: 3 * time.Second})) != early+1 {
-		t.Error("one whose slot is due in time for another does not count as ahead of it")
+	if q.countAhead(now, Wait(now, "f", Ask{Begin: verdict.Return + time.Second, Last: 3 * time.Second})) != early+1 {
+		t.Error("a promise that is due earlier does not count as ahead")
 	}
 	q.Add(Wait(later, "f", Ask{Begin: time.Millisecond, Last: 3 * time.Second}))
 	if q.Sorted(later)[0] != back {
-		t.Error("a new one goes first")
+		t.Error("a new request precedes the returning one")
 	}
 	answer := q.Full(later, back)
 	if answer.Promise == nil {
-		t.Fatalf("%+v", answer)
+		t.Fatalf("answer without promise: %+v", answer)
 	}
 	again := Wait(later, "f", Ask{Begin: -time.Millisecond, Last: time.Second, Returned: true, Again: true, Promise: answer.Promise})
 	q.Arrived(later, again)
 	if again.Order.Promised != back.Order.Promised {
-		t.Errorf("promised %v, was %v", again.Order.Promised, back.Order.Promised)
+		t.Errorf("promised %v, want %v", again.Order.Promised, back.Order.Promised)
 	}
 }
 
-// An attempt that asks again, or a probe that finds none, is no new caller.
-func TestOnlyNewCallersAreCounted(t *testing.T) {
-	q, now := fullQueue(50)
-	before := q.Line.Look(now, use(now, Wait(now, "f", Ask{Rank: hold.Rank{Route: 1}, Begin: time.Second, Last: time.Second}), false), 0).PerSecond
+// Requests that queue again and probes do not count as new arrivals.
+func TestArrivalRateCountsOnlyNewCallers(t *testing.T) {
+	q, now := saturatedQueue(50)
+	before := q.Line.Look(now, overloadUse(now, Wait(now, "f", Ask{Rank: hold.Rank{Route: 1}, Begin: time.Second, Last: time.Second}), false), 0).PerSecond
 	for range 100 {
 		q.Arrived(now, Wait(now, "f", Ask{Again: true, Begin: time.Second, Last: time.Second}))
 		q.Full(now, Wait(now, "f", Ask{Begin: time.Second, Last: time.Second}))
 	}
-	after := q.Line.Look(now, use(now, Wait(now, "f", Ask{Rank: hold.Rank{Route: 1}, Begin: time.Second, Last: time.Second}), false), 0).PerSecond
+	after := q.Line.Look(now, overloadUse(now, Wait(now, "f", Ask{Rank: hold.Rank{Route: 1}, Begin: time.Second, Last: time.Second}), false), 0).PerSecond
 	if before != after || before < 40 || before > 60 {
-		t.Errorf("%.1f a second are left, were %.1f", after, before)
+		t.Errorf("rate left for later ranks is %.1f per second, was %.1f, want 40 to 60 unchanged", after, before)
 	}
 }
 
-// One that returns has no further try: it waits where a new one is refused, as long as
-// there is hope.
-func TestOneThatReturnsWaitsWhileThereIsHope(t *testing.T) {
-	q, now := fullQueue(50) // fifty a second are left
+// A returning request has no further attempt, so it is rejected only when no slot is
+// expected in time.
+func TestReturningRequestWaitsWhereNewOneIsRejected(t *testing.T) {
+	q, now := saturatedQueue(50) // leaves 50 slots per second
 	for range 50 {
 		q.Add(Wait(now, "f", Ask{Begin: time.Millisecond, Last: 3 * time.Second}))
 	}
@@ -275,12 +274,12 @@
 		return q.Decide(now, Wait(now, "f", Ask{Begin: -time.Millisecond, Last: 1500 * time.Millisecond, Returned: returned})).Refuse
 	}
 	if !late(false) || late(true) {
-		t.Errorf("refused: a new one %t, one that returns %t", late(false), late(true))
+		t.Errorf("rejected: new request %t, returning request %t; want true, false", late(false), late(true))
 	}
 	for range 50 {
 		q.Add(Wait(now, "f", Ask{Begin: time.Millisecond, Last: 3 * time.Second}))
 	}
 	if !late(true) {
-		t.Error("one that returns waits without hope")
+		t.Error("a returning request waits although no slot is expected in time")
 	}
 }
