--- a/fill/begin.go
+++ b/fill/begin.go
@@ -6,28 +6,25 @@
 )
 
 const (
-	// inTimeShare of the time that an item has left is planned with; the rest is kept
-	// for what holds it up: workers that leave, a leader that is lost.
-	inTimeShare = 0.5
-	// patience is in how many times its run an item without a time, or past it, is to
-	// have begun.
-	patience = 4
-	// riseNoise is how many standard deviations above the last peak are kept free of
-	// what begins: the next one is higher by chance.
-	riseNoise = 1
-	// leastRun is how long an item that is needed now is to run at least before a rise:
-	// what reading its prompt anew costs is then a tenth. shortRun is that where batch is
-	// crowded: two reads of its stream, since a shorter run gives nothing.
-	leastRun, shortRun = time.Second, 400 * time.Millisecond
-	// Batch that needs this share of its room is crowded, and takes all that lasts for
-	// shortRun; from scarce on nothing is kept free. In the replay with a third of the
-	// workers lost, 7,158 of 7,170 items were in time with nothing kept free, 7,157 with
-	// these, 7,144 with a scarce of 1.6, 6,992 without one.
-	crowded, scarce = 0.8, 1.1
+	// plannedShare is the share of an item's remaining time that is used for planning. The
+	// rest is slack for failures of workers or of the leader.
+	plannedShare = 0.5
+	// undatedStartFactor is the number of run times within which an item without a due
+	// time, or past it, should start.
+	undatedStartFactor = 4
+	// peakStdDevs is the margin above the last peak, in standard deviations.
+	peakStdDevs = 1
+	// minRun is the minimum run before a peak of an item that has to run now, so that the
+	// prefill it repeats after preemption remains a small part. minRunCrowded, two reads
+	// of its stream, replaces it above crowdedUtilization.
+	minRun, minRunCrowded = time.Second, 400 * time.Millisecond
+	// crowdedUtilization and scarceUtilization are ratios of required slots to available
+	// room. From scarceUtilization on, no slots are kept free for a peak.
+	crowdedUtilization, scarceUtilization = 0.8, 1.1
 )
 
-// Need is how many of the items, in the order in which they are due, have to run at
-// once for each to be in time.
+// Need returns the number of items that have to run concurrently for each to finish by its
+// due time. The items must be sorted by due time.
 func Need(now time.Time, items []Item) int {
 	need, dated, undated := 0, time.Duration(0), 0
 	for _, item := range items {
@@ -37,67 +34,67 @@
 			continue
 		}
 		dated += item.Left
-		need = max(need, slotsFor(dated, time.Duration(inTimeShare*float64(left))-item.Left, len(items)))
+		need = max(need, slotsFor(dated, time.Duration(plannedShare*float64(left))-item.Left, len(items)))
 	}
-	return min(need+(undated+patience-1)/patience, len(items))
+	return min(need+(undated+undatedStartFactor-1)/undatedStartFactor, len(items))
 }
 
-// slotsFor is how many slots do the work within a time.
-func slotsFor(work, within time.Duration, most int) int {
+// slotsFor returns the number of slots, at most limit, that complete the work within a time.
+func slotsFor(work, within time.Duration, limit int) int {
 	if within <= 0 {
-		return most
+		return limit
 	}
-	return int(min(math.Ceil(float64(work)/float64(within)), float64(most)))
+	return int(min(math.Ceil(float64(work)/float64(within)), float64(limit)))
 }
 
-// Start tells how many items may run before a rise that is expected. The zero value
-// sets no bound.
+// Start limits the items that may start before an expected peak of demand. The zero value
+// sets no limit.
 type Start struct {
-	demand *Demand
-	now    time.Time
-	slots  int
-	need   int           // items that have to run now
-	least  time.Duration // that one of these is to run before a rise
+	demand   *Demand
+	now      time.Time
+	slots    int
+	required int           // items that have to run now
+	minRun   time.Duration // minimum run of a required item before the peak
 }
 
-// Start bounds what may run of a service, of whose items so many have to run at once,
-// with so much room on average. Where demand shows no period it sets no bound, nor where
-// batch could not be in time beside what is kept free: what is free is filled.
+// Start returns the start limit of a service of which need items have to run now, with room
+// slots available to batch on average. It sets no limit if demand has no period, or if
+// keeping slots free would make items miss their due time.
 func (d *Demand) Start(now time.Time, slots, need int, room float64) Start {
 	if d.rhythm.Period() == 0 {
 		return Start{}
 	}
-	// The mean room tells late of workers that have gone.
+	// The average of room lags behind when workers leave.
 	room = min(room, float64(slots)-d.rhythm.Mean())
-	start := Start{demand: d, now: now, slots: slots, need: need, least: leastRun}
+	start := Start{demand: d, now: now, slots: slots, required: need, minRun: minRun}
 	switch {
-	case float64(need) >= scarce*room:
+	case float64(need) >= scarceUtilization*room:
 		return Start{}
-	case float64(need) >= crowded*room:
-		start.need, start.least = slots, shortRun
+	case float64(need) >= crowdedUtilization*room:
+		start.required, start.minRun = slots, minRunCrowded
 	}
 	return start
 }
 
-// Bounded tells whether a rise is expected that bounds what begins.
+// Bounded reports whether an expected peak limits the starts.
 func (s Start) Bounded() bool { return s.demand != nil }
 
-// Allows tells whether beside so many that run an item may begin that will run for
-// left: either it ends or goes on beside the highest demand that is expected
-// meanwhile, or it is needed for all to be in time and has a while before the rise.
+// Allows reports whether an item with the remaining run time left may start next to the
+// running ones: either all fit next to the peak demand expected meanwhile, or the item is
+// required and can run for a minimum time before the peak.
 func (s Start) Allows(running int, left time.Duration) bool {
 	if !s.Bounded() || running < s.Beside(left) {
 		return true
 	}
-	return running < s.need && running < s.Beside(min(s.least, left))
+	return running < s.required && running < s.Beside(min(s.minRun, left))
 }
 
-// Beside is how many items fit beside the highest demand that is expected within a
-// time.
+// Beside returns the number of items that fit next to the peak demand expected within a
+// duration.
 func (s Start) Beside(within time.Duration) int {
 	if !s.Bounded() {
 		return s.slots
 	}
 	peak, _ := s.demand.rhythm.Peak(s.now, within)
-	return max(s.slots-int(math.Ceil(peak+riseNoise*math.Sqrt(peak))), 0)
+	return max(s.slots-int(math.Ceil(peak+peakStdDevs*math.Sqrt(peak))), 0)
 }
--- a/fill/demand.go
+++ b/fill/demand.go
@@ -1,7 +1,10 @@
-// Package fill decides how much batch runs beside online requests: how many slots
-// stay free for those that come before batch can give way (Demand), which items
-// have to run now to be in time (Pressed), and how many items each worker has room
-// for or too many of (Worker). It has no input or output and no clock.
+// Package fill schedules batch items into slots that online requests leave idle (backfill).
+// It decides how many slots to reserve for requests that arrive before an item can be
+// preempted (Demand), which items have to run now to finish by their due time (Pressed),
+// and how many items may start or have to be preempted at each worker (Worker).
+//
+// The package performs no I/O and reads no clock. Its types are not safe for concurrent
+// use.
 package fill
 
 import (
@@ -10,18 +13,18 @@
 )
 
 const (
-	// reaction is how long batch takes to give way to a request: word of it comes,
-	// and a slot is free.
-	reaction = 150 * time.Millisecond
-	// noise is how many standard deviations of the number of requests, which
-	// varies as its root when nothing changes, are kept free.
-	noise = 0.5
+	// preemptionLatency is the time from the arrival of a request until a preempted item
+	// has released its slot.
+	preemptionLatency = 150 * time.Millisecond
+	// reserveStdDevs is the minimum reserve, in standard deviations of the number of
+	// requests, which is assumed to be Poisson distributed.
+	reserveStdDevs = 0.5
 )
 
-// Demand sees how many slots online requests take, and how fast that rises. The
-// zero value has seen nothing.
+// Demand tracks the number of online requests and how fast it grows. The zero value is ready
+// to use.
 type Demand struct {
-	recent []observation // within reaction, the latest last
+	recent []observation // within preemptionLatency, oldest first
 	rhythm Rhythm
 }
 
@@ -30,29 +33,29 @@
 	held int
 }
 
-// Observe takes how many online requests the workers hold now.
+// Observe records the number of online requests at the workers.
 func (d *Demand) Observe(now time.Time, held int) {
 	d.rhythm.Observe(now, held)
 	d.recent = append(d.recent, observation{at: now, held: held})
-	for now.Sub(d.recent[0].at) > reaction {
+	for now.Sub(d.recent[0].at) > preemptionLatency {
 		d.recent = d.recent[1:]
 	}
 }
 
-// Rhythm is what was learned of its swings.
+// Rhythm returns the detected periodicity of the demand.
 func (d *Demand) Rhythm() *Rhythm { return &d.rhythm }
 
-// Reserve is how many of the slots are to stay free now: for as many requests more
-// as have come within the last reaction, and for what their number varies by.
+// Reserve returns how many of the slots to keep free now: the increase within the last
+// preemption latency, and at least the random variation of the number of requests.
 func (d *Demand) Reserve(slots int) float64 {
 	if len(d.recent) == 0 {
 		return 0
 	}
 	held := d.recent[len(d.recent)-1].held
-	least := held
+	lowest := held
 	for _, each := range d.recent {
-		least = min(least, each.held)
+		lowest = min(lowest, each.held)
 	}
-	expected := math.Max(float64(held-least), noise*math.Sqrt(float64(held)))
+	expected := math.Max(float64(held-lowest), reserveStdDevs*math.Sqrt(float64(held)))
 	return math.Min(expected, float64(slots))
 }
--- a/fill/fill_test.go
+++ b/fill/fill_test.go
@@ -10,20 +10,20 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-func TestReserveFollowsTheLastRise(t *testing.T) {
+func TestReserveFollowsRecentIncrease(t *testing.T) {
 	tests := []struct {
 		name  string
-		held  []int // one each 50 ms
+		held  []int // one observation every 50 ms
 		slots int
 		want  float64
 	}{
-		{"nothing seen", nil, 96, 0},
+		{"no observation", nil, 96, 0},
 		{"idle", []int{0, 0}, 96, 0},
-		{"steady", []int{64, 64, 64}, 96, 4},
-		{"a step up", []int{16, 16, 30, 44}, 96, 28},
-		{"a step up that is over", []int{16, 44, 44, 44, 44, 44}, 96, noise * 6.6332495807108},
-		{"a step down", []int{64, 36, 16}, 96, 2},
-		{"more than there is", []int{0, 200}, 96, 96},
+		{"constant", []int{64, 64, 64}, 96, 4},
+		{"step up", []int{16, 16, 30, 44}, 96, 28},
+		{"step up in the past", []int{16, 44, 44, 44, 44, 44}, 96, reserveStdDevs * 6.6332495807108},
+		{"step down", []int{64, 36, 16}, 96, 2},
+		{"more than all slots", []int{0, 200}, 96, 96},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -32,13 +32,13 @@
 				demand.Observe(start.Add(time.Duration(i)*50*time.Millisecond), held)
 			}
 			if got := demand.Reserve(test.slots); got != test.want {
-				t.Errorf("%v slots, want %v", got, test.want)
+				t.Errorf("%v slots reserved, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-func TestExcessGivesWayWhereRequestsWait(t *testing.T) {
+func TestEarlyPreemptionPerWorker(t *testing.T) {
 	tests := []struct {
 		name    string
 		workers []Worker
@@ -46,25 +46,25 @@
 		waiting int
 		want    []int
 	}{
-		{"all has room", []Worker{{8, 2, 2}, {8, 2, 2}}, 4, 0, []int{0, 0}},
-		{"one request waits", []Worker{{8, 3, 6}, {8, 2, 2}}, 0, 0, []int{1, 0}},
-		{"more wait than there are items", []Worker{{8, 12, 2}}, 0, 0, []int{2}},
-		{"half of the reserve is missing", []Worker{{8, 2, 6}, {8, 2, 6}}, 4, 0, []int{1, 1}},
-		{"the other half is not", []Worker{{8, 2, 5}, {8, 2, 5}}, 4, 0, []int{0, 0}},
+		{"enough free slots", []Worker{{8, 2, 2}, {8, 2, 2}}, 4, 0, []int{0, 0}},
+		{"request waits at a worker", []Worker{{8, 3, 6}, {8, 2, 2}}, 0, 0, []int{1, 0}},
+		{"more requests than items", []Worker{{8, 12, 2}}, 0, 0, []int{2}},
+		{"less than half of the reserve is free", []Worker{{8, 2, 6}, {8, 2, 6}}, 4, 0, []int{1, 1}},
+		{"half of the reserve is free", []Worker{{8, 2, 5}, {8, 2, 5}}, 4, 0, []int{0, 0}},
 		{"requests wait elsewhere", []Worker{{8, 2, 6}, {8, 2, 5}}, 0, 3, []int{1, 1}},
-		{"only where there are items", []Worker{{8, 8, 0}, {8, 2, 6}}, 0, 2, []int{0, 2}},
+		{"only workers with items", []Worker{{8, 8, 0}, {8, 2, 6}}, 0, 2, []int{0, 2}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := Early(test.workers, test.reserve, test.waiting); !slices.Equal(got, test.want) {
-				t.Errorf("%v, want %v", got, test.want)
+				t.Errorf("preempts %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// TestRoomAndExcessNeverMeet: what may start is never what has to give way at once,
-// no worker gives more than it has, and nothing gives way while enough is free.
+// Guards against items that start and are preempted at once. No worker preempts more items
+// than it runs, and none is preempted while enough slots are free.
 func TestRoomAndExcessNeverMeet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "workers")
@@ -81,44 +81,44 @@
 		total, held, queued := 0, 0, 0
 		for i, w := range workers {
 			if excess[i] < 0 || excess[i] > w.Batch {
-				t.Fatalf("worker %d gives way %d of %d items", i, excess[i], w.Batch)
+				t.Fatalf("worker %d preempts %d of %d items", i, excess[i], w.Batch)
 			}
 			if w.Free() < 0 && excess[i] == 0 && w.Batch > 0 {
-				t.Fatalf("requests wait at worker %d and no item gives way", i)
+				t.Fatalf("requests wait at worker %d and no item is preempted", i)
 			}
 			total += excess[i]
 			held += w.Batch
 			queued += max(-w.Free(), 0)
 		}
 		if total > queued && Room(workers, reserve, waiting) > 0 {
-			t.Fatalf("%d items may start while %d give way and %d wait", Room(workers, reserve, waiting), total, queued)
+			t.Fatalf("%d items may start while %d are preempted and %d requests wait", Room(workers, reserve, waiting), total, queued)
 		}
 		if total > queued && RoomPressed(workers, reserve, waiting) > 0 {
-			t.Fatalf("%d pressed items may start while %d give way and %d wait", RoomPressed(workers, reserve, waiting), total, queued)
+			t.Fatalf("%d pressed items may start while %d are preempted and %d requests wait", RoomPressed(workers, reserve, waiting), total, queued)
 		}
-		must := Excess(workers, waiting)
-		for i := range must {
-			if must[i] > excess[i] {
-				t.Fatalf("worker %d gives way %d items, at once %d of them", i, excess[i], must[i])
+		required := Excess(workers, waiting)
+		for i := range required {
+			if required[i] > excess[i] {
+				t.Fatalf("worker %d preempts %d items in total but %d at once", i, excess[i], required[i])
 			}
 		}
-		begun := slices.Clone(workers)
+		started := slices.Clone(workers)
 		for n := RoomPressed(workers, reserve, waiting); n > 0; n-- {
-			i := slices.IndexFunc(begun, func(w Worker) bool { return w.Free() > 0 })
-			begun[i].Batch++
+			i := slices.IndexFunc(started, func(w Worker) bool { return w.Free() > 0 })
+			started[i].Batch++
 		}
-		for i, n := range Early(begun, reserve, waiting) {
+		for i, n := range Early(started, reserve, waiting) {
 			if n > excess[i] {
-				t.Fatalf("worker %d: %d items give way after pressed ones began, %d before", i, n, excess[i])
+				t.Fatalf("worker %d: %d items preempted after pressed ones started, %d before", i, n, excess[i])
 			}
 		}
 		if needed := int(reserve/2) + waiting + queued; total > needed {
-			t.Fatalf("%d items give way for %d slots", total, needed)
+			t.Fatalf("%d items preempted for %d slots", total, needed)
 		}
 	})
 }
 
-func TestStand(t *testing.T) {
+func TestStandings(t *testing.T) {
 	due := func(after time.Duration) time.Time { return start.Add(after) }
 	tests := []struct {
 		name  string
@@ -126,21 +126,21 @@
 		room  float64
 		want  []Standing
 	}{
-		{"much time", []Item{{due(18 * time.Second), 4 * time.Second}}, 10, []Standing{Usual}},
-		{"just enough", []Item{{due(4900 * time.Millisecond), 4 * time.Second}}, 10, []Standing{Pressed}},
+		{"ample time", []Item{{due(18 * time.Second), 4 * time.Second}}, 10, []Standing{Usual}},
+		{"just enough time", []Item{{due(4900 * time.Millisecond), 4 * time.Second}}, 10, []Standing{Pressed}},
 		{"too late", []Item{{due(3 * time.Second), 4 * time.Second}}, 10, []Standing{Missed}},
-		{"never due", []Item{{time.Time{}, 4 * time.Second}}, 10, []Standing{Usual}},
-		{"much before it", []Item{
+		{"no due time", []Item{{time.Time{}, 4 * time.Second}}, 10, []Standing{Usual}},
+		{"much work due before", []Item{
 			{due(12 * time.Second), 4 * time.Second}, {due(12 * time.Second), 4 * time.Second}, {due(12 * time.Second), 4 * time.Second},
 		}, 1, []Standing{Usual, Usual, Pressed}},
-		{"what is missed is no work before it", []Item{
+		{"missed items are ignored", []Item{
 			{due(2 * time.Second), 9 * time.Second}, {due(12 * time.Second), 4 * time.Second},
 		}, 1, []Standing{Missed, Usual}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := Stand(start, test.items, test.room); !slices.Equal(got, test.want) {
-				t.Errorf("%v, want %v", got, test.want)
+				t.Errorf("standings %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/fill/length.go
+++ b/fill/length.go
@@ -3,76 +3,76 @@
 import "time"
 
 const (
-	// firstRunTime of an item is assumed before one has ended.
-	firstRunTime = 4 * time.Second
-	// runShare and rateShare of a new run are taken into the averages.
-	runShare  = 0.1
-	rateShare = 0.3
-	// leastPart of an item's time is expected to be left while it runs: its text may be
-	// longer than the average.
-	leastPart = 0.1
-	// leastRate and mostRate bound how fast or slow a worker is believed to be.
-	leastRate, mostRate = 0.25, 4
-	// leastRateRun is the shortest run that tells a worker's rate: the reading of the
-	// prompt is a small part of it.
-	leastRateRun = time.Second
-	// mostRates are kept; of a leader's workers there are fewer.
-	mostRates = 1024
+	// initialRunTime is assumed until the first item has completed.
+	initialRunTime = 4 * time.Second
+	// runTimeWeight and rateWeight are the weights of a new run in the moving averages.
+	runTimeWeight = 0.1
+	rateWeight    = 0.3
+	// minRemainingShare is the minimum remaining share of the run time while an item runs,
+	// since its output may be longer than the average.
+	minRemainingShare = 0.1
+	// minRate and maxRate bound the relative run time of a worker.
+	minRate, maxRate = 0.25, 4
+	// minRateRun is the shortest run used to estimate a worker's rate. The prefill is a
+	// small part of longer runs.
+	minRateRun = time.Second
+	// maxRates bounds the number of workers tracked. A leader has fewer workers.
+	maxRates = 1024
 )
 
-// Lengths learns how long items run: the text of a whole one, how long that takes, and
-// at which workers it takes longer. Make it with NewLengths.
+// Lengths estimates run times of items from moving averages of the output size, the run
+// time, and the relative run time of each worker. Create one with NewLengths.
 type Lengths struct {
-	run   time.Duration // of a whole item, lately
-	text  float64       // bytes of a whole item, lately; 0: none has ended
-	rates map[string]float64
+	runTime   time.Duration // average run time of a completed item
+	textBytes float64       // average output of a completed item; 0 before the first
+	rates     map[string]float64
 }
 
-// NewLengths has seen no item.
-func NewLengths() *Lengths { return &Lengths{run: firstRunTime, rates: map[string]float64{}} }
+// NewLengths returns a Lengths without observations.
+func NewLengths() *Lengths { return &Lengths{runTime: initialRunTime, rates: map[string]float64{}} }
 
-// Run is how long a whole item runs, lately.
-func (l *Lengths) Run() time.Duration { return l.run }
+// Run returns the average run time of an item.
+func (l *Lengths) Run() time.Duration { return l.runTime }
 
-// Whole takes an item's whole text and, if it ran at one worker from its beginning to
-// its end, for how long; 0 if it did not.
+// Whole records a completed item: the size of its output in bytes, and its run time if it
+// ran at one worker without interruption, else 0.
 func (l *Lengths) Whole(text int, run time.Duration) {
-	if l.text == 0 {
-		l.text = float64(text)
+	if l.textBytes == 0 {
+		l.textBytes = float64(text)
 	}
-	l.text += runShare * (float64(text) - l.text)
+	l.textBytes += runTimeWeight * (float64(text) - l.textBytes)
 	if run > 0 {
-		l.run += time.Duration(runShare * float64(run-l.run))
+		l.runTime += time.Duration(runTimeWeight * float64(run-l.runTime))
 	}
 }
 
-// Ran takes how many bytes came of a run at a worker.
+// Ran records a run at a worker and the number of bytes it produced.
 func (l *Lengths) Ran(worker string, text int, run time.Duration) {
-	if l.text == 0 || text == 0 || run < leastRateRun {
+	if l.textBytes == 0 || text == 0 || run < minRateRun {
 		return
 	}
-	rate := min(max(float64(run)/float64(text)*l.text/float64(l.run), leastRate), mostRate)
+	rate := min(max(float64(run)/float64(text)*l.textBytes/float64(l.runTime), minRate), maxRate)
 	last, known := l.rates[worker]
 	if !known {
-		if len(l.rates) >= mostRates {
+		if len(l.rates) >= maxRates {
 			clear(l.rates)
 		}
 		last = 1
 	}
-	l.rates[worker] = last + rateShare*(rate-last)
+	l.rates[worker] = last + rateWeight*(rate-last)
 }
 
-// Left is how long an item that has given so much text still has to run at a usual
-// worker.
-func (l *Lengths) Left(given int) time.Duration {
+// Left returns the expected remaining run time, at an average worker, of an item that has
+// produced the given number of bytes.
+func (l *Lengths) Left(produced int) time.Duration {
 	part := 1.0
-	if l.text > 0 {
-		part = max(1-float64(given)/l.text, leastPart)
+	if l.textBytes > 0 {
+		part = max(1-float64(produced)/l.textBytes, minRemainingShare)
 	}
-	return time.Duration(part * float64(l.run))
+	return time.Duration(part * float64(l.runTime))
 }
 
-// At is how long a run takes at a worker that takes so long at a usual one.
+// At converts a run time at an average worker to one at the given worker.
 func (l *Lengths) At(worker string, usual time.Duration) time.Duration {
 	if rate, ok := l.rates[worker]; ok {
 		return time.Duration(rate * float64(usual))
--- a/fill/pressed.go
+++ b/fill/pressed.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Item is an item that has no result yet.
+// Item is an unfinished batch item.
 type Item struct {
-	Due  time.Time     // zero: never
-	Left time.Duration // that it still has to run
+	Due  time.Time     // zero if it has no due time
+	Left time.Duration // expected remaining run time
 }
 
-// Standing is how an item stands to when its result is due.
+// Standing is the urgency of an item with respect to its due time.
 type Standing int
 
-// The standings, in the order in which items are to start.
+// Standings in the order in which items start.
 const (
-	Pressed Standing = iota // it has to run now to be in time
+	Pressed Standing = iota // has to run now to finish by its due time
 	Usual
-	Missed // it can't be in time any more
+	Missed // can no longer finish by its due time
 )
 
 const (
-	// pressedMargin of an item's own time, and at least leastMargin, is kept for
-	// what holds it up.
-	pressedMargin = 0.25
-	leastMargin   = time.Second
+	// urgencyMargin is the slack for delays as a share of the remaining run time, at least
+	// minMargin.
+	urgencyMargin = 0.25
+	minMargin     = time.Second
 )
 
-// Stand tells how items stand that come in the order in which they are due: one is
-// pressed if after all that is due before it the room that batch has on average is
-// just enough. Room is in slots.
+// Stand returns the standing of each item. The items must be sorted by due time. An item is
+// Pressed if the room, the average number of slots available to batch, is just enough to
+// finish it after all items that are due before it.
 func Stand(now time.Time, items []Item, room float64) []Standing {
 	standing := make([]Standing, len(items))
 	work := time.Duration(0)
@@ -46,7 +46,7 @@
 		if room > 0 {
 			needed = max(needed, time.Duration(float64(work)/room))
 		}
-		if left < needed+max(time.Duration(pressedMargin*float64(item.Left)), leastMargin) {
+		if left < needed+max(time.Duration(urgencyMargin*float64(item.Left)), minMargin) {
 			standing[i] = Pressed
 		}
 	}
--- a/fill/replay_test.go
+++ b/fill/replay_test.go
@@ -9,143 +9,144 @@
 	"time"
 )
 
-// replay is a leader's workers on a virtual clock: requests come in steps and take a
-// free slot or that of an item; jobs of ten items come steadily.
-type replay struct {
-	way     way
+// simulation runs the workers of one leader in simulated time. Online requests follow a
+// square wave and take a free slot or preempt an item. Jobs of ten items arrive at a
+// constant rate.
+type simulation struct {
+	policy  policy
 	demand  Demand
 	random  *rand.Rand
 	now     time.Time
-	workers []*replayWorker
-	waiting []*replayItem
-	queue   []time.Time // requests that wait since
-	room    float64     // of batch, averaged
+	workers []*simWorker
+	waiting []*simItem
+	queued  []time.Time // arrival times of waiting requests
+	room    float64     // moving average of slots available to batch
 	reserve float64
 	start   Start
-	result  replayed
+	result  result
 }
 
-type replayWorker struct {
-	pace   float64 // times take so much
+type simWorker struct {
+	pace   float64 // factor of all run times
 	online []time.Time
-	items  []*replayItem
+	items  []*simItem
 }
 
-type replayItem struct {
-	due      time.Time
-	left     time.Duration // at pace 1
-	began    time.Time
-	cuts     int
-	standing Standing
+type simItem struct {
+	due         time.Time
+	remaining   time.Duration // at pace 1
+	startedAt   time.Time
+	preemptions int
+	standing    Standing
 }
 
-// way is what is weighed.
-type way struct {
-	name    string
-	yields  func(now time.Time, a, b Running) int
-	start   func(d *Demand, now time.Time, slots, need int, room float64) Start // nil: no bound
-	pressed func([]Worker, float64, int) int                                    // nil: pressed items take the reserve, and give way to it
+// policy is a set of preemption and start rules under test.
+type policy struct {
+	name        string
+	compare     func(now time.Time, a, b Running) int
+	startLimit  func(d *Demand, now time.Time, slots, need int, room float64) Start // nil: no limit
+	pressedRoom func([]Worker, float64, int) int                                    // nil: pressed items may use the reserve and are preempted to restore it
 }
 
-// load is what comes.
-type load struct {
+// scenario is the load of a simulation.
+type scenario struct {
 	name           string
-	slots          int // of each worker
+	slots          int // per worker
 	low, high      float64
 	lowFor, period time.Duration
-	jobs           float64 // a second
-	lost           int     // workers that are gone for a third of the time
+	jobRate        float64 // jobs per second
+	failedWorkers  int     // workers missing in the second third of the run
 }
 
-type replayed struct{ items, inTime, cuts, requests, late int }
+type result struct{ items, inTime, preemptions, requests, late int }
 
 const (
-	replayTick  = 20 * time.Millisecond
-	onlineTime  = 620 * time.Millisecond
-	itemTime    = 3700 * time.Millisecond
-	lateAfter   = 100 * time.Millisecond
-	replayFor   = 80 * time.Second
-	eventPause  = 200 * time.Millisecond // between two reads of an item's stream
-	promptTime  = 80 * time.Millisecond
-	replayDueIn = 18 * time.Second
+	tick          = 20 * time.Millisecond
+	requestTime   = 620 * time.Millisecond
+	itemTime      = 3700 * time.Millisecond
+	lateThreshold = 100 * time.Millisecond
+	arrivalPeriod = 80 * time.Second
+	readInterval  = 200 * time.Millisecond // interval between reads of an item's stream
+	prefillTime   = 80 * time.Millisecond
+	dueIn         = 18 * time.Second
 )
 
-func play(l load, w way, seed uint64) replayed {
-	r := &replay{way: w, random: rand.New(rand.NewPCG(seed, 1)), now: start}
+func simulate(s scenario, p policy, seed uint64) result {
+	sim := &simulation{policy: p, random: rand.New(rand.NewPCG(seed, 1)), now: start}
 	for i := range 12 {
-		r.workers = append(r.workers, &replayWorker{pace: []float64{0.7, 0.7, 1.7}[i%3]})
+		sim.workers = append(sim.workers, &simWorker{pace: []float64{0.7, 0.7, 1.7}[i%3]})
 	}
-	for at := time.Duration(0); at < replayFor+replayDueIn; at += replayTick {
-		r.now = start.Add(at)
-		rate, jobs := l.low, l.jobs
-		if at%l.period >= l.lowFor {
-			rate = l.high
+	for at := time.Duration(0); at < arrivalPeriod+dueIn; at += tick {
+		sim.now = start.Add(at)
+		rate, jobs := s.low, s.jobRate
+		if at%s.period >= s.lowFor {
+			rate = s.high
 		}
-		if at >= replayFor {
+		if at >= arrivalPeriod {
 			jobs = 0
 		}
-		n := len(r.workers)
-		if at > replayFor/3 && at < 2*replayFor/3 {
-			n -= l.lost
+		n := len(sim.workers)
+		if at > arrivalPeriod/3 && at < 2*arrivalPeriod/3 {
+			n -= s.failedWorkers
 		}
-		r.end(n, l.slots)
-		for range r.poisson(rate) {
-			r.result.requests++
-			r.queue = append(r.queue, r.now)
+		sim.finishRuns(n, s.slots)
+		for range sim.poisson(rate) {
+			sim.result.requests++
+			sim.queued = append(sim.queued, sim.now)
 		}
-		for range r.poisson(jobs) {
+		for range sim.poisson(jobs) {
 			for range 10 {
-				r.result.items++
-				left := time.Duration(float64(itemTime) * (0.7 + 0.6*r.random.Float64()))
-				r.waiting = append(r.waiting, &replayItem{due: r.now.Add(replayDueIn), left: left, standing: Usual})
+				sim.result.items++
+				left := time.Duration(float64(itemTime) * (0.7 + 0.6*sim.random.Float64()))
+				sim.waiting = append(sim.waiting, &simItem{due: sim.now.Add(dueIn), remaining: left, standing: Usual})
 			}
 		}
-		r.place(l.slots, n)
-		r.plan(l.slots, n)
+		sim.placeRequests(s.slots, n)
+		sim.plan(s.slots, n)
 	}
-	return r.result
+	return sim.result
 }
 
-func (r *replay) poisson(perSecond float64) (n int) {
-	for limit, p := math.Exp(-perSecond*replayTick.Seconds()), r.random.Float64(); p > limit; n++ {
-		p *= r.random.Float64()
+func (sim *simulation) poisson(perSecond float64) (n int) {
+	for limit, p := math.Exp(-perSecond*tick.Seconds()), sim.random.Float64(); p > limit; n++ {
+		p *= sim.random.Float64()
 	}
 	return n
 }
 
-// end ends what has run for its time, and what runs at workers that are gone.
-func (r *replay) end(alive, slots int) {
-	for i, w := range r.workers {
-		w.online = slices.DeleteFunc(w.online, func(until time.Time) bool { return !r.now.Before(until) })
+// finishRuns removes completed requests and items, and preempts items at failed workers.
+func (sim *simulation) finishRuns(alive, slots int) {
+	for i, w := range sim.workers {
+		w.online = slices.DeleteFunc(w.online, func(until time.Time) bool { return !sim.now.Before(until) })
 		for i >= alive && len(w.items) > 0 {
-			r.cut(w, w.items[0])
+			sim.preempt(w, w.items[0])
 		}
-		w.items = slices.DeleteFunc(w.items, func(item *replayItem) bool {
-			ran := time.Duration(float64(r.now.Sub(item.began)-promptTime) / w.pace)
-			if ran >= item.left && !r.now.After(item.due) {
-				r.result.inTime++
+		w.items = slices.DeleteFunc(w.items, func(item *simItem) bool {
+			ran := time.Duration(float64(sim.now.Sub(item.startedAt)-prefillTime) / w.pace)
+			if ran >= item.remaining && !sim.now.After(item.due) {
+				sim.result.inTime++
 			}
-			return ran >= item.left
+			return ran >= item.remaining
 		})
 	}
 }
 
-// cut stops an item; it goes on after its last event that was read.
-func (r *replay) cut(w *replayWorker, item *replayItem) {
-	r.result.cuts++
-	w.items = slices.DeleteFunc(w.items, func(other *replayItem) bool { return other == item })
-	if read := r.now.Sub(item.began) / eventPause * eventPause; read > promptTime {
-		item.left -= time.Duration(float64(read-promptTime) / w.pace)
+// preempt stops an item, which later continues after the last event read.
+func (sim *simulation) preempt(w *simWorker, item *simItem) {
+	sim.result.preemptions++
+	w.items = slices.DeleteFunc(w.items, func(other *simItem) bool { return other == item })
+	if read := sim.now.Sub(item.startedAt) / readInterval * readInterval; read > prefillTime {
+		item.remaining -= time.Duration(float64(read-prefillTime) / w.pace)
 	}
-	item.cuts++
-	r.waiting = append(r.waiting, item)
+	item.preemptions++
+	sim.waiting = append(sim.waiting, item)
 }
 
-// place gives requests that wait a free slot, else one of an item.
-func (r *replay) place(slots, alive int) {
-	for len(r.queue) > 0 {
-		var best *replayWorker
-		for _, w := range r.workers[:alive] {
+// placeRequests assigns waiting requests to free slots or to those of preempted items.
+func (sim *simulation) placeRequests(slots, alive int) {
+	for len(sim.queued) > 0 {
+		var best *simWorker
+		for _, w := range sim.workers[:alive] {
 			if len(w.online) < slots && (best == nil || len(w.online)+len(w.items) < len(best.online)+len(best.items)) {
 				best = w
 			}
@@ -154,208 +155,209 @@
 			return
 		}
 		if len(best.online)+len(best.items) >= slots {
-			r.yield(best, 1, true)
+			sim.preemptItems(best, 1, true)
 		}
-		best.online = append(best.online, r.now.Add(time.Duration(float64(onlineTime)*best.pace)))
-		if r.now.Sub(r.queue[0]) > lateAfter {
-			r.result.late++
+		best.online = append(best.online, sim.now.Add(time.Duration(float64(requestTime)*best.pace)))
+		if sim.now.Sub(sim.queued[0]) > lateThreshold {
+			sim.result.late++
 		}
-		r.queue = r.queue[1:]
+		sim.queued = sim.queued[1:]
 	}
 }
 
-func (r *replay) yield(w *replayWorker, n int, pressed bool) {
+func (sim *simulation) preemptItems(w *simWorker, n int, pressed bool) {
 	if n <= 0 {
 		return
 	}
 	items := slices.Clone(w.items)
-	slices.SortStableFunc(items, func(a, b *replayItem) int { return r.way.yields(r.now, r.running(w, a), r.running(w, b)) })
+	slices.SortStableFunc(items, func(a, b *simItem) int {
+		return sim.policy.compare(sim.now, sim.runningItem(w, a), sim.runningItem(w, b))
+	})
 	for _, item := range items {
 		if n > 0 && (pressed || item.standing != Pressed) {
-			r.cut(w, item)
+			sim.preempt(w, item)
 			n--
 		}
 	}
 }
 
-func (r *replay) running(w *replayWorker, item *replayItem) Running {
-	ran := r.now.Sub(item.began)
+func (sim *simulation) runningItem(w *simWorker, item *simItem) Running {
+	ran := sim.now.Sub(item.startedAt)
 	return Running{
-		Standing: item.standing, Due: item.due, Left: item.left - time.Duration(float64(ran)/w.pace),
-		Lost: ran % eventPause, Cuts: item.cuts, Since: item.began,
+		Standing: item.standing, Due: item.due, Left: item.remaining - time.Duration(float64(ran)/w.pace),
+		Lost: ran % readInterval, Cuts: item.preemptions, Since: item.startedAt,
 	}
 }
 
-// plan does what a leader does at each look.
-func (r *replay) plan(slots, alive int) {
-	workers, online := make([]Worker, alive), len(r.queue)
-	for i, w := range r.workers[:alive] {
+// plan runs one scheduling round of the leader.
+func (sim *simulation) plan(slots, alive int) {
+	workers, online := make([]Worker, alive), len(sim.queued)
+	for i, w := range sim.workers[:alive] {
 		workers[i] = Worker{Slots: slots, Online: len(w.online), Batch: len(w.items)}
 		online += len(w.online)
 	}
-	r.demand.Observe(r.now, online)
-	r.reserve = r.demand.Reserve(slots * alive)
-	r.room += replayTick.Seconds() / 10 * (max(float64(slots*alive-online)-r.reserve, 1) - r.room)
-	if r.now.Sub(start)%(100*time.Millisecond) == 0 {
-		r.stand(slots * alive)
+	sim.demand.Observe(sim.now, online)
+	sim.reserve = sim.demand.Reserve(slots * alive)
+	sim.room += tick.Seconds() / 10 * (max(float64(slots*alive-online)-sim.reserve, 1) - sim.room)
+	if sim.now.Sub(start)%(100*time.Millisecond) == 0 {
+		sim.updateStandings(slots * alive)
 	}
-	must, early := Excess(workers, len(r.queue)), Early(workers, r.reserve, len(r.queue))
-	for i, w := range r.workers[:alive] {
-		r.yield(w, must[i], true)
-		r.yield(w, early[i]-must[i], r.way.pressed == nil)
+	required, early := Excess(workers, len(sim.queued)), Early(workers, sim.reserve, len(sim.queued))
+	for i, w := range sim.workers[:alive] {
+		sim.preemptItems(w, required[i], true)
+		sim.preemptItems(w, early[i]-required[i], sim.policy.pressedRoom == nil)
 	}
-	r.begin(slots, alive)
+	sim.startItems(slots, alive)
 }
 
-func (r *replay) stand(slots int) {
-	all := slices.Clone(r.waiting)
-	for _, w := range r.workers {
+func (sim *simulation) updateStandings(slots int) {
+	all := slices.Clone(sim.waiting)
+	for _, w := range sim.workers {
 		all = append(all, w.items...)
 	}
-	slices.SortStableFunc(all, func(a, b *replayItem) int { return a.due.Compare(b.due) })
+	slices.SortStableFunc(all, func(a, b *simItem) int { return a.due.Compare(b.due) })
 	list := make([]Item, len(all))
 	for i, item := range all {
-		list[i] = Item{Due: item.due, Left: item.left}
+		list[i] = Item{Due: item.due, Left: item.remaining}
 	}
-	for i, standing := range Stand(r.now, list, r.room) {
+	for i, standing := range Stand(sim.now, list, sim.room) {
 		all[i].standing = standing
 	}
-	if r.way.start != nil {
-		r.start = r.way.start(&r.demand, r.now, slots, Need(r.now, list), r.room)
+	if sim.policy.startLimit != nil {
+		sim.start = sim.policy.startLimit(&sim.demand, sim.now, slots, Need(sim.now, list), sim.room)
 	}
 }
 
-// begin starts up to eight items where the most is free.
-func (r *replay) begin(slots, alive int) {
+// startItems starts up to eight items at the workers with the most free slots.
+func (sim *simulation) startItems(slots, alive int) {
 	workers, running := make([]Worker, alive), 0
-	for i, w := range r.workers[:alive] {
+	for i, w := range sim.workers[:alive] {
 		workers[i] = Worker{Slots: slots, Online: len(w.online), Batch: len(w.items)}
 		running += len(w.items)
 	}
-	left, pressed := Room(workers, r.reserve, len(r.queue)), free(workers)
-	if r.way.pressed != nil {
-		pressed = r.way.pressed(workers, r.reserve, len(r.queue))
+	left, pressed := Room(workers, sim.reserve, len(sim.queued)), freeSlots(workers)
+	if sim.policy.pressedRoom != nil {
+		pressed = sim.policy.pressedRoom(workers, sim.reserve, len(sim.queued))
 	}
-	slices.SortStableFunc(r.waiting, func(a, b *replayItem) int {
+	slices.SortStableFunc(sim.waiting, func(a, b *simItem) int {
 		return cmp.Or(cmp.Compare(min(a.standing, Usual), min(b.standing, Usual)), a.due.Compare(b.due))
 	})
-	for n := 0; n < 8 && len(r.waiting) > 0; n++ {
-		item := r.waiting[0]
-		if item.standing == Pressed && pressed <= 0 || item.standing != Pressed && (left <= 0 || !r.start.Allows(running, item.left)) {
+	for n := 0; n < 8 && len(sim.waiting) > 0; n++ {
+		item := sim.waiting[0]
+		if item.standing == Pressed && pressed <= 0 || item.standing != Pressed && (left <= 0 || !sim.start.Allows(running, item.remaining)) {
 			return
 		}
-		best := slices.MaxFunc(r.workers[:alive], func(a, b *replayWorker) int {
+		best := slices.MaxFunc(sim.workers[:alive], func(a, b *simWorker) int {
 			return cmp.Compare(len(b.online)+len(b.items), len(a.online)+len(a.items))
 		})
 		if len(best.online)+len(best.items) >= slots {
 			return
 		}
-		item.began = r.now
+		item.startedAt = sim.now
 		best.items = append(best.items, item)
-		r.waiting = r.waiting[1:]
+		sim.waiting = sim.waiting[1:]
 		left, pressed, running = left-1, pressed-1, running+1
 	}
 }
 
-func standing(_ time.Time, a, b Running) int {
+func compareStanding(_ time.Time, a, b Running) int {
 	return cmp.Or(cmp.Compare(b.Standing, a.Standing), b.Due.Compare(a.Due), b.Since.Compare(a.Since))
 }
 
-// stepsOf is demand in steps on 96 slots, with so many jobs a second.
-func stepsOf(name string, jobs float64, lost int) load {
-	return load{name: name, slots: 8, low: 20, high: 104, lowFor: 3800 * time.Millisecond, period: 6600 * time.Millisecond, jobs: jobs, lost: lost}
+// squareWaveScenario is square wave demand on 96 slots.
+func squareWaveScenario(name string, jobs float64, lost int) scenario {
+	return scenario{name: name, slots: 8, low: 20, high: 104, lowFor: 3800 * time.Millisecond, period: 6600 * time.Millisecond, jobRate: jobs, failedWorkers: lost}
 }
 
-var standingWay = way{"standing", standing, nil, nil}
+var baseline = policy{"baseline", compareStanding, nil, nil}
 
-// standingOf is what the standing way makes of each load, by name, once played.
-var standingOf = map[string]replayed{}
+// baselineResults caches the results of the baseline by scenario name.
+var baselineResults = map[string]result{}
 
-// of plays a load with some seeds.
-func of(l load, w way) (sum replayed) {
-	if played, ok := standingOf[l.name]; ok && w.name == standingWay.name {
-		return played
+// simulateSeeds returns the sum of the results of four seeds.
+func simulateSeeds(s scenario, p policy) (sum result) {
+	if cached, ok := baselineResults[s.name]; ok && p.name == baseline.name {
+		return cached
 	}
 	defer func() {
-		if w.name == standingWay.name {
-			standingOf[l.name] = sum
+		if p.name == baseline.name {
+			baselineResults[s.name] = sum
 		}
 	}()
 	for seed := range uint64(4) {
-		got := play(l, w, seed)
+		got := simulate(s, p, seed)
 		sum.items += got.items
 		sum.inTime += got.inTime
-		sum.cuts += got.cuts
+		sum.preemptions += got.preemptions
 		sum.requests += got.requests
 		sum.late += got.late
 	}
 	return sum
 }
 
-// replays are the loads, and what share of the standing way's cuts is allowed.
-var replays = []struct {
-	load
-	cuts float64
+// scenarios lists the loads with the maximum number of preemptions relative to the baseline.
+var scenarios = []struct {
+	scenario
+	maxPreemptionRatio float64
 }{
-	{stepsOf("steps", 0.65, 0), 0.5},
-	{stepsOf("more batch", 0.9, 0), 0.45},
-	{stepsOf("much batch", 1.2, 0), 0.65},
-	{stepsOf("a third of the workers lost", 1.1, 4), 0.9},
-	{stepsOf("more than there is", 2, 0), 0.7},
-	{load{name: "steady", slots: 8, low: 60, high: 60, lowFor: time.Second, period: 2 * time.Second, jobs: 0.65}, 1.2},
+	{squareWaveScenario("square wave", 0.65, 0), 0.5},
+	{squareWaveScenario("more batch", 0.9, 0), 0.45},
+	{squareWaveScenario("heavy batch", 1.2, 0), 0.65},
+	{squareWaveScenario("a third of the workers lost", 1.1, 4), 0.9},
+	{squareWaveScenario("overload", 2, 0), 0.7},
+	{scenario{name: "constant", slots: 8, low: 60, high: 60, lowFor: time.Second, period: 2 * time.Second, jobRate: 0.65}, 1.2},
 }
 
-// judge compares a way with the standing one: what is worse, or nothing.
-func judge(was, is replayed, cuts float64) string {
+// regression returns what is worse than in the baseline, or an empty string.
+func regression(base, got result, maxPreemptionRatio float64) string {
 	switch {
-	case is.inTime < was.inTime:
+	case got.inTime < base.inTime:
 		return "fewer items are in time"
-	case is.late > was.late+is.requests/1000: // chance places them at other workers
+	case got.late > base.late+got.requests/1000: // tolerates random placement
 		return "more requests are late"
-	case float64(is.cuts) > cuts*float64(was.cuts):
-		return "too many items are cut"
+	case float64(got.preemptions) > maxPreemptionRatio*float64(base.preemptions):
+		return "too many items are preempted"
 	}
 	return ""
 }
 
-// TestReplay: demand in steps, batch that outlasts each trough.
-func TestReplay(t *testing.T) {
-	ways := []way{
-		{"pressed items mind the reserve", standing, nil, RoomPressed},
-		{"and the order of giving way", Yields, nil, RoomPressed},
-		{"and begin before a rise", Yields, (*Demand).Start, RoomPressed},
+// Items run longer than the troughs of the demand.
+func TestSimulatedPreemptionDoesNotRegress(t *testing.T) {
+	policies := []policy{
+		{"reserve applies to pressed items", compareStanding, nil, RoomPressed},
+		{"plus preemption order", Yields, nil, RoomPressed},
+		{"plus start limit", Yields, (*Demand).Start, RoomPressed},
 	}
-	for _, test := range replays {
-		was := of(test.load, standingWay)
-		t.Logf("%s; standing: %+v", test.name, was)
-		for i, w := range ways {
-			is := of(test.load, w)
-			t.Logf("%s; %s: %+v", test.name, w.name, is)
-			if worse := judge(was, is, test.cuts); worse != "" && i == len(ways)-1 {
+	for _, test := range scenarios {
+		base := simulateSeeds(test.scenario, baseline)
+		t.Logf("%s; baseline: %+v", test.name, base)
+		for i, p := range policies {
+			got := simulateSeeds(test.scenario, p)
+			t.Logf("%s; %s: %+v", test.name, p.name, got)
+			if worse := regression(base, got, test.maxPreemptionRatio); worse != "" && i == len(policies)-1 {
 				t.Errorf("%s: %s", test.name, worse)
 			}
 		}
 	}
 }
 
-// TestAPlantIsSeen: ways that are wrong are told from the right one.
-func TestAPlantIsSeen(t *testing.T) {
-	keep := func(d *Demand, now time.Time, slots, _ int, _ float64) Start { return d.Start(now, slots, 0, 1) }
+func TestRegressionCheckDetectsBadPolicies(t *testing.T) {
+	ignoreRequired := func(d *Demand, now time.Time, slots, _ int, _ float64) Start { return d.Start(now, slots, 0, 1) }
 	tests := []struct {
-		name  string
-		load  int // of replays
-		plant way
-		want  string
+		name      string
+		scenario  int // index of scenarios
+		badPolicy policy
+		want      string
 	}{
-		{"no rise is expected", 1, way{"", Yields, nil, RoomPressed}, "too many items are cut"},
-		{"pressed items take what is kept free", 4, way{"", Yields, (*Demand).Start, nil}, "too many items are cut"},
-		{"what is kept free is kept whatever batch needs", 3, way{"", Yields, keep, func([]Worker, float64, int) int { return 0 }}, "fewer items are in time"},
+		{"no start limit", 1, policy{"", Yields, nil, RoomPressed}, "too many items are preempted"},
+		{"pressed items use the reserve", 4, policy{"", Yields, (*Demand).Start, nil}, "too many items are preempted"},
+		{"slots kept free regardless of demand", 3, policy{"", Yields, ignoreRequired, func([]Worker, float64, int) int { return 0 }}, "fewer items are in time"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			each := replays[test.load]
-			if got := judge(of(each.load, standingWay), of(each.load, test.plant), each.cuts); got != test.want {
-				t.Errorf("%q, want %q", got, test.want)
+			each := scenarios[test.scenario]
+			if got := regression(simulateSeeds(each.scenario, baseline), simulateSeeds(each.scenario, test.badPolicy), each.maxPreemptionRatio); got != test.want {
+				t.Errorf("regression %q, want %q", got, test.want)
 			}
 		})
 	}
--- a/fill/rhythm.go
+++ b/fill/rhythm.go
@@ -7,102 +7,104 @@
 )
 
 const (
-	// bin is the time that one sample stands for: fine enough for a rise, which takes
-	// as long as one request of those that rise.
-	bin = 100 * time.Millisecond
-	// window is how long demand is remembered. Slower swings need no rhythm: an item
-	// runs for seconds and ends before they have passed.
-	window = 30 * time.Second
-	// shortestPeriod: faster ones are over before an item would have given way.
-	shortestPeriod = time.Second
-	// learnInterval is between two looks for a period.
-	learnInterval = 500 * time.Millisecond
-	// leastSwing is how many standard deviations of a steady number of requests lie
-	// between its highest and lowest tenth before a swing is looked for: chance alone
-	// gives 2.6.
-	leastSwing = 4
-	// Of the square difference that two samples have by chance, one period apart have at
-	// most sameShare; samples between two swings have at least otherShare.
-	sameShare, otherShare = 0.4, 0.5
-	// comparedPeriods, the latest, are compared: a burst of one period is forgotten.
+	// binWidth is the sampling interval.
+	binWidth = 100 * time.Millisecond
+	// historyWindow is how long samples are kept. An item ends within seconds, so that
+	// longer periods need no forecast.
+	historyWindow = 30 * time.Second
+	// minPeriod excludes periods too short for preemption to follow.
+	minPeriod = time.Second
+	// detectInterval is the interval between two detections.
+	detectInterval = 500 * time.Millisecond
+	// minSwing is the minimum range from the 10th to the 90th percentile, in standard
+	// deviations of a Poisson distribution, to look for a period. A constant rate gives
+	// 2.6.
+	minSwing = 4
+	// maxRepeatError and minDistinctError are mean square differences relative to those of
+	// unrelated samples: at most maxRepeatError one period apart, at least
+	// minDistinctError at some shorter distance.
+	maxRepeatError, minDistinctError = 0.4, 0.5
+	// comparedPeriods is the number of latest periods to compare, so that an isolated burst
+	// loses its effect.
 	comparedPeriods = 3
-	// seenShare of the whole variance is in the samples that were seen to come again: else
-	// only what is between two rises has been compared.
-	seenShare = 0.5
-	// leastOverlap of a period has been seen twice.
-	leastOverlap = 0.5
+	// minVarianceShare is the minimum share of the total variance in the compared samples.
+	// Otherwise they may cover only a trough.
+	minVarianceShare = 0.5
+	// minOverlap is the minimum share of a period that has been seen twice.
+	minOverlap = 0.5
 )
 
-// Rhythm sees a number come and go, and learns the period in which it does. The zero
-// value has seen nothing.
+// Rhythm detects the period of a time series by comparing it with itself shifted in time,
+// and forecasts its peaks. The zero value is ready to use.
 type Rhythm struct {
-	samples   []float64 // of one bin each, the latest last
-	at        time.Time // of the latest bin's beginning
-	learnedAt time.Time
-	period    int       // in bins; 0: none stands out
-	peak      []float64 // highest expected within so many bins from now
-	peakAt    time.Time // the bin of which peak tells
+	samples    []float64 // one per bin, oldest first
+	latestBin  time.Time // start of the latest bin
+	detectedAt time.Time
+	period     int       // in bins; 0 if none was detected
+	peaks      []float64 // highest expected sample by number of bins from peaksBin
+	peaksBin   time.Time // the bin for which peaks was computed
 }
 
-// Observe takes the number now. The highest of a bin counts.
+// Observe records a value. The sample of a bin is its highest value.
 func (r *Rhythm) Observe(now time.Time, n int) {
 	r.advance(now, float64(n))
 	last := len(r.samples) - 1
 	r.samples[last] = max(r.samples[last], float64(n))
-	if now.Sub(r.learnedAt) >= learnInterval {
-		r.learnedAt = now
-		r.period = learn(r.samples)
-		r.peakAt = time.Time{}
+	if now.Sub(r.detectedAt) >= detectInterval {
+		r.detectedAt = now
+		r.period = detectPeriod(r.samples)
+		r.peaksBin = time.Time{}
 	}
 }
 
-// advance opens the bin of now. What was not looked at was as it was before; after a
-// whole window without a look nothing is known. Before the first request nothing is
-// seen: the time of a fleet that has just started would hide the period of what follows.
+// advance adds bins up to now. Bins without an observation repeat the sample before them.
+// The history is dropped after a gap of historyWindow, and while it holds only zeros: idle
+// time after a start would hide the period of what follows.
 func (r *Rhythm) advance(now time.Time, n float64) {
-	if len(r.samples) == 0 || now.Sub(r.at) >= window || len(r.samples) == 1 && r.samples[0] == 0 {
-		*r = Rhythm{samples: []float64{n}, at: now}
+	if len(r.samples) == 0 || now.Sub(r.latestBin) >= historyWindow || len(r.samples) == 1 && r.samples[0] == 0 {
+		*r = Rhythm{samples: []float64{n}, latestBin: now}
 		return
 	}
-	for now.Sub(r.at) >= bin {
+	for now.Sub(r.latestBin) >= binWidth {
 		next := n
-		if now.Sub(r.at) >= 2*bin {
+		if now.Sub(r.latestBin) >= 2*binWidth {
 			next = r.samples[len(r.samples)-1]
 		}
 		r.samples = append(r.samples, next)
-		r.at = r.at.Add(bin)
+		r.latestBin = r.latestBin.Add(binWidth)
 	}
-	if more := len(r.samples) - int(window/bin); more > 0 {
+	if more := len(r.samples) - int(historyWindow/binWidth); more > 0 {
 		r.samples = slices.Delete(r.samples, 0, more)
 	}
 }
 
-// Period is the one that stands out; 0: none does.
-func (r *Rhythm) Period() time.Duration { return time.Duration(r.period) * bin }
+// Period returns the detected period, or 0 if there is none.
+func (r *Rhythm) Period() time.Duration { return time.Duration(r.period) * binWidth }
 
-// Mean is the mean of the number over the last period; 0 while none stands out.
+// Mean returns the mean value over the last period, or 0 if no period was detected.
 func (r *Rhythm) Mean() float64 {
 	mean, _ := moments(r.samples[len(r.samples)-r.period:])
 	return mean
 }
 
-// Peak is the highest number that is expected within a time from now, by what was
-// seen one period ago; false while no period stands out.
+// Peak returns the highest value expected within a duration from now, based on the previous
+// period. It returns false if no period was detected.
 func (r *Rhythm) Peak(now time.Time, within time.Duration) (float64, bool) {
 	if r.period == 0 {
 		return 0, false
 	}
 	r.advance(now, r.samples[len(r.samples)-1])
-	if r.peakAt != r.at {
-		r.peakAt = r.at
-		r.peak = ahead(r.samples, r.period)
+	if r.peaksBin != r.latestBin {
+		r.peaksBin = r.latestBin
+		r.peaks = expectedPeaks(r.samples, r.period)
 	}
-	return r.peak[min(max(int(within/bin), 0), len(r.peak)-1)], true
+	return r.peaks[min(max(int(within/binWidth), 0), len(r.peaks)-1)], true
 }
 
-// ahead gives the highest of the samples that lie one period before the next ones, for
-// each number of bins from now. One bin more on each side: the period is known to a bin.
-func ahead(samples []float64, period int) []float64 {
+// expectedPeaks returns, for each number of bins from now, the highest sample of the
+// corresponding span one period ago. The span is extended by one bin on each side, the
+// precision of the period.
+func expectedPeaks(samples []float64, period int) []float64 {
 	peak := make([]float64, period)
 	from, highest := len(samples)-1-period, 0.0
 	for i := range peak {
@@ -114,36 +116,36 @@
 	return peak
 }
 
-// learn finds the shortest distance in bins at which samples come again, once beyond a
-// distance at which they differ; 0 if there is none.
-func learn(samples []float64) int {
+// detectPeriod returns the shortest distance, in bins, at which samples repeat beyond a
+// distance at which they differ, or 0 if there is none.
+func detectPeriod(samples []float64) int {
 	mean, variance := moments(samples)
 	sorted := slices.Sorted(slices.Values(samples))
 	tenth := len(sorted) / 10
-	if len(sorted) < 2*int(shortestPeriod/bin) || sorted[len(sorted)-1-tenth]-sorted[tenth] < leastSwing*math.Sqrt(max(mean, 1)) {
+	if len(sorted) < 2*int(minPeriod/binWidth) || sorted[len(sorted)-1-tenth]-sorted[tenth] < minSwing*math.Sqrt(max(mean, 1)) {
 		return 0
 	}
-	differ, best, least := false, 0, sameShare
-	for lag := int(shortestPeriod / bin); float64(len(samples)-lag) >= leastOverlap*float64(lag); lag++ {
-		differ = differ || difference(samples, lag) >= otherShare*2*variance
+	differ, best, lowest := false, 0, maxRepeatError
+	for lag := int(minPeriod / binWidth); float64(len(samples)-lag) >= minOverlap*float64(lag); lag++ {
+		differ = differ || meanSquareDifference(samples, lag) >= minDistinctError*2*variance
 		latest := samples[max(len(samples)-comparedPeriods*lag, 0):]
 		_, before := moments(latest[:len(latest)-lag])
 		_, after := moments(latest[lag:])
-		if !differ || min(before, after) < seenShare*variance {
+		if !differ || min(before, after) < minVarianceShare*variance {
 			continue
 		}
 		if best > 0 && lag > best+best/2 {
-			break // multiples say nothing new
+			break // only multiples follow
 		}
-		if apart := difference(latest, lag) / (before + after); apart < least {
-			best, least = lag, apart
+		if apart := meanSquareDifference(latest, lag) / (before + after); apart < lowest {
+			best, lowest = lag, apart
 		}
 	}
 	return best
 }
 
-// difference is the mean square difference of samples that are so many bins apart.
-func difference(samples []float64, lag int) float64 {
+// meanSquareDifference compares samples that are lag bins apart.
+func meanSquareDifference(samples []float64, lag int) float64 {
 	sum := 0.0
 	for i := lag; i < len(samples); i++ {
 		sum += (samples[i] - samples[i-lag]) * (samples[i] - samples[i-lag])
--- a/fill/room.go
+++ b/fill/room.go
@@ -6,67 +6,67 @@
 	"slices"
 )
 
-// Worker is a worker as a plan sees it.
+// Worker is the load of a worker.
 type Worker struct {
 	Slots  int
-	Online int // requests of others
-	Batch  int // items
+	Online int // online requests
+	Batch  int // batch items
 }
 
-// Free is how many slots nothing takes; below 0 something waits.
+// Free returns the number of free slots. It is negative if requests wait at the worker.
 func (w Worker) Free() int { return w.Slots - w.Online - w.Batch }
 
-// Room is how many items may be started at the workers together, if reserve of
-// their slots are to stay free beside those for the requests that wait elsewhere.
+// Room returns how many items may start at the workers together while reserve slots stay
+// free in addition to those for requests that wait elsewhere.
 func Room(workers []Worker, reserve float64, waiting int) int {
-	return max(free(workers)-int(math.Ceil(reserve))-waiting, 0)
+	return max(freeSlots(workers)-int(math.Ceil(reserve))-waiting, 0)
 }
 
-// RoomPressed is how many items may be started that have to run now: they take the half
-// of the reserve for which nothing gives way, and never a slot that a request waits
-// for. Without that bound an item was begun and stopped again hundreds of times a second
-// at one worker.
+// RoomPressed returns how many items that have to run now may start. They may use the half
+// of the reserve that Early does not restore, but no slot that a request waits for:
+// otherwise an item would be started and preempted in a loop.
 func RoomPressed(workers []Worker, reserve float64, waiting int) int {
-	return max(free(workers)-int(reserve/2)-waiting, 0)
+	return max(freeSlots(workers)-int(reserve/2)-waiting, 0)
 }
 
-// free counts the slots that nothing takes.
-func free(workers []Worker) (total int) {
+// freeSlots counts the free slots of all workers.
+func freeSlots(workers []Worker) (total int) {
 	for _, w := range workers {
 		total += max(w.Free(), 0)
 	}
 	return total
 }
 
-// Excess is how many items are to give way at each worker: as many as requests wait
-// there; and where the least is free first, as many as wait elsewhere.
+// Excess returns how many items have to be preempted at each worker: one for each request
+// that waits there, then one for each that waits elsewhere, at the fullest workers first.
 func Excess(workers []Worker, waiting int) []int {
 	excess := make([]int, len(workers))
 	for i, w := range workers {
 		excess[i] = min(max(-w.Free(), 0), w.Batch)
 	}
-	spread(workers, excess, waiting-free(workers))
+	preemptMore(workers, excess, waiting-freeSlots(workers))
 	return excess
 }
 
-// Early is how many items, with those of Excess, are to give way at each worker before
-// requests come, unless they have to run now: what is missing of half of the reserve.
-// Not of all of it, so that an item that just began is not ended by the next request.
+// Early returns how many items to preempt at each worker, including those of Excess, to
+// restore half of the reserve before requests arrive. Items that have to run now are exempt
+// from the surplus over Excess. Only half is restored, so that the next request does not
+// preempt an item that has just started.
 func Early(workers []Worker, reserve float64, waiting int) []int {
 	early := Excess(workers, waiting)
 	given := 0
 	for i, w := range workers {
 		given += early[i] - min(max(-w.Free(), 0), w.Batch)
 	}
-	spread(workers, early, int(reserve/2)+waiting-free(workers)-given)
+	preemptMore(workers, early, int(reserve/2)+waiting-freeSlots(workers)-given)
 	return early
 }
 
-// spread lets so many more items give way, where the least is free first.
-func spread(workers []Worker, excess []int, missing int) {
+// preemptMore adds missing items to excess, at the fullest workers first.
+func preemptMore(workers []Worker, excess []int, missing int) {
 	for missing > 0 {
 		given := false
-		for _, i := range fullest(workers, excess) {
+		for _, i := range byFreeSlots(workers, excess) {
 			if missing > 0 && excess[i] < workers[i].Batch {
 				excess[i]++
 				missing--
@@ -79,8 +79,8 @@
 	}
 }
 
-// fullest orders the workers by what is free once the excess is gone.
-func fullest(workers []Worker, excess []int) []int {
+// byFreeSlots sorts the indexes of workers by free slots after the preemption of excess.
+func byFreeSlots(workers []Worker, excess []int) []int {
 	order := make([]int, len(workers))
 	for i := range order {
 		order[i] = i
