--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,8 +1,8 @@
-// Package admission decides at a home router whether a request runs now and at
-// which of the workers that it is home of. Online requests are never queued
-// behind batch: they are sent at once or refused at once. Batch requests only
-// fill idle room under their row's allowance and are preempted when online
-// requests need the room.
+// Package admission implements admission control at a home router: it decides
+// whether a request runs now and at which of the router's workers. Online
+// requests are never queued behind batch; they are dispatched or refused
+// immediately. Batch requests only use idle slots, up to their row's allowance,
+// and are preempted when online requests need the slots.
 package admission
 
 import (
@@ -17,60 +17,62 @@
 type Settings struct {
 	Online routing.Profile
 	Batch  routing.Profile
-	// RetryAfter is the advice given with a refusal for want of room.
+	// RetryAfter is the delay suggested to callers refused for lack of capacity.
 	RetryAfter time.Duration
-	// Reserve is the share of a worker's slots that batch leaves free, 0 to 1.
+	// Reserve is the share of each worker's slots that batch leaves free, from
+	// 0 to 1.
 	Reserve float64
-	// Ceilings holds this router's shares of the rows' ceilings; nil bounds each
-	// router by itself.
+	// Ceilings holds this router's shares of the rows' ceilings. If nil, each
+	// router enforces the ceilings locally.
 	Ceilings *quota.Holder
-	// Prefix bounds what is known of workers' prefix caches; zero is
-	// routing.DefaultPrefixSettings.
+	// Prefix bounds the index of the workers' prefix caches; the zero value
+	// selects routing.DefaultPrefixSettings.
 	Prefix routing.PrefixSettings
-	// Filling says how batch takes idle room; zero is DefaultFilling.
+	// Filling is the policy for batch; the zero value selects
+	// admission.DefaultFilling.
 	Filling Filling
 }
 
-// DefaultReserve leaves a twentieth of each worker for the start of a burst;
-// more costs batch and helps online little (docs/design/admission.md).
+// DefaultReserve keeps 5% of each worker's slots free for the start of a burst.
+// See docs/design/admission.md.
 const DefaultReserve = 0.05
 
-// Message is what a Machine is stepped with.
+// Message is an input of Machine.Step.
 type Message interface{ admissionMessage() }
 
-// Workers replaces the workers that this router is home of. Requests in
-// flight at a worker that is left out are still counted until they finish.
+// Workers replaces the workers that this router is home of. Requests in flight
+// at a removed worker still count until they finish.
 type Workers struct {
 	Workers []api.Worker
-	// Positions share the rows' batch allowances out among the homes; nil gives
-	// this router the whole of them.
+	// Positions divide the rows' batch allowances among the homes. If nil, this
+	// router has the full allowances.
 	Positions map[api.WorkerID]Position
 }
 
 // Rows replaces the table in force.
 type Rows struct{ Rows map[api.RowKey]api.Row }
 
-// Load is a worker's own lagging report.
+// Load is a worker's report of its load. It lags behind the requests sent.
 type Load struct {
 	Worker  api.WorkerID
-	Running int // requests it runs
-	Waiting int // requests in its queue
+	Running int // requests running
+	Waiting int // requests queued
 	Leaving bool
 	Asked   time.Time
 }
 
-// Arrive asks for a request to be admitted; the step answers it with exactly
-// one Dispatch or Refuse.
+// Arrive requests admission. The step returns exactly one Dispatch or Refuse
+// for it.
 type Arrive struct{ Request routing.Request }
 
-// FirstToken says that the answer of a dispatched request has begun.
+// FirstToken reports that the response to a dispatched request has begun.
 type FirstToken struct{ Request api.RequestID }
 
-// Finished says that a dispatched request no longer uses its worker; a second
-// one for the same request is ignored.
+// Finished reports that a dispatched request no longer uses its worker. It is
+// idempotent.
 type Finished struct{ Request api.RequestID }
 
-// CacheEvents are a worker's prefix cache events, in order.
+// CacheEvents are consecutive prefix cache events of a worker.
 type CacheEvents struct {
 	Worker api.WorkerID
 	Events []routing.CacheEvent
@@ -84,7 +86,7 @@
 func (Finished) admissionMessage()    {}
 func (CacheEvents) admissionMessage() {}
 
-// Action is what a Machine asks for.
+// Action is an output of Machine.Step, to be carried out by the caller.
 type Action interface{ admissionAction() }
 
 // Dispatch sends the request to the worker.
@@ -95,27 +97,27 @@
 	Priority int
 }
 
-// Refuse ends the request; it has not run.
+// Refuse rejects the request, which has not run.
 type Refuse struct {
 	Request api.RequestID
 	Failure *api.Error
 }
 
-// Preempt ends a batch request in flight or suspended, to be run again
-// elsewhere. Its slot is free at once; a Finished that follows is ignored.
+// Preempt cancels a batch request that is in flight or suspended, so that it can
+// be rerun elsewhere. Its slot is free immediately; a later Finished is ignored.
 type Preempt struct {
 	Request api.RequestID
 	Worker  api.WorkerID
 }
 
-// Suspend cancels a batch request at its engine, which remembers how far it
-// has come. A Resume or a Preempt of the request follows.
+// Suspend cancels a batch request at its engine, which keeps its progress. A
+// Resume or Preempt of the request follows.
 type Suspend struct {
 	Request api.RequestID
 	Worker  api.WorkerID
 }
 
-// Resume sends a suspended request to its engine again, to go on where it was.
+// Resume sends a suspended request to its engine again to continue.
 type Resume struct{ Dispatch }
 
 func (Dispatch) admissionAction() {}
@@ -123,36 +125,37 @@
 func (Preempt) admissionAction()  {}
 func (Suspend) admissionAction()  {}
 
-// flight is a request between its Dispatch and its end.
+// flight is a dispatched request that has not finished.
 type flight struct {
-	request    api.RequestID
-	worker     *workerState
-	row        *rowState // the row at admission
-	class      api.Class
-	dispatched time.Time
-	priority   int
-	repeatable bool
-	suspended  time.Time // zero while it runs
-	starting   bool      // no first token yet
-	blocks     int       // of prompt to compute, by what was thought cached
+	request            api.RequestID
+	worker             *workerState
+	row                *rowState // row at the time of admission
+	class              api.Class
+	dispatched         time.Time
+	priority           int
+	repeatable         bool
+	suspendedAt        time.Time // zero while running
+	awaitingFirstToken bool      // cleared by FirstToken
+	uncachedBlocks     int       // prompt blocks to compute, estimated at dispatch
 }
 
-// Machine is the admission state machine of one home router.
+// Machine is the admission state machine of one home router. It performs no I/O,
+// reads no clock, and is not safe for concurrent use.
 type Machine struct {
-	settings Settings
-	workers  map[api.WorkerID]*workerState
-	rows     map[api.RowKey]*rowState
-	flights  map[api.RequestID]*flight
-	online   routing.Chooser
-	batch    routing.Chooser
-	prefix   *routing.PrefixIndex
-	tail     tailEstimate
-	// positions are those of the last Workers.
+	settings        Settings
+	workers         map[api.WorkerID]*workerState
+	rows            map[api.RowKey]*rowState
+	flights         map[api.RequestID]*flight
+	online          routing.Chooser
+	batch           routing.Chooser
+	prefix          *routing.PrefixIndex
+	prefillQuantile quantileEstimate
+	// positions are those of the last Workers message.
 	positions map[api.WorkerID]Position
-	roomy     []routing.Endpoint // reused: endpoints with idle room
+	withRoom  []routing.Endpoint // scratch buffer: endpoints that accept batch
 }
 
-// NewMachine starts with no worker and no row.
+// NewMachine returns a Machine without workers and rows.
 func NewMachine(settings Settings) *Machine {
 	if settings.Filling == (Filling{}) {
 		settings.Filling = DefaultFilling()
@@ -170,7 +173,7 @@
 	}
 }
 
-// Step takes one message.
+// Step handles one message and returns the resulting actions in order.
 func (m *Machine) Step(now time.Time, message Message) []Action {
 	switch message := message.(type) {
 	case Workers:
@@ -185,7 +188,7 @@
 	case Ceiling:
 		return m.stepCeilings(now, message)
 	case Load:
-		return m.report(now, message)
+		return m.handleLoad(now, message)
 	case Arrive:
 		return m.arrive(now, message.Request)
 	case FirstToken:
@@ -199,7 +202,7 @@
 	case Unreachable:
 		return m.quarantine(now, message.Worker)
 	case Broken:
-		return m.broke(now, message.Worker)
+		return m.recordAbort(now, message.Worker)
 	}
 	return nil
 }
@@ -223,12 +226,12 @@
 	return append(preempted, m.arriveOnline(now, request, row)...)
 }
 
-// arriveOnline sends at once where a worker is left. Batch is preempted in
-// the same step, before the online request can wait for it.
+// arriveOnline dispatches the request if any worker remains. Batch is suspended
+// in the same step, so that the online request never waits for it.
 func (m *Machine) arriveOnline(now time.Time, request routing.Request, row *rowState) []Action {
 	endpoint, ok := m.online.Choose(request, m.candidates(now, request, row))
 	if !ok && len(request.Excluded) > 0 {
-		// All that stay have failed once; one of them beats no answer.
+		// Every remaining worker has failed once; retrying one beats a refusal.
 		request.Excluded = nil
 		endpoint, ok = m.online.Choose(request, m.candidates(now, request, row))
 	}
@@ -239,10 +242,10 @@
 		return m.refuse(request, api.CodeNoCapacity, m.settings.RetryAfter, "no worker for row %s", row.key)
 	}
 	worker := m.workers[api.WorkerID(endpoint.Name)]
-	ahead := worker.pending
+	ahead := worker.pendingBlocks
 	dispatch := m.dispatch(now, request, row, worker)
-	late := m.tail.late(ahead+m.flights[request.ID].blocks, m.settings.Filling.SuspendQuantile)
-	return append(m.yield(now, worker, late), dispatch)
+	late := m.prefillQuantile.observe(ahead+m.flights[request.ID].uncachedBlocks, m.settings.Filling.SuspendQuantile)
+	return append(m.suspendFor(now, worker, late), dispatch)
 }
 
 func (m *Machine) arriveBatch(now time.Time, request routing.Request, row *rowState) []Action {
@@ -261,7 +264,7 @@
 	flight := &flight{
 		request: request.ID, worker: worker, row: row, class: request.Class, repeatable: request.Repeatable,
 		priority:   m.settings.Filling.priority(request.Class, row.row.Priority),
-		dispatched: now, starting: true, blocks: m.uncached(request, worker),
+		dispatched: now, awaitingFirstToken: true, uncachedBlocks: m.uncached(request, worker),
 	}
 	m.prefix.Sent(now, worker.worker.ID, request.Prefix)
 	m.flights[request.ID] = flight
@@ -277,13 +280,13 @@
 
 func (m *Machine) firstToken(request api.RequestID) []Action {
 	flight, ok := m.flights[request]
-	if !ok || !flight.starting {
+	if !ok || !flight.awaitingFirstToken {
 		return nil
 	}
-	flight.starting = false
-	flight.worker.broken = 0
-	flight.worker.started(flight)
-	return m.resume(flight.worker)
+	flight.awaitingFirstToken = false
+	flight.worker.consecutiveAborts = 0
+	flight.worker.prefillDone(flight)
+	return m.resumeSuspended(flight.worker)
 }
 
 func (m *Machine) finished(request api.RequestID) []Action {
@@ -292,18 +295,18 @@
 		return nil
 	}
 	m.finish(flight)
-	return m.resume(flight.worker)
+	return m.resumeSuspended(flight.worker)
 }
 
-// finish takes a request out of all accounts.
+// finish removes a request from all counts.
 func (m *Machine) finish(flight *flight) {
 	delete(m.flights, flight.request)
 	flight.row.inUse--
 	m.releaseCeiling(flight.row)
 	if m.settings.Filling.Fault != FaultLeakSlot || flight.class == api.ClassOnline {
-		flight.worker.drop(flight)
+		flight.worker.remove(flight)
 	}
-	m.forget(flight.worker)
+	m.removeIfIdle(flight.worker)
 }
 
 func (m *Machine) refuse(request routing.Request, code api.ErrorCode, retryAfter time.Duration, format string, arguments ...any) []Action {
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -39,28 +39,28 @@
 	return workers
 }
 
-// longestPause between two random steps, in ms.
-const longestPause = 400
+// maxStepMillis bounds the time between two random steps.
+const maxStepMillis = 400
 
-// observer keeps its own account of what a machine has let in.
+// observer tracks admitted requests independently of the machine and checks invariants.
 type observer struct {
-	machine  *Machine
-	now      time.Time
-	row      api.Row
-	listed   []api.Worker
-	flights  map[api.RequestID]Dispatch
-	classes  map[api.RequestID]api.Class
-	once     map[api.RequestID]bool      // may not be repeated
-	held     map[api.RequestID]time.Time // suspended since
-	serial   int
-	problems []string
+	machine       *Machine
+	now           time.Time
+	row           api.Row
+	listed        []api.Worker
+	flights       map[api.RequestID]Dispatch
+	classes       map[api.RequestID]api.Class
+	nonRepeatable map[api.RequestID]bool      // not repeatable
+	suspended     map[api.RequestID]time.Time // time of suspension
+	serial        int
+	problems      []string
 }
 
 func newObserver(filling Filling) *observer {
 	o := &observer{
 		machine: newTestMachine(filling), now: time.Unix(1000, 0),
 		flights: map[api.RequestID]Dispatch{}, classes: map[api.RequestID]api.Class{},
-		once: map[api.RequestID]bool{}, held: map[api.RequestID]time.Time{},
+		nonRepeatable: map[api.RequestID]bool{}, suspended: map[api.RequestID]time.Time{},
 		row: api.Row{Service: testService, Place: testPlace, Weight: 1, BatchAllowance: 6, Priority: 1},
 	}
 	o.setRow(o.row)
@@ -68,7 +68,7 @@
 	return o
 }
 
-func (o *observer) problem(format string, arguments ...any) {
+func (o *observer) report(format string, arguments ...any) {
 	o.problems = append(o.problems, fmt.Sprintf(format, arguments...))
 }
 
@@ -85,7 +85,7 @@
 func (o *observer) count(worker api.WorkerID, class api.Class) int {
 	total := 0
 	for id, dispatch := range o.flights {
-		if _, held := o.held[id]; held && worker != "" {
+		if _, suspended := o.suspended[id]; suspended && worker != "" {
 			continue
 		}
 		if (worker == "" || dispatch.Worker == worker) && o.classes[id] == class {
@@ -95,30 +95,30 @@
 	return total
 }
 
-// step takes a message and follows all actions but the answers of arrivals,
-// which it gives back.
+// step passes a message to the machine, applies suspensions, resumptions and
+// preemptions, and returns the remaining actions.
 func (o *observer) step(message Message) []Action {
 	var answers []Action
 	for _, action := range o.machine.Step(o.now, message) {
 		switch action := action.(type) {
 		case Suspend:
-			o.stopped(action.Request)
-			if _, held := o.held[action.Request]; held {
-				o.problem("request %s was suspended twice", action.Request)
+			o.checkCancelled(action.Request)
+			if _, suspended := o.suspended[action.Request]; suspended {
+				o.report("request %s was suspended twice", action.Request)
 			}
-			o.held[action.Request] = o.now
+			o.suspended[action.Request] = o.now
 		case Resume:
-			if _, held := o.held[action.Request]; !held {
-				o.problem("request %s was resumed but not suspended", action.Request)
+			if _, suspended := o.suspended[action.Request]; !suspended {
+				o.report("request %s was resumed but not suspended", action.Request)
 			}
 			if action.Worker != o.flights[action.Request].Worker {
-				o.problem("request %s was resumed at another worker", action.Request)
+				o.report("request %s was resumed at another worker", action.Request)
 			}
-			delete(o.held, action.Request)
+			delete(o.suspended, action.Request)
 		case Preempt:
-			o.stopped(action.Request)
+			o.checkCancelled(action.Request)
 			delete(o.flights, action.Request)
-			delete(o.held, action.Request)
+			delete(o.suspended, action.Request)
 		default:
 			answers = append(answers, action)
 		}
@@ -126,13 +126,13 @@
 	return answers
 }
 
-// stopped checks that a request may be cancelled.
-func (o *observer) stopped(id api.RequestID) {
+// checkCancelled checks that a cancelled request is repeatable batch in flight.
+func (o *observer) checkCancelled(id api.RequestID) {
 	if _, ok := o.flights[id]; !ok || o.classes[id] != api.ClassBatch {
-		o.problem("cancelled request %s is not batch in flight", id)
+		o.report("cancelled request %s is not batch in flight", id)
 	}
-	if o.once[id] {
-		o.problem("cancelled request %s may not be repeated", id)
+	if o.nonRepeatable[id] {
+		o.report("cancelled request %s may not be repeated", id)
 	}
 }
 
@@ -147,19 +147,19 @@
 		ID: id, Service: testService, Place: testPlace, Class: class, Repeatable: repeatable, Prefix: prefix,
 	}})
 	if len(answers) != 1 {
-		o.problem("arrival had %d answers in its step", len(answers))
+		o.report("arrival had %d answers in its step", len(answers))
 	}
 	for _, answer := range answers {
 		switch answer := answer.(type) {
 		case Dispatch:
-			o.flights[id], o.classes[id], o.once[id] = answer, class, !repeatable
-			o.dispatched(answer, class)
+			o.flights[id], o.classes[id], o.nonRepeatable[id] = answer, class, !repeatable
+			o.checkDispatch(answer, class)
 		case Refuse:
 			if class == api.ClassOnline && o.mustAdmit() {
-				o.problem("online request was refused: %v", answer.Failure)
+				o.report("online request was refused: %v", answer.Failure)
 			}
 			if answer.Failure.Outcome != api.OutcomeNotRun {
-				o.problem("refusal with outcome %s", answer.Failure.Outcome)
+				o.report("refusal with outcome %s", answer.Failure.Outcome)
 			}
 		}
 	}
@@ -169,28 +169,28 @@
 	return slices.ContainsFunc(o.listed, func(worker api.Worker) bool { return !worker.Leaving })
 }
 
-// dispatched checks a dispatch after the preemptions of its step.
-func (o *observer) dispatched(dispatch Dispatch, class api.Class) {
+// checkDispatch checks a dispatch after the preemptions of the same step.
+func (o *observer) checkDispatch(dispatch Dispatch, class api.Class) {
 	if class == api.ClassBatch {
 		if all := o.count("", api.ClassBatch); all > o.row.BatchAllowance {
-			o.problem("%d batch requests pass the allowance of %d", all, o.row.BatchAllowance)
+			o.report("%d batch requests exceed the allowance of %d", all, o.row.BatchAllowance)
 		}
 		if dispatch.Priority != 0 {
-			o.problem("batch has priority %d", dispatch.Priority)
+			o.report("batch has priority %d", dispatch.Priority)
 		}
 		return
 	}
 	if dispatch.Priority <= 0 {
-		o.problem("online has priority %d", dispatch.Priority)
+		o.report("online has priority %d", dispatch.Priority)
 	}
-	online, batch, once := o.count(dispatch.Worker, api.ClassOnline), o.count(dispatch.Worker, api.ClassBatch), 0
+	online, batch, pinned := o.count(dispatch.Worker, api.ClassOnline), o.count(dispatch.Worker, api.ClassBatch), 0
 	for id, flight := range o.flights {
-		if o.once[id] && flight.Worker == dispatch.Worker && o.classes[id] == api.ClassBatch {
-			once++
+		if o.nonRepeatable[id] && flight.Worker == dispatch.Worker && o.classes[id] == api.ClassBatch {
+			pinned++
 		}
 	}
-	if batch > once && online+batch > 8 {
-		o.problem("worker %s keeps %d batch beside %d online", dispatch.Worker, batch, online)
+	if batch > pinned && online+batch > 8 {
+		o.report("worker %s keeps %d batch beside %d online", dispatch.Worker, batch, online)
 	}
 }
 
@@ -206,40 +206,40 @@
 func (o *observer) finish(id api.RequestID, times int) {
 	for range times {
 		delete(o.flights, id)
-		delete(o.held, id)
+		delete(o.suspended, id)
 		o.step(Finished{Request: id})
 	}
 }
 
-// checkHeld finds suspended requests that nothing waits for.
-func (o *observer) checkHeld() {
-	for id, since := range o.held {
-		if o.now.Sub(since) > defaultSuspendLimit+longestPause*time.Millisecond { // loads come with each step
-			o.problem("request %s is suspended for %v", id, o.now.Sub(since))
+// checkSuspended reports requests suspended for longer than the limit.
+func (o *observer) checkSuspended() {
+	for id, since := range o.suspended {
+		if o.now.Sub(since) > defaultSuspendLimit+maxStepMillis*time.Millisecond { // loads are reported in each step
+			o.report("request %s is suspended for %v", id, o.now.Sub(since))
 		}
 	}
 }
 
-// drain finishes all and checks that nothing is left.
+// drain finishes all requests and checks that none is counted any more.
 func (o *observer) drain() {
 	for _, id := range o.sortedFlights() {
 		o.finish(id, 1)
 	}
 	for _, summary := range o.machine.Summaries() {
 		if summary.Online != 0 || summary.Batch != 0 {
-			o.problem("after all finished %s has %d online and %d batch", summary.Key(), summary.Online, summary.Batch)
+			o.report("after all finished %s has %d online and %d batch", summary.Key(), summary.Online, summary.Batch)
 		}
 	}
 	row := o.machine.rows[testKey]
 	if row.inUse != 0 || row.batchUse != 0 || len(o.machine.flights) != 0 {
-		o.problem("after all finished the row has %d in use, %d batch, %d flights", row.inUse, row.batchUse, len(o.machine.flights))
+		o.report("after all finished the row has %d in use, %d batch, %d flights", row.inUse, row.batchUse, len(o.machine.flights))
 	}
 }
 
-// play takes random steps from draw, which gives a number below its argument.
-func (o *observer) play(steps int, draw func(int) int) {
+// run performs random steps. draw returns a number below its argument.
+func (o *observer) run(steps int, draw func(int) int) {
 	for range steps {
-		o.now = o.now.Add(time.Duration(draw(longestPause)) * time.Millisecond)
+		o.now = o.now.Add(time.Duration(draw(maxStepMillis)) * time.Millisecond)
 		ids := o.sortedFlights()
 		switch draw(12) {
 		case 0, 1:
@@ -255,17 +255,17 @@
 				o.step(FirstToken{Request: ids[draw(len(ids))]})
 			}
 		case 11:
-			o.disturb(draw)
+			o.perturb(draw)
 		}
 		for _, worker := range o.listed {
 			o.step(Load{Worker: worker.ID, Running: draw(8), Waiting: draw(3), Asked: o.now})
 		}
-		o.checkHeld()
+		o.checkSuspended()
 	}
 	o.drain()
 }
 
-func (o *observer) disturb(draw func(int) int) {
+func (o *observer) perturb(draw func(int) int) {
 	switch draw(3) {
 	case 0:
 		workers := testWorkers(1 + draw(4))
@@ -280,17 +280,17 @@
 	}
 }
 
-func TestAdmissionKeepsItsInvariants(t *testing.T) {
+func TestAdmissionInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newObserver(DefaultFilling())
-		o.play(120, func(below int) int { return rapid.IntRange(0, below-1).Draw(t, "choice") })
+		o.run(120, func(below int) int { return rapid.IntRange(0, below-1).Draw(t, "choice") })
 		if len(o.problems) > 0 {
 			t.Fatal(o.problems)
 		}
 	})
 }
 
-func TestPlantedFaultsAreCaught(t *testing.T) {
+func TestInvariantChecksDetectFaults(t *testing.T) {
 	faults := map[string]Fault{
 		"ignore allowance": FaultIgnoreAllowance, "leak slot": FaultLeakSlot, "invert priority": FaultInvertPriority,
 		"no preemption": FaultNoPreemption, "delay online": FaultDelayOnline,
@@ -305,21 +305,21 @@
 			o.row.BatchAllowance = 2
 		}
 		o.setRow(o.row)
-		o.play(3000, rand.New(rand.NewPCG(7, 7)).IntN)
+		o.run(3000, rand.New(rand.NewPCG(7, 7)).IntN)
 		if len(o.problems) == 0 {
-			t.Errorf("the fault %q was not seen", name)
+			t.Errorf("fault %q was not detected", name)
 		}
 	}
 }
 
-func TestWorkerThatReturnsKeepsItsCount(t *testing.T) {
+func TestRelistedWorkerKeepsItsRequestCount(t *testing.T) {
 	o := newObserver(DefaultFilling())
 	o.arrive(api.ClassOnline, true)
 	worker := o.flights["r1"].Worker
 	o.setWorkers(nil)
 	o.setWorkers(testWorkers(3))
 	if got := o.machine.workers[worker].online; got != 1 {
-		t.Fatalf("after its return the worker has %d online, want 1", got)
+		t.Fatalf("relisted worker has %d online requests, want 1", got)
 	}
 	o.drain()
 	if len(o.problems) > 0 {
@@ -327,16 +327,16 @@
 	}
 }
 
-func TestReportedLoadOfOthersTakesRoom(t *testing.T) {
+func TestForeignLoadReducesBatchRoom(t *testing.T) {
 	cases := map[string]struct {
 		own, running, waiting int
-		want                  int // room for batch: seven of eight slots less what is in flight
+		want                  int // room for batch: seven of eight slots minus requests in flight
 	}{
-		"idle":                          {0, 0, 0, 7},
-		"only own":                      {3, 3, 0, 4},
-		"an old report of less":         {3, 1, 0, 4},
-		"others after a change of home": {1, 4, 2, 1},
-		"full of others":                {0, 8, 5, 0},
+		"idle":               {0, 0, 0, 7},
+		"own requests only":  {3, 3, 0, 4},
+		"report lags behind": {3, 1, 0, 4},
+		"foreign requests after a change of home": {1, 4, 2, 1},
+		"full of foreign requests":                {0, 8, 5, 0},
 	}
 	for name, test := range cases {
 		o := newObserver(FillFreeSlots())
@@ -352,7 +352,7 @@
 	}
 }
 
-func TestPositionsShareTheAllowanceExactly(t *testing.T) {
+func TestSharesAddUpToAllowance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		workers := testWorkers(rapid.IntRange(1, 40).Draw(t, "workers"))
 		for i := range workers {
@@ -375,19 +375,19 @@
 	})
 }
 
-func TestBatchStartsWaitForABurst(t *testing.T) {
+func TestBatchWaitsForPendingFirstTokens(t *testing.T) {
 	cases := map[string]struct {
 		pressure float64
 		burst    int // online requests without a first token
 		want     bool
 	}{
-		"calm":                       {0.2, 0, true},
-		"one of ten":                 {0.2, 1, true},
-		"at the bound":               {0.2, 2, true},
-		"over the bound":             {0.2, 3, false},
-		"none may wait":              {0, 1, false},
-		"no bound":                   {unbounded, 9, true},
-		"more than one for a worker": {1.5, 16, false},
+		"no burst":                 {0.2, 0, true},
+		"one of ten":               {0.2, 1, true},
+		"at the bound":             {0.2, 2, true},
+		"over the bound":           {0.2, 3, false},
+		"zero tolerance":           {0, 1, false},
+		"no bound":                 {unboundedPressure, 9, true},
+		"more than one per worker": {1.5, 16, false},
 	}
 	for name, test := range cases {
 		filling := DefaultFilling()
@@ -414,7 +414,7 @@
 	}
 }
 
-func TestCeilingPreemptsOnlyWhatMayBeRepeated(t *testing.T) {
+func TestCeilingPreemptsOnlyRepeatableRequests(t *testing.T) {
 	o := newObserver(FillFreeSlots())
 	o.arrive(api.ClassBatch, true)
 	o.arrive(api.ClassBatch, false)
--- a/admission/allowance.go
+++ b/admission/allowance.go
@@ -7,17 +7,18 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Position is where a worker stands among all workers of its row, at whatever
-// home, in the order of their ids. It gives the worker's part of the row's
-// batch allowance without a message between the homes: all who know the same
-// machine list and table agree, and the parts add up to the allowance.
+// Position is the position of a worker among all workers of its row, at any
+// home, sorted by ID. It determines the worker's share of the row's batch
+// allowance without communication between the homes: routers with the same
+// machine list and table compute the same shares, and the shares add up to the
+// allowance.
 type Position struct {
-	Before int // slots of the workers before it
+	Before int // slots of the workers before this one
 	Slots  int
-	Total  int // slots of the row
+	Total  int // slots of all workers of the row
 }
 
-// Positions finds the positions of all workers of the machine list. Leaving
+// Positions computes the positions of all workers of the machine list. Leaving
 // workers have none.
 func Positions(workers []api.Worker) map[api.WorkerID]Position {
 	staying := slices.DeleteFunc(slices.Clone(workers), func(worker api.Worker) bool { return worker.Leaving })
@@ -37,7 +38,7 @@
 	return positions
 }
 
-// Share is the worker's part of the allowance.
+// Share returns the worker's share of the allowance.
 func (p Position) Share(allowance int) int {
 	if p.Total == 0 {
 		return 0
@@ -45,8 +46,8 @@
 	return (p.Before+p.Slots)*allowance/p.Total - p.Before*allowance/p.Total
 }
 
-// shareAllowances adds the parts of the own workers up, by row. Without
-// positions the router has the whole allowance.
+// shareAllowances sets each row's allowance to the sum of the shares of its
+// workers here, or to the full allowance without positions.
 func (m *Machine) shareAllowances() {
 	for _, row := range m.rows {
 		row.allowance = row.row.BatchAllowance
--- a/admission/benchmark_test.go
+++ b/admission/benchmark_test.go
@@ -8,8 +8,8 @@
 	"github.com/dykewing/dykewing/routing"
 )
 
-// BenchmarkArrive admits and finishes one online request at a home of so many
-// workers that are full of batch.
+// BenchmarkArrive admits and finishes one online request while all workers are full
+// of batch.
 func BenchmarkArrive(b *testing.B) {
 	for _, count := range []int{15, 100} {
 		b.Run(fmt.Sprintf("workers=%d", count), func(b *testing.B) {
--- a/admission/ceiling.go
+++ b/admission/ceiling.go
@@ -9,12 +9,12 @@
 	"github.com/dykewing/dykewing/routing"
 )
 
-// Ceiling steps the holder of shares: ticks and the owners' answers.
+// Ceiling forwards a message to the quota.Holder: a tick or an owner's answer.
 type Ceiling struct{ Message quota.HolderMessage }
 
 func (Ceiling) admissionMessage() {}
 
-// ReportShares sends a report of the holder to the owner of its group.
+// ReportShares sends a report of the quota.Holder to the owner of its group.
 type ReportShares struct{ quota.SendReport }
 
 func (ReportShares) admissionAction() {}
@@ -45,11 +45,11 @@
 	return actions
 }
 
-// checkCeiling refuses a request that the row's ceiling does not let through. An
-// online request takes the permit of a batch request of the row, if there is one.
+// checkCeiling refuses a request that exceeds the row's ceiling. An online
+// request may take over the permit of a preempted batch request of the row.
 func (m *Machine) checkCeiling(now time.Time, request routing.Request, row *rowState) (preempted, refusal []Action) {
 	if m.settings.Ceilings == nil {
-		return nil, m.checkAlone(request, row)
+		return nil, m.checkLocalCeiling(request, row)
 	}
 	ok, retryAfter := m.settings.Ceilings.Check(now, row.key, request.Class)
 	if !ok && request.Class == api.ClassOnline && m.settings.Ceilings.ShareInUse(now, row.key) {
@@ -65,16 +65,16 @@
 	return nil, append(preempted, refusal...)
 }
 
-// checkAlone bounds this router by itself.
-func (m *Machine) checkAlone(request routing.Request, row *rowState) []Action {
+// checkLocalCeiling enforces the row's concurrency ceiling at this router alone.
+func (m *Machine) checkLocalCeiling(request routing.Request, row *rowState) []Action {
 	if ceiling := row.row.CeilingConcurrency; ceiling > 0 && row.inUse >= ceiling {
 		return m.refuse(request, api.CodeCeiling, m.settings.RetryAfter, "row %s has %d requests in flight", row.key, row.inUse)
 	}
 	return nil
 }
 
-// preemptRow cancels the batch request of the row that was sent last, of those
-// that may be repeated: the outcome of another would be lost.
+// preemptRow cancels the youngest repeatable batch request of the row. Others
+// are not cancelled, since their outcome would be unknown.
 func (m *Machine) preemptRow(row *rowState) []Action {
 	if row.batchUse == 0 {
 		return nil
@@ -107,7 +107,7 @@
 	}
 }
 
-// ceilingRoom is how many more batch requests the row's ceiling lets through.
+// ceilingRoom returns how many of room batch requests the row's ceiling admits.
 func (m *Machine) ceilingRoom(now time.Time, row *rowState, room int) int {
 	if m.settings.Ceilings == nil {
 		return room
--- a/admission/health.go
+++ b/admission/health.go
@@ -6,31 +6,32 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// brokenBeforeQuarantine is how many answers in a row must break off before a
-// worker is left alone: one may be the request's own doing.
-const brokenBeforeQuarantine = 2
+// abortsBeforeQuarantine is the number of consecutive aborted responses before a
+// worker is quarantined. A single one may be caused by the request.
+const abortsBeforeQuarantine = 2
 
-// Unreachable says that a worker could not be connected to. It gets no
-// new request for Filling.Quarantine.
+// Unreachable reports that a connection to a worker failed. The worker gets no
+// new request for the quarantine time.
 type Unreachable struct{ Worker api.WorkerID }
 
-// Broken says that a worker took a request and broke off before its answer
-// began. A worker that does so fast looks idle and would draw all requests to
-// itself; after some in a row it gets none for Filling.Quarantine, and after
-// that one more suffices until an answer begins again.
+// Broken reports that a worker accepted a request and closed the connection
+// before its response began. A worker that fails fast looks idle and would
+// attract all requests. After abortsBeforeQuarantine consecutive failures it gets
+// none for the quarantine time. From then on a single failure suffices until a
+// response begins.
 type Broken struct{ Worker api.WorkerID }
 
 func (Unreachable) admissionMessage() {}
 func (Broken) admissionMessage()      {}
 
-// broke counts an answer that broke off.
-func (m *Machine) broke(now time.Time, worker api.WorkerID) []Action {
+// recordAbort counts a response aborted before its first token.
+func (m *Machine) recordAbort(now time.Time, worker api.WorkerID) []Action {
 	state, ok := m.workers[worker]
 	if !ok {
 		return nil
 	}
-	state.broken++
-	if state.broken < brokenBeforeQuarantine {
+	state.consecutiveAborts++
+	if state.consecutiveAborts < abortsBeforeQuarantine {
 		return nil
 	}
 	return m.quarantine(now, worker)
@@ -41,6 +42,6 @@
 	if !ok {
 		return nil
 	}
-	state.quarantined = now.Add(m.settings.Filling.Quarantine)
-	return m.giveUp(state, state.suspended)
+	state.quarantinedUntil = now.Add(m.settings.Filling.Quarantine)
+	return m.evict(state, state.suspended)
 }
--- a/admission/health_test.go
+++ b/admission/health_test.go
@@ -9,7 +9,7 @@
 	"github.com/dykewing/dykewing/routing"
 )
 
-// dispatchedTo steps an arrival and names the worker that it was sent to.
+// dispatchedTo returns the worker to which a new request is dispatched.
 func dispatchedTo(t *testing.T, m *Machine, now time.Time, id string) api.WorkerID {
 	t.Helper()
 	request := routing.Request{ID: api.RequestID(id), Service: testService, Place: testPlace, Class: api.ClassOnline}
@@ -22,25 +22,24 @@
 	return ""
 }
 
-// TestWorkerThatBreaksOffDrawsNoRequests has one of two workers break off at
-// once each time, so that it always looks idle.
-func TestWorkerThatBreaksOffDrawsNoRequests(t *testing.T) {
+// Guards against a worker that fails fast, looks idle and attracts all requests.
+func TestAbortingWorkerIsQuarantined(t *testing.T) {
 	m := newTestMachine(DefaultFilling())
 	now := time.Unix(0, 0)
 	m.Step(now, Workers{Workers: testWorkers(2)})
 	m.Step(now, Rows{Rows: map[api.RowKey]api.Row{testKey: {Service: testService, Place: testPlace, Weight: 1}}})
 	bad := api.WorkerID("worker-0")
-	drawn := 0
+	dispatched := 0
 	for i := range 100 {
 		id := fmt.Sprintf("request-%d", i)
 		if dispatchedTo(t, m, now, id) != bad {
-			continue // the good worker goes on answering and stays loaded
+			continue // requests at the healthy worker stay in flight
 		}
-		drawn++
+		dispatched++
 		m.Step(now, Broken{Worker: bad})
 		m.Step(now, Finished{Request: api.RequestID(id)})
 	}
-	if drawn != brokenBeforeQuarantine {
-		t.Errorf("the broken worker drew %d requests, want %d", drawn, brokenBeforeQuarantine)
+	if dispatched != abortsBeforeQuarantine {
+		t.Errorf("the failing worker got %d requests, want %d", dispatched, abortsBeforeQuarantine)
 	}
 }
--- a/admission/inflight.go
+++ b/admission/inflight.go
@@ -2,8 +2,8 @@
 
 import "github.com/dykewing/dykewing/api"
 
-// InFlight counts the requests that this router has sent to the worker and
-// that have not finished.
+// InFlight returns the number of unfinished requests that this router has sent to
+// the worker, without suspended ones.
 func (m *Machine) InFlight(worker api.WorkerID) int {
 	state, ok := m.workers[worker]
 	if !ok {
--- a/admission/preempt.go
+++ b/admission/preempt.go
@@ -5,34 +5,33 @@
 	"time"
 )
 
-// tailEstimate follows a quantile of how many blocks of prompt lie before the
-// first token of online requests.
-type tailEstimate struct{ blocks float64 }
+// quantileEstimate is a stochastic estimate of a quantile of the prompt blocks
+// to compute before the first token of an online request.
+type quantileEstimate struct{ blocks float64 }
 
-// tailStep is how fast the estimate moves, in blocks a request at the median.
-const tailStep = 2.0
+// quantileStep is the step of the estimate, in blocks.
+const quantileStep = 2.0
 
-// late tells whether a request has more blocks before it than the quantile,
-// and moves the estimate.
-func (t *tailEstimate) late(blocks int, quantile float64) bool {
+// observe reports whether blocks exceeds the estimate, and updates it.
+func (t *quantileEstimate) observe(blocks int, quantile float64) bool {
 	if quantile >= 1 {
 		return false
 	}
 	late := float64(blocks) > t.blocks
 	if late {
-		t.blocks += tailStep * quantile
+		t.blocks += quantileStep * quantile
 	} else {
-		t.blocks = max(t.blocks-tailStep*(1-quantile), 0)
+		t.blocks = max(t.blocks-quantileStep*(1-quantile), 0)
 	}
 	return late
 }
 
-// yield makes batch give way to an online request that has just been sent to
-// the worker: what passes its slots is suspended, the youngest first, and all
-// of it where the request's first token would be among the late ones.
-// Requests that may not be repeated stay: the engine's priorities keep online
-// before them, and to cancel them would leave their outcome unknown.
-func (m *Machine) yield(now time.Time, worker *workerState, late bool) []Action {
+// suspendFor suspends batch requests for an online request that was just
+// dispatched to the worker: those beyond the slots, youngest first, or all of
+// them if the first token of the request is expected to be late. Requests that
+// are not repeatable stay, since cancelling them would leave their outcome
+// unknown; the engine runs them at a lower priority than online requests.
+func (m *Machine) suspendFor(now time.Time, worker *workerState, late bool) []Action {
 	if !m.settings.Filling.Preempt || m.settings.Filling.Fault == FaultNoPreemption {
 		return nil
 	}
@@ -48,52 +47,52 @@
 		}
 		count--
 		worker.batch = slices.Delete(worker.batch, i, i+1)
-		flight.suspended = now
+		flight.suspendedAt = now
 		worker.suspended = append(worker.suspended, flight)
 		actions = append(actions, Suspend{Request: flight.request, Worker: worker.worker.ID})
 	}
-	worker.refresh()
+	worker.refreshEndpoint()
 	return actions
 }
 
-// resume sends suspended requests on once no online request waits for its
-// first token there, as far as slots are free.
-func (m *Machine) resume(worker *workerState) []Action {
-	if worker.starting > 0 || len(worker.suspended) == 0 || m.settings.Filling.Fault == FaultForgetSuspended {
+// resumeSuspended resumes suspended requests in free slots once no online request
+// at the worker waits for its first token.
+func (m *Machine) resumeSuspended(worker *workerState) []Action {
+	if worker.awaitingFirstToken > 0 || len(worker.suspended) == 0 || m.settings.Filling.Fault == FaultForgetSuspended {
 		return nil
 	}
 	if worker.worker.Leaving || worker.leaving || !worker.listed {
-		return m.giveUp(worker, worker.suspended)
+		return m.evict(worker, worker.suspended)
 	}
 	count := min(worker.worker.Slots-worker.online-len(worker.batch), len(worker.suspended))
 	var actions []Action
 	for range max(count, 0) {
 		flight := worker.suspended[0]
 		worker.suspended = slices.Delete(worker.suspended, 0, 1)
-		flight.suspended = time.Time{}
+		flight.suspendedAt = time.Time{}
 		worker.batch = append(worker.batch, flight)
 		actions = append(actions, Resume{Dispatch: flight.dispatch()})
 	}
-	worker.refresh()
+	worker.refreshEndpoint()
 	return actions
 }
 
-// overdue gives the requests that have been suspended for too long.
-func (m *Machine) overdue(now time.Time, worker *workerState) []*flight {
+// overdueSuspensions returns the requests suspended for longer than SuspendLimit.
+func (m *Machine) overdueSuspensions(now time.Time, worker *workerState) []*flight {
 	var overdue []*flight
 	if m.settings.Filling.Fault == FaultForgetSuspended {
 		return nil
 	}
 	for _, flight := range worker.suspended {
-		if now.Sub(flight.suspended) >= m.settings.Filling.SuspendLimit {
+		if now.Sub(flight.suspendedAt) >= m.settings.Filling.SuspendLimit {
 			overdue = append(overdue, flight)
 		}
 	}
 	return overdue
 }
 
-// giveUp ends suspended requests here, so that they run elsewhere.
-func (m *Machine) giveUp(worker *workerState, flights []*flight) []Action {
+// evict preempts suspended requests, so that they run elsewhere.
+func (m *Machine) evict(worker *workerState, flights []*flight) []Action {
 	var actions []Action
 	for _, flight := range slices.Clone(flights) {
 		m.finish(flight)
--- a/admission/room.go
+++ b/admission/room.go
@@ -7,52 +7,54 @@
 	"github.com/dykewing/dykewing/routing"
 )
 
-// Filling says how batch takes idle room. docs/design/admission.md weighs the
-// ways with figures.
+// Filling is the policy by which batch uses idle slots. docs/design/admission.md
+// compares alternatives.
 type Filling struct {
-	// Preempt cancels batch requests when online requests need the room.
+	// Preempt suspends batch requests when online requests need their slots.
 	Preempt bool
-	// LowerPriority gives batch the engine's lowest priority.
+	// LowerPriority runs batch at the engine's lowest priority.
 	LowerPriority bool
-	// StartInterval is the least time between two batch requests sent to one
-	// worker, so that their prompts do not fill the engine's steps.
+	// StartInterval is the minimum interval between two batch requests sent to
+	// one worker, so that their prefills do not fill the engine's steps.
 	StartInterval time.Duration
-	// StartQuiet sends no batch request to a worker at which an online request
-	// has no first token yet.
+	// StartQuiet withholds batch requests from a worker while an online request
+	// there waits for its first token.
 	StartQuiet bool
-	// StartPressure bounds the online requests without a first token while which
-	// batch requests are sent, as a share of the row's workers here: in a burst
-	// no more prompts of batch come between. 1000 and more is no bound.
+	// StartPressure is the number of online requests waiting for their first
+	// token, relative to the row's workers here, above which no batch request is
+	// sent, so that batch does not compete with a burst. 1000 or more disables
+	// the check.
 	StartPressure float64
-	// Quarantine is how long a worker that could not be reached gets nothing.
+	// Quarantine is how long an unreachable worker gets no requests.
 	Quarantine time.Duration
-	// SuspendQuantile bounds the online requests for which batch is suspended:
-	// those whose first token is expected later than that of this share of
-	// them, 0 to 1. 1 or more suspends for none.
+	// SuspendQuantile is the quantile, from 0 to 1, of prompt blocks to compute
+	// before the first token above which an online request suspends all batch at
+	// its worker. 1 or more disables this.
 	SuspendQuantile float64
 	// SuspendLimit is how long a batch request stays suspended before it is
-	// given back, to run elsewhere.
+	// preempted, to run elsewhere.
 	SuspendLimit time.Duration
-	// Fault is planted by tests; none otherwise.
+	// Fault is injected by tests.
 	Fault Fault
 }
 
-// Fault breaks one invariant, so that a test can show that its check sees it.
+// Fault is an injected violation of an invariant, with which tests verify their
+// checks.
 type Fault int
 
-// The planted faults.
+// Faults to inject.
 const (
 	NoFault              Fault = iota
-	FaultIgnoreAllowance       // batch passes its row's allowance
+	FaultIgnoreAllowance       // batch exceeds its row's allowance
 	FaultLeakSlot              // a cancelled batch request keeps its slot
-	FaultInvertPriority        // batch goes first at the engine
-	FaultNoPreemption          // online does not push batch out of the slots
-	FaultDelayOnline           // online is refused while batch fills the slots
-	FaultForgetSuspended       // a suspended request is never sent again
-	FaultCancelOnce            // requests that may not be repeated are cancelled too
+	FaultInvertPriority        // batch gets the higher priority at the engine
+	FaultNoPreemption          // online requests do not preempt batch
+	FaultDelayOnline           // online is refused while batch is in flight
+	FaultForgetSuspended       // suspended requests are never resumed
+	FaultCancelOnce            // requests that are not repeatable are cancelled
 )
 
-// DefaultFilling is what a router does.
+// DefaultFilling returns the default policy.
 func DefaultFilling() Filling {
 	return Filling{
 		Preempt: true, LowerPriority: true,
@@ -62,13 +64,14 @@
 	}
 }
 
-// DefaultStartPressure weighs the online tail and batch (docs/design/admission.md).
+// DefaultStartPressure trades online tail latency for batch throughput. See
+// docs/design/admission.md.
 const DefaultStartPressure = 0.2
 
-// FillFreeSlots treats batch like online wherever a slot is free; it is there
-// to compare with.
+// FillFreeSlots returns a baseline policy that dispatches batch like online
+// wherever a slot is free.
 func FillFreeSlots() Filling {
-	return Filling{Quarantine: defaultQuarantine, SuspendQuantile: 1, StartPressure: unbounded}
+	return Filling{Quarantine: defaultQuarantine, SuspendQuantile: 1, StartPressure: unboundedPressure}
 }
 
 const (
@@ -78,10 +81,11 @@
 	defaultSuspendQuantile = 0.95
 	defaultSuspendLimit    = 2 * time.Second
 
-	unbounded = 1000
+	unboundedPressure = 1000
 )
 
-// priority is the engine's priority of a request: batch has 0, online more.
+// priority returns the engine priority of a request: 0 for batch, higher for
+// online.
 func (f Filling) priority(class api.Class, row int) int {
 	batch := class == api.ClassBatch
 	if f.Fault == FaultInvertPriority {
@@ -93,21 +97,21 @@
 	return row + 1
 }
 
-// room tells how many batch requests could be sent to the worker now.
+// room returns how many batch requests may be sent to the worker now.
 func (m *Machine) room(now time.Time, state *workerState) int {
 	filling := m.settings.Filling
-	if state.worker.Leaving || state.leaving || now.Before(state.quarantined) {
+	if state.worker.Leaving || state.leaving || now.Before(state.quarantinedUntil) {
 		return 0
 	}
 	free := int(float64(state.worker.Slots)*(1-m.settings.Reserve)) - state.inFlight() - state.foreign
 	if free <= 0 {
 		return 0
 	}
-	if filling.StartQuiet && state.starting > 0 {
+	if filling.StartQuiet && state.awaitingFirstToken > 0 {
 		return 0
 	}
 	if filling.StartInterval > 0 {
-		if now.Sub(state.lastBatch) < filling.StartInterval {
+		if now.Sub(state.lastBatchSent) < filling.StartInterval {
 			return 0
 		}
 		return 1
@@ -115,23 +119,23 @@
 	return free
 }
 
-// pressed tells whether so many online requests wait for their first token that
-// no batch request is sent.
-func (m *Machine) pressed(row *rowState) bool {
+// prefillPressure reports whether the number of online requests waiting for their
+// first token exceeds StartPressure.
+func (m *Machine) prefillPressure(row *rowState) bool {
 	starting := 0
 	for _, state := range row.workers {
-		starting += state.starting
+		starting += state.awaitingFirstToken
 	}
 	return float64(starting) > m.settings.Filling.StartPressure*float64(len(row.workers))
 }
 
-// Room tells how many batch requests of the row could start now.
+// Room returns how many batch requests of the row may start now.
 func (m *Machine) Room(now time.Time, key api.RowKey) int {
 	row, ok := m.rows[key]
 	if !ok || !row.inTable {
 		return 0
 	}
-	if m.pressed(row) {
+	if m.prefillPressure(row) {
 		return 0
 	}
 	total := 0
@@ -145,14 +149,14 @@
 }
 
 func (m *Machine) endpointsWithRoom(now time.Time, row *rowState) []routing.Endpoint {
-	m.roomy = m.roomy[:0]
-	if m.pressed(row) {
+	m.withRoom = m.withRoom[:0]
+	if m.prefillPressure(row) {
 		return nil
 	}
 	for i, state := range row.workers {
 		if m.room(now, state) > 0 {
-			m.roomy = append(m.roomy, row.endpoints[i])
+			m.withRoom = append(m.withRoom, row.endpoints[i])
 		}
 	}
-	return m.roomy
+	return m.withRoom
 }
--- a/admission/worker.go
+++ b/admission/worker.go
@@ -9,38 +9,38 @@
 	"github.com/dykewing/dykewing/routing"
 )
 
-// rowState is a row of the table with the workers that serve it here. It lives
-// on while requests of it are in flight.
+// rowState is a row of the table and the workers that serve it at this router. It
+// is kept until its last request finishes.
 type rowState struct {
 	key       api.RowKey
 	row       api.Row
 	inTable   bool
-	workers   []*workerState     // sorted by id
-	endpoints []routing.Endpoint // of workers, at the same index
-	present   []routing.Endpoint // reused: those that are not quarantined
-	inUse     int                // both classes
+	workers   []*workerState     // sorted by ID
+	endpoints []routing.Endpoint // parallel to workers
+	available []routing.Endpoint // scratch buffer: endpoints not quarantined
+	inUse     int                // in flight, both classes
 	batchUse  int
-	allowance int // this router's part of the row's
+	allowance int // this router's share
 }
 
-// workerState is a worker with what this router sent to it.
+// workerState is a worker and the requests that this router sent to it.
 type workerState struct {
-	worker      api.Worker
-	listed      bool // in the last Workers message
-	leaving     bool // by its own report
-	row         *rowState
-	index       int // in row.workers; only while listed
-	online      int
-	starting    int       // online requests without a first token
-	pending     int       // blocks of prompt that they have to compute
-	batch       []*flight // in the engine, oldest first
-	suspended   []*flight // oldest first
-	quarantined time.Time // no new request before
-	broken      int       // answers in a row that broke off before they began
-	foreign     int       // requests in the engine that other routers sent
-	peak        int       // most that was in flight since the last report
-	lastPeak    int       // the same between the two reports before
-	lastBatch   time.Time // when a batch request was last sent
+	worker             api.Worker
+	listed             bool // in the latest Workers message
+	leaving            bool // reported by the worker
+	row                *rowState
+	index              int // in row.workers; valid while listed
+	online             int
+	awaitingFirstToken int       // online requests without a first token
+	pendingBlocks      int       // uncached prompt blocks of these
+	batch              []*flight // running, oldest first
+	suspended          []*flight // oldest first
+	quarantinedUntil   time.Time
+	consecutiveAborts  int       // responses aborted before their first token
+	foreign            int       // requests sent by other routers
+	peakInFlight       int       // maximum in flight since the last report
+	previousPeak       int       // peakInFlight of the interval before
+	lastBatchSent      time.Time // last dispatch of batch
 }
 
 func (m *Machine) setRows(rows map[api.RowKey]api.Row) {
@@ -48,7 +48,7 @@
 		state.inTable = false
 	}
 	for key, row := range rows {
-		state := m.rowOf(key)
+		state := m.getOrAddRow(key)
 		state.row, state.inTable = row, true
 	}
 	for key, state := range m.rows {
@@ -58,7 +58,7 @@
 	}
 }
 
-func (m *Machine) rowOf(key api.RowKey) *rowState {
+func (m *Machine) getOrAddRow(key api.RowKey) *rowState {
 	state, ok := m.rows[key]
 	if !ok {
 		state = &rowState{key: key}
@@ -76,7 +76,7 @@
 	}
 	sorted := slices.SortedFunc(slices.Values(workers), func(a, b api.Worker) int { return cmp.Compare(a.ID, b.ID) })
 	for _, worker := range sorted {
-		m.list(worker)
+		m.addWorker(worker)
 	}
 	var gone []*workerState
 	for _, state := range m.workers {
@@ -88,41 +88,41 @@
 	var actions []Action
 	for _, state := range gone {
 		m.prefix.Forget(state.worker.ID)
-		actions = append(actions, m.giveUp(state, state.suspended)...)
-		m.forget(state)
+		actions = append(actions, m.evict(state, state.suspended)...)
+		m.removeIfIdle(state)
 	}
 	return actions
 }
 
-func (m *Machine) list(worker api.Worker) {
+func (m *Machine) addWorker(worker api.Worker) {
 	state, ok := m.workers[worker.ID]
 	if !ok {
 		state = &workerState{}
 		m.workers[worker.ID] = state
 	}
 	if state.listed {
-		return // the list names it twice
+		return // duplicate entry
 	}
 	state.worker, state.listed = worker, true
-	state.row = m.rowOf(api.RowKey{Service: worker.Service, Place: worker.Place})
+	state.row = m.getOrAddRow(api.RowKey{Service: worker.Service, Place: worker.Place})
 	state.index = len(state.row.workers)
 	state.row.workers = append(state.row.workers, state)
 	state.row.endpoints = append(state.row.endpoints, routing.Endpoint{
 		Name: string(worker.ID), Address: worker.Address, Key: state.row.key,
 		Location: worker.Location, Slots: worker.Slots,
 	})
-	state.refresh()
+	state.refreshEndpoint()
 }
 
-// refresh brings the worker's endpoint up to date.
-func (s *workerState) refresh() {
-	s.peak = max(s.peak, s.inFlight())
+// refreshEndpoint updates the worker's endpoint and peak.
+func (s *workerState) refreshEndpoint() {
+	s.peakInFlight = max(s.peakInFlight, s.inFlight())
 	if !s.listed {
 		return
 	}
 	endpoint := &s.row.endpoints[s.index]
 	endpoint.Online, endpoint.Batch = s.online+s.foreign, len(s.batch)
-	endpoint.Starting, endpoint.Pending = s.starting, s.pending
+	endpoint.Starting, endpoint.Pending = s.awaitingFirstToken, s.pendingBlocks
 	endpoint.Leaving = s.worker.Leaving || s.leaving
 }
 
@@ -130,51 +130,52 @@
 	return s.online == 0 && len(s.batch) == 0 && len(s.suspended) == 0
 }
 
-func (m *Machine) forget(state *workerState) {
+func (m *Machine) removeIfIdle(state *workerState) {
 	if !state.listed && state.idle() {
 		delete(m.workers, state.worker.ID)
 	}
 }
 
-func (m *Machine) report(now time.Time, load Load) []Action {
+func (m *Machine) handleLoad(now time.Time, load Load) []Action {
 	state, ok := m.workers[load.Worker]
 	if !ok {
 		return nil
 	}
 	state.leaving = load.Leaving
-	state.takeReport(load)
-	state.refresh()
-	return append(m.giveUp(state, m.overdue(now, state)), m.resume(state)...)
+	state.estimateForeign(load)
+	state.refreshEndpoint()
+	return append(m.evict(state, m.overdueSuspensions(now, state)), m.resumeSuspended(state)...)
 }
 
-// takeReport finds what others have in flight at the worker, as after a change
-// of home: what the engine has beyond the most that this router had there of
-// late. The report is old, so that what is in flight now says nothing.
-func (s *workerState) takeReport(load Load) {
-	s.foreign = max(load.Running+load.Waiting-max(s.peak, s.lastPeak), 0)
-	s.lastPeak, s.peak = s.peak, s.inFlight()
+// estimateForeign estimates the requests of other routers at the worker, for
+// example after a change of home: those beyond the maximum that this router
+// recently had in flight. The current number is not comparable, since the report
+// is older.
+func (s *workerState) estimateForeign(load Load) {
+	s.foreign = max(load.Running+load.Waiting-max(s.peakInFlight, s.previousPeak), 0)
+	s.previousPeak, s.peakInFlight = s.peakInFlight, s.inFlight()
 }
 
 func (s *workerState) inFlight() int { return s.online + len(s.batch) + len(s.suspended) }
 
-// candidates gives the row's endpoints as the online request sees them,
-// without those that are quarantined; but when all are, it gives all: a try is
+// candidates returns the row's endpoints for an online request without those in
+// quarantine. If all are in quarantine it returns all of them, since a try is
 // better than a refusal.
 func (m *Machine) candidates(now time.Time, request routing.Request, row *rowState) []routing.Endpoint {
 	m.prefix.Match(now, request.Prefix)
-	row.present = row.present[:0]
+	row.available = row.available[:0]
 	for i, worker := range row.workers {
-		if !now.Before(worker.quarantined) {
-			row.present = append(row.present, m.endpoint(now, row, i))
+		if !now.Before(worker.quarantinedUntil) {
+			row.available = append(row.available, m.endpoint(now, row, i))
 		}
 	}
-	if len(row.present) > 0 {
-		return row.present
+	if len(row.available) > 0 {
+		return row.available
 	}
 	for i := range row.workers {
-		row.present = append(row.present, m.endpoint(now, row, i))
+		row.available = append(row.available, m.endpoint(now, row, i))
 	}
-	return row.present
+	return row.available
 }
 
 func (m *Machine) endpoint(now time.Time, row *rowState, index int) routing.Endpoint {
@@ -184,14 +185,14 @@
 	return endpoint
 }
 
-// uncached is how many blocks of the request's prompt the worker has to
-// compute, by the last match.
+// uncached returns the number of prompt blocks that the worker has to compute,
+// according to the last match.
 func (m *Machine) uncached(request routing.Request, worker *workerState) int {
 	return max(len(request.Prefix)-m.prefix.Cached(worker.worker.ID), 0)
 }
 
-// batchStartTime is how long a batch request counts as starting: its first
-// token is not seen, as its answer is not streamed.
+// batchStartTime is how long a batch request counts as starting. Its first token
+// is not visible, since the response is not streamed.
 const batchStartTime = 50 * time.Millisecond
 
 func (s *workerState) batchStarting(now time.Time) int {
@@ -206,46 +207,46 @@
 	if flight.class == api.ClassBatch {
 		flight.row.batchUse++
 		s.batch = append(s.batch, flight)
-		s.lastBatch = flight.dispatched
+		s.lastBatchSent = flight.dispatched
 	} else {
 		s.online++
-		s.starting++
-		s.pending += flight.blocks
+		s.awaitingFirstToken++
+		s.pendingBlocks += flight.uncachedBlocks
 	}
-	s.refresh()
+	s.refreshEndpoint()
 }
 
-func (s *workerState) started(flight *flight) {
+func (s *workerState) prefillDone(flight *flight) {
 	if flight.class == api.ClassOnline {
-		s.starting--
-		s.pending -= flight.blocks
+		s.awaitingFirstToken--
+		s.pendingBlocks -= flight.uncachedBlocks
 	}
-	s.refresh()
+	s.refreshEndpoint()
 }
 
-func (s *workerState) drop(flight *flight) {
+func (s *workerState) remove(flight *flight) {
 	if flight.class == api.ClassBatch {
 		flight.row.batchUse--
-		s.batch = without(s.batch, flight)
-		s.suspended = without(s.suspended, flight)
+		s.batch = removeFlight(s.batch, flight)
+		s.suspended = removeFlight(s.suspended, flight)
 	} else {
 		s.online--
-		if flight.starting {
-			s.starting--
-			s.pending -= flight.blocks
+		if flight.awaitingFirstToken {
+			s.awaitingFirstToken--
+			s.pendingBlocks -= flight.uncachedBlocks
 		}
 	}
-	s.refresh()
+	s.refreshEndpoint()
 }
 
-func without(flights []*flight, dropped *flight) []*flight {
+func removeFlight(flights []*flight, dropped *flight) []*flight {
 	if at := slices.Index(flights, dropped); at >= 0 {
 		return slices.Delete(flights, at, at+1)
 	}
 	return flights
 }
 
-// Summaries reports each row's load at this home, sorted by row.
+// Summaries returns the load of each row at this home, sorted by row.
 func (m *Machine) Summaries() []api.ServiceSummary {
 	byKey := map[api.RowKey]*api.ServiceSummary{}
 	for _, state := range m.workers {
@@ -271,11 +272,12 @@
 	return summaries
 }
 
-// Homes tells whether the worker is one that this router admits to.
+// Homes reports whether this router is the home of the worker.
 func (m *Machine) Homes(worker api.WorkerID) bool {
 	state, ok := m.workers[worker]
 	return ok && state.listed
 }
 
-// CacheSequence is the number of the last cache event taken from the worker.
+// CacheSequence returns the sequence number of the last cache event applied for
+// the worker.
 func (m *Machine) CacheSequence(worker api.WorkerID) uint64 { return m.prefix.Sequence(worker) }
