--- a/placement/gather.go
+++ b/placement/gather.go
@@ -8,38 +8,39 @@
 	"github.com/dykewing/dykewing/replication"
 )
 
-// GatheredMembers chooses the first voters of a group that has to outlive machines, but no
-// zone: in as few zones as hold enough disks, so that an entry crosses to few. Among the
-// zones that need no more others it takes those with the fewest groups a store, there the
-// stores with the fewest groups, and among those by rendezvous. It is false while there
-// are fewer stores than replicas.
+// GatheredMembers chooses the first voters of a group that does not have to survive the loss
+// of a zone. They span as few zones as possible, preferably of one region, to limit
+// cross-zone replication traffic. Equal zones and the stores within a zone are chosen by
+// the lowest number of groups per store, then by rendezvous hashing. It returns false if
+// there are fewer stores than replicas.
 func GatheredMembers(group api.GroupID, stores []Store, replicas int) (replication.Members, bool) {
 	var members replication.Members
-	rest := takesReplica(stores, nil)
+	rest := candidateStores(stores, nil)
 	if len(rest) < replicas {
 		return members, false
 	}
-	var region api.RegionName // of the first zone: further ones are of it while it has any
+	var region api.RegionName // of the first zone, preferred for further zones
 	for len(members.Voters) < replicas {
-		zone := widest(group, rest, region, replicas-len(members.Voters))
+		zone := largestZone(group, rest, region, replicas-len(members.Voters))
 		if len(members.Voters) == 0 {
 			region = zone.Region
 		}
 		inside := slices.DeleteFunc(slices.Clone(rest), func(store Store) bool { return store.Location != zone })
 		for len(inside) > 0 && len(members.Voters) < replicas {
-			chosen := best(group, inside, nil, true)
+			chosen := bestStore(group, inside, nil, true)
 			members.Voters = append(members.Voters, chosen.Replica)
-			inside = takesReplica(inside, members.Voters)
+			inside = candidateStores(inside, members.Voters)
 		}
-		rest = takesReplica(rest, members.Voters)
+		rest = candidateStores(rest, members.Voters)
 	}
 	slices.Sort(members.Voters)
 	return members, true
 }
 
-// widest is the zone, of the region if it has one left, that holds most of the wanted
-// voters; of equal ones that with the fewest groups a store, then by rendezvous.
-func widest(group api.GroupID, stores []Store, region api.RegionName, wanted int) api.Location {
+// largestZone returns the zone that holds most of the wanted voters, preferably in the given
+// region. Ties are broken by the lowest number of groups per store, then by rendezvous
+// hashing.
+func largestZone(group api.GroupID, stores []Store, region api.RegionName, wanted int) api.Location {
 	type load struct {
 		zone           api.Location
 		stores, groups int
@@ -59,7 +60,7 @@
 	}
 	return slices.MinFunc(zones, func(a, b load) int {
 		return cmp.Or(
-			cmp.Compare(abroad(a.zone, region), abroad(b.zone, region)),
+			cmp.Compare(otherRegion(a.zone, region), otherRegion(b.zone, region)),
 			cmp.Compare(min(b.stores, wanted), min(a.stores, wanted)),
 			cmp.Compare(a.groups*b.stores, b.groups*a.stores),
 			cmp.Compare(score(b.zone), score(a.zone)),
@@ -67,21 +68,21 @@
 	}).zone
 }
 
-// abroad is 1 for a zone of another region, else 0.
-func abroad(zone api.Location, region api.RegionName) int {
+// otherRegion returns 0 for a zone of the region, else 1.
+func otherRegion(zone api.Location, region api.RegionName) int {
 	if zone.Region != region {
 		return 1
 	}
 	return 0
 }
 
-// nearest is the newcomer of a gathered group: in the zone with most of the healthy
-// voters that has a store left, then as best.
-func nearest(group api.GroupID, stores []Store, zones []api.Location) Store {
-	most := 0
+// nearestStore chooses a new member of a gathered group: a store in the zone with most of the
+// healthy voters among the zones of the candidates.
+func nearestStore(group api.GroupID, stores []Store, zones []api.Location) Store {
+	highest := 0
 	for _, store := range stores {
-		most = max(most, countOf(zones, store.Location))
+		highest = max(highest, countOf(zones, store.Location))
 	}
-	near := slices.DeleteFunc(slices.Clone(stores), func(store Store) bool { return countOf(zones, store.Location) < most })
-	return best(group, near, nil, true)
+	near := slices.DeleteFunc(slices.Clone(stores), func(store Store) bool { return countOf(zones, store.Location) < highest })
+	return bestStore(group, near, nil, true)
 }
--- a/placement/gather_test.go
+++ b/placement/gather_test.go
@@ -11,8 +11,8 @@
 	"github.com/dykewing/dykewing/replication"
 )
 
-// zonesOf gives stores by the number in each zone; a zone "r/z" is of region r.
-func zonesOf(sizes ...int) []Store {
+// storesInZones returns stores in zones a, b, ... of the given sizes, all in region r.
+func storesInZones(sizes ...int) []Store {
 	var stores []Store
 	for zone, size := range sizes {
 		for n := range size {
@@ -25,8 +25,8 @@
 	return stores
 }
 
-// inZones counts a group's voters by zone.
-func inZones(stores []Store, members replication.Members) map[api.Location]int {
+// votersByZone counts a group's voters by zone.
+func votersByZone(stores []Store, members replication.Members) map[api.Location]int {
 	counts := map[api.Location]int{}
 	for _, store := range stores {
 		if slices.Contains(members.Voters, store.Replica) {
@@ -36,52 +36,51 @@
 	return counts
 }
 
-func TestAGatheredGroupKeepsToFewZones(t *testing.T) {
+func TestGatheredMembersUseFewZones(t *testing.T) {
 	for _, test := range []struct {
 		name            string
 		sizes           []int
 		replicas, zones int
 	}{
 		{"four zones of three", []int{3, 3, 3, 2}, 5, 2},
-		{"a zone with enough", []int{2, 5, 2}, 5, 1},
+		{"one zone is large enough", []int{2, 5, 2}, 5, 1},
 		{"three replicas", []int{3, 3, 3, 2}, 3, 1},
-		{"one store a zone", []int{1, 1, 1, 1, 1}, 5, 5},
+		{"one store per zone", []int{1, 1, 1, 1, 1}, 5, 5},
 		{"one store", []int{1}, 1, 1},
 	} {
-		stores := zonesOf(test.sizes...)
+		stores := storesInZones(test.sizes...)
 		for group := range api.GroupID(20) {
 			members, ok := GatheredMembers(group, stores, test.replicas)
-			if got := len(inZones(stores, members)); !ok || len(members.Voters) != test.replicas || got != test.zones {
+			if got := len(votersByZone(stores, members)); !ok || len(members.Voters) != test.replicas || got != test.zones {
 				t.Errorf("%s: group %d has %v in %d zones, want %d", test.name, group, members.Voters, got, test.zones)
 			}
 		}
 	}
-	if _, ok := GatheredMembers(0, zonesOf(3, 1), 5); ok {
-		t.Error("four stores gave five replicas")
+	if _, ok := GatheredMembers(0, storesInZones(3, 1), 5); ok {
+		t.Error("got five replicas from four stores")
 	}
 }
 
-func TestAGatheredGroupKeepsToARegion(t *testing.T) {
-	stores := zonesOf(3, 3, 3, 3)
+func TestGatheredMembersShareARegion(t *testing.T) {
+	stores := storesInZones(3, 3, 3, 3)
 	for i := range stores[6:] {
 		stores[6+i].Location.Region = "other"
 	}
 	for group := range api.GroupID(20) {
 		members, _ := GatheredMembers(group, stores, 5)
 		regions := map[api.RegionName]bool{}
-		for location := range inZones(stores, members) {
+		for location := range votersByZone(stores, members) {
 			regions[location.Region] = true
 		}
 		if len(regions) != 1 {
-			t.Errorf("group %d is in the regions %v", group, regions)
+			t.Errorf("group %d spans regions %v", group, regions)
 		}
 	}
 }
 
-// Each store holds about as many groups as any other, as where groups are spread.
-func TestGatheredGroupsLoadAllStores(t *testing.T) {
+func TestGatheredGroupsAreBalancedAcrossStores(t *testing.T) {
 	const groups = 5
-	stores := zonesOf(3, 3, 3, 2)
+	stores := storesInZones(3, 3, 3, 2)
 	for group := range api.GroupID(groups) {
 		members, _ := GatheredMembers(group, stores, 5)
 		for i := range stores {
@@ -92,15 +91,15 @@
 	}
 	for _, store := range stores {
 		if store.Groups < 1 || store.Groups > 3 {
-			t.Errorf("%s is of %d of %d groups", store.Replica, store.Groups, groups)
+			t.Errorf("store %s is a member of %d of %d groups", store.Replica, store.Groups, groups)
 		}
 	}
 }
 
-// What is lost is replaced where the others are, and no step thins the group.
-func TestAGatheredGroupStaysTogether(t *testing.T) {
+// Replacements stay in the zones of the group, and no step reduces its copies.
+func TestReplacementKeepsGatheredGroupTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		stores := zonesOf(4, 4, 4)
+		stores := storesInZones(4, 4, 4)
 		members, _ := GatheredMembers(api.GroupID(rapid.IntRange(0, 9).Draw(t, "group")), stores, 5)
 		lost := map[replication.ReplicaID]bool{}
 		for _, voter := range members.Voters[1:] {
@@ -111,57 +110,57 @@
 		live := slices.DeleteFunc(slices.Clone(stores), func(store Store) bool { return lost[store.Replica] })
 		view := GroupView{Self: members.Voters[0], Members: members, Stores: live, Replicas: 5, Gathered: true}
 		var last replication.Members
-		watched := func(view GroupView) (replication.Members, bool) {
+		recordLast := func(view GroupView) (replication.Members, bool) {
 			next, ok := NextChange(view)
 			if ok {
 				last = next
 			}
 			return next, ok
 		}
-		if err := replaceAll(watched, view, lost, nil); err != nil {
+		if err := runReplacement(recordLast, view, lost, nil); err != nil {
 			t.Fatal(err)
 		}
-		if len(lost) > 0 && len(inZones(stores, last)) > 2 {
-			t.Fatalf("after the loss of %v the voters are %v", lost, last.Voters)
+		if len(lost) > 0 && len(votersByZone(stores, last)) > 2 {
+			t.Fatalf("voters span too many zones after the loss of %v: %v", lost, last.Voters)
 		}
 	})
 }
 
-// survives tells whether a majority stands after the loss of any so many of what a voter
-// is in: its own machine, or its zone.
-func survives(stores []Store, members replication.Members, losses int, of func(Store) string) bool {
-	units := map[string]int{}
+// hasMajorityAfter reports whether a majority of the voters remains after the loss of any
+// given number of failure domains. domain returns the failure domain of a store.
+func hasMajorityAfter(stores []Store, members replication.Members, losses int, domain func(Store) string) bool {
+	domains := map[string]int{}
 	for _, store := range stores {
 		if slices.Contains(members.Voters, store.Replica) {
-			units[of(store)]++
+			domains[domain(store)]++
 		}
 	}
 	sizes := slices.Sorted(func(yield func(int) bool) {
-		for _, size := range units {
+		for _, size := range domains {
 			if !yield(size) {
 				return
 			}
 		}
 	})
-	gone := 0
+	lost := 0
 	for _, size := range sizes[max(len(sizes)-losses, 0):] {
-		gone += size
+		lost += size
 	}
-	return 2*(len(members.Voters)-gone) > len(members.Voters)
+	return 2*(len(members.Voters)-lost) > len(members.Voters)
 }
 
-// TestWhatEachChoiceSurvives is the table of docs/design/zone-bytes.md.
-func TestWhatEachChoiceSurvives(t *testing.T) {
+// The cases are the table in docs/design/zone-bytes.md.
+func TestFailureToleranceOfPlacements(t *testing.T) {
 	machine := func(store Store) string { return string(store.Replica) }
 	zone := func(store Store) string { return string(store.Location.Zone) }
-	stores := zonesOf(3, 3, 3, 2)
+	stores := storesInZones(3, 3, 3, 2)
 	for _, test := range []struct {
 		name               string
 		choose             func(api.GroupID, []Store, int) (replication.Members, bool)
 		replicas           int
 		machines           int
-		zoneLost           bool
-		copiesCrossingMost int // to how many voters an entry crosses from the worst leader
+		survivesZone       bool
+		maxCrossZoneCopies int // voters in other zones, for the worst leader
 	}{
 		{"spread, 3", FirstMembers, 3, 1, true, 2},
 		{"gathered, 3", GatheredMembers, 3, 1, false, 0},
@@ -169,18 +168,18 @@
 		{"gathered, 5", GatheredMembers, 5, 2, false, 3},
 	} {
 		members, _ := test.choose(1, stores, test.replicas)
-		if !survives(stores, members, test.machines, machine) || survives(stores, members, test.machines+1, machine) {
-			t.Errorf("%s: it does not outlive exactly %d machines", test.name, test.machines)
+		if !hasMajorityAfter(stores, members, test.machines, machine) || hasMajorityAfter(stores, members, test.machines+1, machine) {
+			t.Errorf("%s: does not survive exactly %d machine failures", test.name, test.machines)
 		}
-		if got := survives(stores, members, 1, zone); got != test.zoneLost {
-			t.Errorf("%s: outlives a zone: %t", test.name, got)
+		if got := hasMajorityAfter(stores, members, 1, zone); got != test.survivesZone {
+			t.Errorf("%s: survives a zone failure: %t", test.name, got)
 		}
-		most := 0
-		for _, near := range inZones(stores, members) {
-			most = max(most, test.replicas-near)
+		crossZone := 0
+		for _, near := range votersByZone(stores, members) {
+			crossZone = max(crossZone, test.replicas-near)
 		}
-		if most != test.copiesCrossingMost {
-			t.Errorf("%s: an entry crosses to %d voters", test.name, most)
+		if crossZone != test.maxCrossZoneCopies {
+			t.Errorf("%s: %d copies cross zones", test.name, crossZone)
 		}
 	}
 }
--- a/placement/groups.go
+++ b/placement/groups.go
@@ -9,36 +9,36 @@
 	"github.com/dykewing/dykewing/replication"
 )
 
-// Store is a live machine with a disk, as a candidate for replicas.
+// Store is a live machine with a disk that can hold replicas.
 type Store struct {
 	Replica  replication.ReplicaID
 	Location api.Location
-	Leaving  bool // takes no new replica
-	Groups   int  // replicas that it holds
+	Leaving  bool // accepts no new replica
+	Groups   int  // number of replicas held
 }
 
-// FirstMembers chooses the first voters of a group: in as many zones as there
-// are, there the stores with the fewest groups, and among those by rendezvous. It
-// is false while there are fewer stores than replicas.
+// FirstMembers chooses the first voters of a group. They span as many zones as possible.
+// Stores are chosen by the lowest number of groups, then by rendezvous hashing. It returns
+// false if there are fewer stores than replicas.
 func FirstMembers(group api.GroupID, stores []Store, replicas int) (replication.Members, bool) {
 	var members replication.Members
-	rest := takesReplica(stores, nil)
+	rest := candidateStores(stores, nil)
 	if len(rest) < replicas {
 		return members, false
 	}
 	var zones []api.Location
 	for len(members.Voters) < replicas {
-		chosen := best(group, rest, zones, true)
+		chosen := bestStore(group, rest, zones, true)
 		members.Voters = append(members.Voters, chosen.Replica)
 		zones = append(zones, chosen.Location)
-		rest = takesReplica(rest, members.Voters)
+		rest = candidateStores(rest, members.Voters)
 	}
 	slices.Sort(members.Voters)
 	return members, true
 }
 
-// takesReplica gives the stores that may take a replica besides the members.
-func takesReplica(stores []Store, members []replication.ReplicaID) []Store {
+// candidateStores returns the stores that accept a replica and are not members.
+func candidateStores(stores []Store, members []replication.ReplicaID) []Store {
 	var free []Store
 	for _, store := range stores {
 		if !store.Leaving && !slices.Contains(members, store.Replica) {
@@ -48,9 +48,9 @@
 	return free
 }
 
-// best prefers a zone with few of the given locations, then, if byLoad, a store
-// with few groups, then the rendezvous score.
-func best(group api.GroupID, stores []Store, zones []api.Location, byLoad bool) Store {
+// bestStore prefers the zone that occurs least in zones, then, if byLoad is set, the store
+// with the fewest groups, then the highest rendezvous score.
+func bestStore(group api.GroupID, stores []Store, zones []api.Location, byLoad bool) Store {
 	return slices.MinFunc(stores, func(a, b Store) int {
 		byZone := cmp.Compare(countOf(zones, a.Location), countOf(zones, b.Location))
 		load := 0
@@ -78,35 +78,34 @@
 	return Score(key, api.NodeID(replica))
 }
 
-// GroupView is what the leader of a group knows when it looks after its members.
+// GroupView is the state from which the leader of a group derives membership changes.
 type GroupView struct {
 	Group    api.GroupID
 	Self     replication.ReplicaID
 	Members  replication.Members
-	Stores   []Store                                  // live
-	Lost     func(replica replication.ReplicaID) bool // gone for longer than is waited
-	Leaving  func(replica replication.ReplicaID) bool // its machine is to be emptied
-	Replicas int                                      // voters wanted
-	Gathered bool                                     // the group has to outlive no zone: newcomers stay near the others
+	Stores   []Store                                  // live stores
+	Lost     func(replica replication.ReplicaID) bool // reports a replica down for longer than the timeout
+	Leaving  func(replica replication.ReplicaID) bool // reports a replica on a machine being decommissioned
+	Replicas int                                      // target number of voters
+	Gathered bool                                     // prefers few zones, see GatheredMembers
 }
 
-// NextChange gives the next members of a group that has lost a replica or has one on a
-// machine that is to be emptied, one step at a time: a newcomer learns, votes once it
-// has caught up, and only then the lost one goes, so that no step leaves fewer copies than
-// the one before. A replica that is to leave goes last, when enough others have a copy. It
-// is false when nothing is to be done or can be done.
+// NextChange returns the next membership of a group that has a lost or leaving replica, one
+// change at a time: a new replica joins as a learner, becomes a voter once it has caught
+// up, and only then the old one is removed, so that no step reduces the number of copies.
+// Leaving replicas are removed last. It returns false if no change is needed or possible.
 func NextChange(view GroupView) (replication.Members, bool) {
 	lost := filter(view.Members.Voters, view.Lost)
 	leaving := filter(view.Members.Voters, func(replica replication.ReplicaID) bool { return view.Leaving(replica) && !view.Lost(replica) })
 	healthy := len(view.Members.Voters) - len(lost) - len(leaving)
 	if len(view.Members.Learners) > 0 {
-		return view.settleLearner(healthy)
+		return view.resolveLearner(healthy)
 	}
 	switch {
 	case len(view.Members.Voters) > view.Replicas && len(lost) > 0:
 		return view.without(lost[0]), true
 	case len(view.Members.Voters) > view.Replicas && len(leaving) > 0 && healthy >= view.Replicas:
-		// It is a copy until then: one that left while a lost one stayed would leave too few.
+		// A leaving replica is still a copy, so lost replicas are removed before it.
 		return view.without(leaving[0]), true
 	case len(view.Members.Voters) > view.Replicas && len(leaving) == 0:
 		return view.without(view.surplus()), true
@@ -116,8 +115,8 @@
 	return replication.Members{}, false
 }
 
-// goes tells whether a replica is lost or is to leave its machine.
-func (v GroupView) goes(replica replication.ReplicaID) bool {
+// departing reports whether a replica is lost or leaving.
+func (v GroupView) departing(replica replication.ReplicaID) bool {
 	return v.Lost(replica) || v.Leaving(replica)
 }
 
@@ -132,11 +131,11 @@
 	return kept
 }
 
-// settleLearner makes the learner vote, or lets it go when it is lost too or not
-// needed any more.
-func (v GroupView) settleLearner(healthy int) (replication.Members, bool) {
+// resolveLearner promotes the learner to voter, or removes it if it is departing or no longer
+// needed.
+func (v GroupView) resolveLearner(healthy int) (replication.Members, bool) {
 	learner := slices.Min(v.Members.Learners)
-	if v.goes(learner) || healthy >= v.Replicas {
+	if v.departing(learner) || healthy >= v.Replicas {
 		return v.without(learner), true
 	}
 	members := v.without(learner)
@@ -151,32 +150,32 @@
 }
 
 func (v GroupView) withLearner() (replication.Members, bool) {
-	candidates := takesReplica(v.Stores, v.Members.Voters)
+	candidates := candidateStores(v.Stores, v.Members.Voters)
 	if len(candidates) == 0 {
 		return replication.Members{}, false
 	}
 	members := v.without("")
-	newcomer := best(v.Group, candidates, v.healthyZones(), true)
+	added := bestStore(v.Group, candidates, v.healthyZones(), true)
 	if v.Gathered {
-		newcomer = nearest(v.Group, candidates, v.healthyZones())
+		added = nearestStore(v.Group, candidates, v.healthyZones())
 	}
-	members.Learners = []replication.ReplicaID{newcomer.Replica}
+	members.Learners = []replication.ReplicaID{added.Replica}
 	return members, true
 }
 
 func (v GroupView) healthyZones() []api.Location {
 	var zones []api.Location
 	for _, store := range v.Stores {
-		if slices.Contains(v.Members.Voters, store.Replica) && !v.goes(store.Replica) {
+		if slices.Contains(v.Members.Voters, store.Replica) && !v.departing(store.Replica) {
 			zones = append(zones, store.Location)
 		}
 	}
 	return zones
 }
 
-// surplus is the voter to let go when all of too many are alive: never the
-// leader, and rather one that shares its zone with another; of a gathered group rather
-// one that is alone.
+// surplus returns the voter to remove when there are too many: never the leader, preferably
+// one that shares its zone with others, or in a gathered group one that is alone in its
+// zone.
 func (v GroupView) surplus() replication.ReplicaID {
 	zones := v.healthyZones()
 	locations := map[replication.ReplicaID]api.Location{}
--- a/placement/groups_test.go
+++ b/placement/groups_test.go
@@ -22,9 +22,8 @@
 	return stores
 }
 
-// TestFirstMembersAreSpreadOverAllStores: on the bench one of ten stores was a
-// member of all five groups and was killed for its memory.
-func TestFirstMembersAreSpreadOverAllStores(t *testing.T) {
+// Guards against one store becoming a member of all groups and running out of memory.
+func TestFirstMembersAreBalancedAcrossStores(t *testing.T) {
 	const groups, replicas = 5, 5
 	var stores []Store
 	for i := range 10 {
@@ -44,17 +43,17 @@
 	}
 	for _, store := range stores {
 		if store.Groups < 2 || store.Groups > 4 {
-			t.Errorf("%s is of %d of %d groups", store.Replica, store.Groups, groups)
+			t.Errorf("store %s is a member of %d of %d groups", store.Replica, store.Groups, groups)
 		}
 	}
 }
 
-func TestFirstMembersTakeDifferentZones(t *testing.T) {
+func TestFirstMembersUseDistinctZones(t *testing.T) {
 	stores := testStores(9, 3)
 	for group := range api.GroupID(50) {
 		members, ok := FirstMembers(group, stores, 3)
 		if !ok {
-			t.Fatal("nine stores are not enough for three replicas")
+			t.Fatal("no members from nine stores for three replicas")
 		}
 		zones := map[api.ZoneName]bool{}
 		for _, store := range stores {
@@ -63,21 +62,21 @@
 			}
 		}
 		if len(zones) != 3 {
-			t.Fatalf("group %d has its replicas %v in %d zones", group, members.Voters, len(zones))
+			t.Fatalf("group %d has voters %v in %d zones, want 3", group, members.Voters, len(zones))
 		}
 	}
 	if _, ok := FirstMembers(0, stores[:2], 3); ok {
-		t.Fatal("two stores gave three replicas")
+		t.Fatal("got three replicas from two stores")
 	}
 }
 
-type nextChange func(GroupView) (replication.Members, bool)
+type changeFunc func(GroupView) (replication.Members, bool)
 
-// replaceAll follows the changes until there is none and gives the first broken
-// invariant: one replica a step, never fewer voters, fewer healthy ones or fewer copies
-// (also on machines that are to be emptied) than before, and in the end as many healthy
-// voters as wanted or as there are, with none on a machine to be emptied if they suffice.
-func replaceAll(next nextChange, view GroupView, lost, leaving map[replication.ReplicaID]bool) error {
+// runReplacement applies changes until there are none and returns the first violated
+// invariant: each step changes one replica and never reduces the voters, the healthy
+// voters or the copies (including leaving replicas). At the end there are as many healthy
+// voters as wanted or available, and no leaving replica remains if they suffice.
+func runReplacement(next changeFunc, view GroupView, lost, leaving map[replication.ReplicaID]bool) error {
 	view.Lost = func(replica replication.ReplicaID) bool { return lost[replica] }
 	view.Leaving = func(replica replication.ReplicaID) bool { return leaving[replica] }
 	healthy := func(members replication.Members) int {
@@ -90,12 +89,12 @@
 	for range 40 {
 		members, ok := next(view)
 		if !ok {
-			spare := len(takesReplica(view.Stores, view.Members.Voters))
+			spare := len(candidateStores(view.Stores, view.Members.Voters))
 			if healthy(view.Members) < view.Replicas && spare > 0 {
-				return fmt.Errorf("it stopped at %v with %d spare stores", view.Members, spare)
+				return fmt.Errorf("stopped at %v with %d spare stores", view.Members, spare)
 			}
 			if healthy(view.Members) >= view.Replicas && copies(view.Members) > healthy(view.Members) {
-				return fmt.Errorf("it stopped at %v, and a machine that is to be emptied is not", view.Members)
+				return fmt.Errorf("stopped at %v with a leaving replica", view.Members)
 			}
 			return nil
 		}
@@ -109,11 +108,11 @@
 			return fmt.Errorf("%v has fewer copies than %v", members, view.Members)
 		}
 		if difference := changedReplicas(view.Members, members); difference != 1 {
-			return fmt.Errorf("from %v to %v %d replicas changed", view.Members, members, difference)
+			return fmt.Errorf("%v to %v changes %d replicas, want 1", view.Members, members, difference)
 		}
 		view.Members = members
 	}
-	return fmt.Errorf("no end in sight at %v", view.Members)
+	return fmt.Errorf("no end after 40 steps at %v", view.Members)
 }
 
 func changedReplicas(from, to replication.Members) int {
@@ -137,32 +136,26 @@
 	return count
 }
 
-// Symptom: a batch job that was accepted could not be read any more.
-// Sequence: of three stores one loses its disk and comes back, while another is to be
-// emptied; the newcomer's disk is a fourth voter; the leader lets the machine that is to be
-// emptied go and keeps the lost disk as a voter; the machine is reported empty and taken
-// away; a second disk is lost, and one copy of three voters is left.
-// Cause: a replica on a machine that is to be emptied counted as lost, though it is a copy.
-// Settled by the lines of the members' changes (four voters, then three with the lost disk)
-// and of the decommission, completed 0.25 s later.
-func TestAMachineIsEmptiedOnlyOnceAsManyCopiesStand(t *testing.T) {
+// Guards against the loss of accepted jobs when a leaving replica is removed while a lost one
+// is still a voter: one more failure then leaves a single copy.
+func TestLeavingReplicaIsRemovedOnlyWhenEnoughCopiesRemain(t *testing.T) {
 	stores := testStores(4, 3)
-	old, leaves, leads, newcomer := stores[0].Replica, stores[1].Replica, stores[2].Replica, stores[3].Replica
+	lostID, leavingID, leaderID, addedID := stores[0].Replica, stores[1].Replica, stores[2].Replica, stores[3].Replica
 	stores[1].Leaving = true
-	for _, names := range [][2]replication.ReplicaID{{old, leaves}, {leaves, old}} { // whatever their order
+	for _, names := range [][2]replication.ReplicaID{{lostID, leavingID}, {leavingID, lostID}} { // independent of their order
 		lost := map[replication.ReplicaID]bool{names[0]: true}
 		leaving := map[replication.ReplicaID]bool{names[1]: true}
 		view := GroupView{
-			Self: leads, Members: replication.Members{Voters: []replication.ReplicaID{old, leaves, leads, newcomer}}, Replicas: 3,
+			Self: leaderID, Members: replication.Members{Voters: []replication.ReplicaID{lostID, leavingID, leaderID, addedID}}, Replicas: 3,
 			Stores: slices.DeleteFunc(slices.Clone(stores), func(store Store) bool { return lost[store.Replica] }),
 		}
-		if err := replaceAll(NextChange, view, lost, leaving); err != nil {
+		if err := runReplacement(NextChange, view, lost, leaving); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-func TestReplacementNeverThinsTheGroup(t *testing.T) {
+func TestReplacementNeverReducesCopies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		replicas := rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "replicas")
 		stores := testStores(rapid.IntRange(replicas, replicas+4).Draw(t, "stores"), 3)
@@ -180,14 +173,13 @@
 			live[i].Leaving = leaving[live[i].Replica]
 		}
 		view := GroupView{Self: members.Voters[0], Members: members, Stores: live, Replicas: replicas}
-		if err := replaceAll(NextChange, view, lost, leaving); err != nil {
+		if err := runReplacement(NextChange, view, lost, leaving); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// A replacement that first removes the lost replica must be caught.
-func TestRemovingFirstIsCaught(t *testing.T) {
+func TestInvariantCheckDetectsRemovalBeforeAddition(t *testing.T) {
 	removeFirst := func(view GroupView) (replication.Members, bool) {
 		if lost := filter(view.Members.Voters, view.Lost); len(lost) > 0 {
 			return view.without(lost[0]), true
@@ -198,7 +190,7 @@
 	members, _ := FirstMembers(0, stores, 3)
 	lost := map[replication.ReplicaID]bool{members.Voters[1]: true}
 	view := GroupView{Self: members.Voters[0], Members: members, Stores: stores, Replicas: 3}
-	if replaceAll(removeFirst, view, lost, nil) == nil {
-		t.Fatal("the check can't fail")
+	if runReplacement(removeFirst, view, lost, nil) == nil {
+		t.Fatal("removal of a lost replica before its replacement was not detected")
 	}
 }
--- a/placement/homes.go
+++ b/placement/homes.go
@@ -4,16 +4,16 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Homes finds the workers that one router is home of, by the rule of HomeOf. It
-// keeps the routers of the last view by zone, so that a view in which only
-// loads changed costs one pass over the nodes, and a worker of another zone
-// that has routers costs no hashing. It is not safe for concurrent use.
+// Homes determines the workers whose home, as defined by HomeOf, is this router. It
+// caches the routers by zone, so that updates that only change loads cost one pass
+// over the nodes and workers of other zones are not hashed. It is not safe for
+// concurrent use.
 type Homes struct {
-	self     api.NodeID
-	location api.Location // of the router itself
-	member   bool         // the router itself can be a home
-	all      []router
-	inZone   map[api.Location][]api.NodeID
+	self        api.NodeID
+	ownLocation api.Location // of this router
+	eligible    bool         // this router can be a home
+	routers     []router
+	inZone      map[api.Location][]api.NodeID
 }
 
 type router struct {
@@ -21,54 +21,54 @@
 	location api.Location
 }
 
-// NewHomes starts without a router, not even the own one.
+// NewHomes returns a Homes without routers, not even self.
 func NewHomes(self api.NodeID) *Homes { return &Homes{self: self} }
 
-// SetNodes takes a view, which is sorted by id; true when the routers that can
-// be homes are others than before, so that workers may have moved.
+// SetNodes replaces the nodes, which must be sorted by ID. It reports whether the
+// eligible routers changed, so that workers may have moved.
 func (h *Homes) SetNodes(nodes []api.Node) bool {
-	if h.same(nodes) {
+	if h.unchanged(nodes) {
 		return false
 	}
-	h.all, h.inZone, h.member = nil, map[api.Location][]api.NodeID{}, false
+	h.routers, h.inZone, h.eligible = nil, map[api.Location][]api.NodeID{}, false
 	for _, node := range nodes {
-		if !canBeHome(node) {
+		if !isEligible(node) {
 			continue
 		}
-		h.all = append(h.all, router{id: node.ID, location: node.Location})
+		h.routers = append(h.routers, router{id: node.ID, location: node.Location})
 		h.inZone[node.Location] = append(h.inZone[node.Location], node.ID)
 		if node.ID == h.self {
-			h.location, h.member = node.Location, true
+			h.ownLocation, h.eligible = node.Location, true
 		}
 	}
 	return true
 }
 
-func canBeHome(node api.Node) bool { return node.Role == api.RoleRouter && !node.Leaving }
+func isEligible(node api.Node) bool { return node.Role == api.RoleRouter && !node.Leaving }
 
-func (h *Homes) same(nodes []api.Node) bool {
+func (h *Homes) unchanged(nodes []api.Node) bool {
 	seen := 0
 	for _, node := range nodes {
-		if !canBeHome(node) {
+		if !isEligible(node) {
 			continue
 		}
-		if seen >= len(h.all) || h.all[seen] != (router{id: node.ID, location: node.Location}) {
+		if seen >= len(h.routers) || h.routers[seen] != (router{id: node.ID, location: node.Location}) {
 			return false
 		}
 		seen++
 	}
-	return seen == len(h.all)
+	return seen == len(h.routers)
 }
 
-// Mine gives the workers that the router is home of, in their order.
+// Mine returns the workers whose home is this router, in the given order.
 func (h *Homes) Mine(workers []api.Worker) []api.Worker {
-	if !h.member {
+	if !h.eligible {
 		return nil
 	}
 	var mine []api.Worker
 	for _, worker := range workers {
 		zone, ok := homeZone(worker, h.inZone)
-		if !ok || zone != h.location {
+		if !ok || zone != h.ownLocation {
 			continue
 		}
 		if home, _ := Choose(string(worker.ID), h.inZone[zone]); home == h.self {
--- a/placement/homes_test.go
+++ b/placement/homes_test.go
@@ -26,8 +26,8 @@
 	return nodes
 }
 
-// TestHomesAgreeWithHomeOf holds that the kept index gives what HomeOf gives,
-// over a row of views, and that SetNodes tells of every change that moves one.
+// Mine must agree with HomeOf after each update, and SetNodes must report every update that
+// moves a worker.
 func TestHomesAgreeWithHomeOf(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		homes := NewHomes("node-00")
@@ -46,29 +46,29 @@
 				}
 			}
 			if got := homes.Mine(workers); !slices.Equal(got, want) {
-				t.Fatalf("home of %v, want %v", got, want)
+				t.Fatalf("home of workers %v, want %v", got, want)
 			}
 			if !changed && !slices.Equal(want, before) {
-				t.Fatal("a change that moved a worker was not told")
+				t.Fatal("SetNodes did not report an update that moved a worker")
 			}
 			before = want
 		}
 	})
 }
 
-func TestHomesIgnoreLoads(t *testing.T) {
+func TestHomesIgnoreLoadChanges(t *testing.T) {
 	nodes := []api.Node{{ID: "a", Role: api.RoleRouter}, {ID: "b", Role: api.RoleRouter}}
 	homes := NewHomes("a")
 	if !homes.SetNodes(nodes) {
-		t.Fatal("the first view was not told as a change")
+		t.Fatal("SetNodes did not report the first update")
 	}
 	nodes[1].Summary.Sequence = 7
 	nodes[1].TableRevision = 9
 	if homes.SetNodes(nodes) {
-		t.Fatal("a new load was told as a change of homes")
+		t.Fatal("SetNodes reported a load update as a change")
 	}
 	nodes[1].Leaving = true
 	if !homes.SetNodes(nodes) {
-		t.Fatal("a router that leaves was not told")
+		t.Fatal("SetNodes did not report a leaving router")
 	}
 }
--- a/placement/rendezvous.go
+++ b/placement/rendezvous.go
@@ -1,5 +1,5 @@
-// Package placement decides which node is responsible for what, from nothing
-// but a list of candidates, so that all who know the same list agree.
+// Package placement assigns responsibilities to nodes. Assignments are a function
+// of the list of candidates alone, so that processes with the same list agree.
 package placement
 
 import (
@@ -8,8 +8,8 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Score is the rendezvous weight of a node for a key; the highest is chosen.
-// When a node leaves, only the keys it was chosen for move.
+// Score returns the rendezvous hashing score of a node for a key. The node with the
+// highest score is chosen, so that only the keys of a removed node move.
 func Score(key string, node api.NodeID) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(key)
@@ -18,8 +18,8 @@
 	return digest.Sum64()
 }
 
-// Choose gives the candidate with the highest score for key, and false when
-// there is none. Ties go to the smaller id.
+// Choose returns the candidate with the highest score for key, or false without
+// candidates. Ties go to the smaller ID.
 func Choose(key string, candidates []api.NodeID) (api.NodeID, bool) {
 	var best api.NodeID
 	var bestScore uint64
@@ -32,15 +32,15 @@
 	return best, len(candidates) > 0
 }
 
-// HomeOf gives the router that alone admits work to the worker: chosen among
-// the routers of the worker's zone. A worker whose zone has none goes to a zone
-// first and to a router of it then: a node knows all zones but only its own
-// zone's routers in full, so that each router still tells rightly whether it is
+// HomeOf returns the home of a worker, the only router that admits requests to it:
+// one of the routers in the worker's zone. If the zone has none, first a zone and
+// then one of its routers is chosen. Since a node knows all zones but only the
+// routers of its own zone in full, every router can decide correctly whether it is
 // the home itself.
 func HomeOf(worker api.Worker, routers []api.Node) (api.NodeID, bool) {
 	inZone := map[api.Location][]api.NodeID{}
 	for _, router := range routers {
-		if canBeHome(router) {
+		if isEligible(router) {
 			inZone[router.Location] = append(inZone[router.Location], router.ID)
 		}
 	}
@@ -51,7 +51,7 @@
 	return Choose(string(worker.ID), inZone[zone])
 }
 
-// homeZone is the worker's own zone if it has routers, else the zone with the
+// homeZone returns the worker's zone if it has routers, else the zone with the
 // highest score.
 func homeZone(worker api.Worker, inZone map[api.Location][]api.NodeID) (api.Location, bool) {
 	if len(inZone[worker.Location]) > 0 {
@@ -70,20 +70,20 @@
 	return best, bestName != ""
 }
 
-// GroupOf gives the group that keeps a tenant's jobs and its claims of
-// requests that may not be repeated. groups must be positive.
+// GroupOf returns the group that stores a tenant's jobs and its claims on requests
+// that are not repeatable. groups must be positive.
 func GroupOf(tenant api.TenantID, groups int) api.GroupID {
 	return api.GroupID(xxhash.Sum64String(string(tenant)) % uint64(groups))
 }
 
-// GroupOfRow gives the group whose leader grants the shares of a row's
-// ceilings. groups must be positive.
+// GroupOfRow returns the group whose leader grants the shares of a row's ceilings.
+// groups must be positive.
 func GroupOfRow(key api.RowKey, groups int) api.GroupID {
 	return api.GroupID(xxhash.Sum64String("ceiling\x00"+key.String()) % uint64(groups))
 }
 
-// WorkerGroup gives the group whose leader fills a worker with batch and gives places
-// there. groups must be positive.
+// WorkerGroup returns the group whose leader schedules batch at a worker and grants its
+// slots. groups must be positive.
 func WorkerGroup(worker string, groups int) api.GroupID {
 	return api.GroupID(xxhash.Sum64String(worker) % uint64(groups))
 }
--- a/placement/stores.go
+++ b/placement/stores.go
@@ -7,8 +7,8 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Stores lists the stores that may own what a key names, the owner first. All processes
-// that know the same stores agree on it.
+// Stores returns the stores sorted by their rendezvous score for key. The first one owns the
+// key. Processes with the same stores agree on the order.
 func Stores(key string, nodes []api.Node) []api.Node {
 	stores := slices.DeleteFunc(slices.Clone(nodes), func(node api.Node) bool { return node.Role != api.RoleStore })
 	slices.SortFunc(stores, func(a, b api.Node) int {
--- a/placement/takeover.go
+++ b/placement/takeover.go
@@ -2,37 +2,36 @@
 
 import "github.com/dykewing/dykewing/api"
 
-// unreportedLimit is after how many failed reports a new home goes on without
-// one: a worker that never reports must not stay without batch work.
-const unreportedLimit = 4
+// maxFailedReports is the number of failed reports after which a new home proceeds
+// without one, so that a worker that never reports is not excluded from batch.
+const maxFailedReports = 4
 
-// Takeover keeps what a new home must leave free at its workers for requests
-// that the old home still runs there. It is not safe for concurrent use.
+// Takeover tracks requests that the previous home of a worker still runs there, so
+// that a new home leaves their slots free. It is not safe for concurrent use.
 type Takeover struct {
-	pending map[api.WorkerID]*inheritance
+	pending map[api.WorkerID]*inheritedLoad
 	known   map[api.WorkerID]bool
 }
 
-type inheritance struct {
+type inheritedLoad struct {
 	reported bool
 	failures int
-	requests int // of the old home, at most
+	requests int // upper bound, in flight from the previous home
 }
 
-// NewTakeover starts without a worker.
+// NewTakeover returns a Takeover without workers.
 func NewTakeover() *Takeover {
-	return &Takeover{pending: map[api.WorkerID]*inheritance{}, known: map[api.WorkerID]bool{}}
+	return &Takeover{pending: map[api.WorkerID]*inheritedLoad{}, known: map[api.WorkerID]bool{}}
 }
 
-// SetHomed takes the workers that the router is home of now and gives those
-// that it was not home of before.
+// SetHomed replaces the workers whose home is this router and returns the new ones.
 func (t *Takeover) SetHomed(workers []api.Worker) []api.Worker {
 	var adopted []api.Worker
 	known := make(map[api.WorkerID]bool, len(workers))
 	for _, worker := range workers {
 		known[worker.ID] = true
 		if !t.known[worker.ID] {
-			t.pending[worker.ID] = &inheritance{}
+			t.pending[worker.ID] = &inheritedLoad{}
 			adopted = append(adopted, worker)
 		}
 	}
@@ -45,12 +44,13 @@
 	return adopted
 }
 
-// Pending tells whether the worker may still run requests of its old home.
+// Pending reports whether the worker may still run requests of its previous home.
 func (t *Takeover) Pending(worker api.WorkerID) bool { return t.pending[worker] != nil }
 
-// Report takes a worker's own count of requests and how many of them this
-// router had sent when it asked; true when Adjust gives something else now.
-// The rest can only shrink, since the old home sends nothing new.
+// Report records the number of requests running at the worker and the number that
+// this router had sent at the time. It reports whether the result of Adjust
+// changed. The difference can only decrease, since the previous home sends no new
+// requests.
 func (t *Takeover) Report(worker api.WorkerID, running, own int) bool {
 	inherited, ok := t.pending[worker]
 	if !ok {
@@ -68,23 +68,23 @@
 	return changed
 }
 
-// Failed says that a report could not be had; true when Adjust gives something
-// else now.
+// Failed records that no report could be obtained. It reports whether the result of
+// Adjust changed.
 func (t *Takeover) Failed(worker api.WorkerID) bool {
 	inherited, ok := t.pending[worker]
 	if !ok || inherited.reported {
 		return false
 	}
 	inherited.failures++
-	if inherited.failures < unreportedLimit {
+	if inherited.failures < maxFailedReports {
 		return false
 	}
 	delete(t.pending, worker)
 	return true
 }
 
-// Adjust gives the worker with the slots that are free of inherited requests.
-// Before the first report that is one, which leaves no room for batch.
+// Adjust returns the worker with its slots reduced by the inherited requests. Before
+// the first report it has one slot, which leaves no room for batch.
 func (t *Takeover) Adjust(worker api.Worker) api.Worker {
 	inherited, ok := t.pending[worker.ID]
 	if !ok {
--- a/placement/takeover_test.go
+++ b/placement/takeover_test.go
@@ -6,7 +6,7 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-func TestTakeoverLeavesRoomForTheOldHome(t *testing.T) {
+func TestTakeoverReservesSlotsOfPreviousHome(t *testing.T) {
 	worker := api.Worker{ID: "w", Slots: 8}
 	takeover := NewTakeover()
 	if adopted := takeover.SetHomed([]api.Worker{worker}); len(adopted) != 1 {
@@ -15,11 +15,11 @@
 	steps := []struct {
 		running, own, slots int
 	}{
-		{running: 6, own: 0, slots: 2}, // all six are the old home's
-		{running: 7, own: 2, slots: 3}, // one of them has ended
-		{running: 9, own: 2, slots: 3}, // a late report makes it no more
-		{running: 3, own: 3, slots: 8}, // none is left
-		{running: 8, own: 0, slots: 8}, // what comes later is not inherited
+		{running: 6, own: 0, slots: 2}, // all six sent by the previous home
+		{running: 7, own: 2, slots: 3}, // one of them finished
+		{running: 9, own: 2, slots: 3}, // the inherited count never increases
+		{running: 3, own: 3, slots: 8}, // none left
+		{running: 8, own: 0, slots: 8}, // later requests are not inherited
 	}
 	if slots := takeover.Adjust(worker).Slots; slots != 1 {
 		t.Fatalf("%d slots before the first report, want 1", slots)
@@ -31,11 +31,11 @@
 		}
 	}
 	if adopted := takeover.SetHomed([]api.Worker{worker}); len(adopted) != 0 {
-		t.Fatal("a worker that stayed was taken over again")
+		t.Fatal("a worker that was kept was adopted again")
 	}
 	takeover.SetHomed(nil)
 	takeover.SetHomed([]api.Worker{worker})
-	for range unreportedLimit {
+	for range maxFailedReports {
 		takeover.Failed(worker.ID)
 	}
 	if slots := takeover.Adjust(worker).Slots; slots != 8 {
