--- a/route/route.go
+++ b/route/route.go
@@ -1,6 +1,5 @@
-// Package route is the operators' newest configuration as a value: which service
-// takes a request of a host and path, and under which limits. It has no input,
-// output or clock.
+// Package route holds the routing configuration: which service handles a request for
+// a host and path, and under which limits. It performs no I/O and reads no clock.
 package route
 
 import (
@@ -10,46 +9,46 @@
 	"time"
 )
 
-// Kind says how requests of a route are treated.
+// Kind is the type of a route's requests.
 type Kind string
 
-// The kinds of routes.
+// Kinds of routes.
 const (
 	KindSafe   Kind = "safe"   // may run more than once
 	KindUnsafe Kind = "unsafe" // runs at most once
-	KindStream Kind = "stream" // answers with events; runs at most once unless Resumable
-	KindBatch  Kind = "batch"  // takes batch jobs
+	KindStream Kind = "stream" // responds with an event stream; runs at most once unless Resumable
+	KindBatch  Kind = "batch"  // accepts batch jobs
 )
 
-// Share is one service of a route with its weight among them.
+// Share is a service of a route with its relative weight.
 type Share struct {
 	Service string
 	Weight  float64
 }
 
-// Route is one rule: requests of Host under Prefix go to its shares.
+// Route sends requests for Host under Prefix to the services of Shares.
 type Route struct {
 	Name      string
 	Host      string
 	Prefix    string // starts and ends with a slash
 	Kind      Kind
 	Shares    []Share       // at least one
-	Timeout   time.Duration // longest that a request is held; 0: none
-	Target    time.Duration // within which an answer, or the first event, is in time
-	GapTarget time.Duration // longest pause between events that is in time
-	RunTarget time.Duration // batch: within which all results are due, from the submission
-	Keep      time.Duration // batch: after which an item may be given up; 0: never
-	// MaxQueuedTokens is how many tokens of a tenant may wait on a batch route, or of
-	// all callers together where there are no tenants; 0: no bound.
+	Timeout   time.Duration // maximum duration of a request; 0 if unlimited
+	Target    time.Duration // latency objective of the response or first event
+	GapTarget time.Duration // objective for the interval between events
+	RunTarget time.Duration // batch: due time of all results after submission
+	Keep      time.Duration // batch: time after which an item may be abandoned; 0 if never
+	// MaxQueuedTokens bounds the tokens that a tenant may have queued on a batch route,
+	// or all callers together if there are no tenants; 0 if unlimited.
 	MaxQueuedTokens int64
-	MaxAttempts     int  // workers that may run one request; at least 1
+	MaxAttempts     int  // maximum workers tried per request; at least 1
 	Priority        int  // 0 is the highest
-	Resumable       bool // a stream may go on at another worker
-	Public          bool // requests need no key
+	Resumable       bool // a stream may continue at another worker
+	Public          bool // no key required
 }
 
-// Queue names what waits on a batch route of one tenant, or of all where tenant is
-// empty; it stays when the route's service, bounds or name change.
+// Queue returns the name of the queue of a tenant on a batch route, or of all callers if
+// tenant is empty. It does not change with the route's service, limits or name.
 func (r Route) Queue(tenant string) string {
 	if tenant == "" {
 		return r.Host + r.Prefix
@@ -57,12 +56,12 @@
 	return r.Host + r.Prefix + " " + tenant
 }
 
-// Repeatable tells whether a request may run more than once.
+// Repeatable reports whether a request may run more than once.
 func (r Route) Repeatable() bool {
 	return r.Kind == KindSafe || r.Kind == KindBatch || r.Kind == KindStream && r.Resumable
 }
 
-// Allows tells whether requests of the route may go to the service.
+// Allows reports whether the service is one of the route's shares.
 func (r Route) Allows(service string) bool {
 	for _, share := range r.Shares {
 		if share.Service == service {
@@ -72,7 +71,7 @@
 	return false
 }
 
-// Draw chooses a service by weight. With no weight above 0 the first is taken.
+// Draw chooses a service at random by weight, or the first if no weight is positive.
 func (r Route) Draw(random *rand.Rand) string {
 	total := 0.0
 	for _, share := range r.Shares {
@@ -88,16 +87,16 @@
 	return r.Shares[0].Service
 }
 
-// Service is what the configuration says of a service.
+// Service is the configuration of a service.
 type Service struct {
 	Name           string
 	HealthPath     string
-	MaxConnections int // of all callers to one worker; 0: no limit
-	Slots          int // an engine's; 0 when not told
-	CacheTokens    int // an engine's memory; 0 when not told
+	MaxConnections int // per worker, over all callers; 0 if unlimited
+	Slots          int // of an engine; 0 if unknown
+	CacheTokens    int // cache capacity of an engine; 0 if unknown
 }
 
-// Limits bound what a client may send.
+// Limits bounds client requests.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -105,28 +104,29 @@
 	IdleTimeout   time.Duration
 }
 
-// Configuration is one version of all routes. It is not changed once made.
+// Configuration is one version of all routes. It is immutable after New and
+// WithTenants, and then safe for concurrent use.
 type Configuration struct {
 	Version  int64
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	Problems []error // that it was read with; what they name is left out
+	Problems []error // errors found on reading; the invalid entries are omitted
 
 	byHost   map[string][]int // indexes of Routes, longest prefix first
 	services map[string]int
 	tenants  []Tenant
-	byKey    map[Key]int // indexes of tenants, or nobody
+	byKey    map[Key]int // indexes of tenants, or ambiguousKey
 }
 
-// New indexes a configuration.
+// New returns a Configuration without tenants.
 func New(version int64, routes []Route, services []Service, limits Limits) *Configuration {
 	c := &Configuration{
 		Version: version, Routes: routes, Services: services, Limits: limits,
 		byHost: map[string][]int{}, services: map[string]int{},
 	}
 	for i, route := range routes {
-		c.byHost[route.Host] = insert(c.byHost[route.Host], routes, i)
+		c.byHost[route.Host] = insertByPrefix(c.byHost[route.Host], routes, i)
 	}
 	for i, service := range services {
 		c.services[service.Name] = i
@@ -134,8 +134,8 @@
 	return c
 }
 
-// insert keeps the longest prefix first.
-func insert(indexes []int, routes []Route, added int) []int {
+// insertByPrefix inserts a route index so that longer prefixes come first.
+func insertByPrefix(indexes []int, routes []Route, added int) []int {
 	at := len(indexes)
 	for at > 0 && len(routes[indexes[at-1]].Prefix) < len(routes[added].Prefix) {
 		at--
@@ -146,8 +146,8 @@
 	return indexes
 }
 
-// Match finds the route with the longest prefix of the path, by host (without a
-// port). False when none matches.
+// Match returns the route of the host, given without port, whose prefix is the longest
+// that matches the path. It returns false if there is none.
 func (c *Configuration) Match(host, path string) (Route, bool) {
 	for _, index := range c.byHost[host] {
 		if strings.HasPrefix(path, c.Routes[index].Prefix) {
@@ -157,14 +157,14 @@
 	return Route{}, false
 }
 
-// TakesPublicJobs tells whether a host has a route that takes batch jobs without a key.
+// TakesPublicJobs reports whether the host has a public batch route.
 func (c *Configuration) TakesPublicJobs(host string) bool {
 	return slices.ContainsFunc(c.byHost[host], func(index int) bool {
 		return c.Routes[index].Kind == KindBatch && c.Routes[index].Public
 	})
 }
 
-// BatchServices lists the services of batch routes, by name.
+// BatchServices returns the services of all batch routes, sorted by name.
 func (c *Configuration) BatchServices() []string {
 	var names []string
 	for _, route := range c.Routes {
@@ -179,12 +179,12 @@
 	return slices.Compact(names)
 }
 
-// RunsBatch tells whether batch runs at a service's workers.
+// RunsBatch reports whether a batch route uses the service.
 func (c *Configuration) RunsBatch(service string) bool {
 	return slices.ContainsFunc(c.Routes, func(r Route) bool { return r.Kind == KindBatch && r.Allows(service) })
 }
 
-// Service finds a service by name.
+// Service returns the service with the given name.
 func (c *Configuration) Service(name string) (Service, bool) {
 	index, ok := c.services[name]
 	if !ok {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -18,7 +18,7 @@
 	return New(3, routes, []Service{{Name: "x", Slots: 4}}, Limits{})
 }
 
-func TestTheLongestPrefixOfTheHostMatches(t *testing.T) {
+func TestMatchPrefersLongestPrefix(t *testing.T) {
 	c := testConfiguration()
 	for _, each := range []struct{ host, path, want string }{
 		{"a", "/p/q/r", "deep"}, {"a", "/p/q", "p"}, {"a", "/p", "all"}, {"a", "/", "all"},
@@ -30,15 +30,15 @@
 		}
 	}
 	if _, ok := c.Service("none"); ok {
-		t.Error("an unknown service was found")
+		t.Error("found an unknown service")
 	}
 	if service, ok := c.Service("x"); !ok || service.Slots != 4 {
 		t.Errorf("service x: %+v", service)
 	}
 }
 
-// Match agrees with the rule in words, whatever the order of the routes.
-func TestMatchAgreesWithASearchOfAllRoutes(t *testing.T) {
+// Match must not depend on the order of the routes.
+func TestMatchAgreesWithLinearSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		prefix := rapid.Map(rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b"}), 0, 3), func(parts []string) string {
 			return "/" + strings.Join(append(parts, ""), "/")
@@ -60,7 +60,7 @@
 	})
 }
 
-func TestServicesAreDrawnByWeight(t *testing.T) {
+func TestDrawFollowsWeights(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	route, _ := testConfiguration().Match("a", "/p/x")
 	counts := map[string]int{}
@@ -72,14 +72,14 @@
 		t.Errorf("share of y %v", share)
 	}
 	if !route.Allows("z") || route.Allows("x") {
-		t.Error("Allows does not follow the shares")
+		t.Error("Allows does not agree with the shares")
 	}
 	if got := (Route{Shares: []Share{{Service: "only"}, {Service: "b"}}}).Draw(random); got != "only" {
-		t.Errorf("without weights %q", got)
+		t.Errorf("without weights drew %q, want the first service", got)
 	}
 }
 
-func TestWhatMayBeRepeated(t *testing.T) {
+func TestRepeatable(t *testing.T) {
 	for _, each := range []struct {
 		route Route
 		want  bool
--- a/route/tenant.go
+++ b/route/tenant.go
@@ -6,51 +6,51 @@
 	"fmt"
 )
 
-// Key is the digest of a tenant's secret. Only digests are kept: finding one
-// compares no secret, so that the time it takes tells nothing of it.
+// Key is the SHA-256 digest of a tenant's secret. Secrets are not kept, so that the
+// time of a lookup reveals nothing about them.
 type Key [sha256.Size]byte
 
-// KeyOf gives the digest of a secret.
+// KeyOf returns the key for a secret.
 func KeyOf(secret string) Key { return sha256.Sum256([]byte(secret)) }
 
-// String gives a short part of the digest, for logs.
+// String returns the first four bytes of the digest in hex, for logs.
 func (k Key) String() string { return hex.EncodeToString(k[:4]) }
 
 // Tenant is a customer whose requests carry one of its keys.
 type Tenant struct {
 	Name     string
 	Keys     []Key
-	Priority int // goes before that of routes; 0 is the highest
+	Priority int // precedes the priority of routes; 0 is the highest
 	Limit    Limit
 }
 
-// Limit is how many requests of a tenant may run over all processes together.
+// Limit is the rate limit of a tenant over all processes together.
 type Limit struct {
-	Rate  float64 // requests a second; 0: no limit
-	Burst float64 // requests above Rate
+	Rate  float64 // requests per second; 0 if unlimited
+	Burst float64 // requests admitted at once above Rate
 }
 
-// Bounded is true where there is a limit.
+// Bounded reports whether there is a limit.
 func (l Limit) Bounded() bool { return l.Rate > 0 }
 
-// WithTenants sets the tenants before the configuration is used and gives what is
-// wrong with them. What is wrong with one does not touch the others: a tenant
-// without a name is left out, one that stands twice keeps its first limit and
-// priority with the keys of both, a key of two tenants is nobody's, and a negative
-// figure counts as absent.
+// WithTenants sets the tenants and returns the errors found in them. It must be called
+// before the configuration is used. An error does not affect other tenants: a tenant
+// without a name is omitted, a duplicate keeps the first limit and priority and the
+// keys of both, a key of two tenants identifies neither, and negative limits are
+// ignored.
 func (c *Configuration) WithTenants(tenants []Tenant) (problems []error) {
 	c.tenants = make([]Tenant, 0, len(tenants))
 	c.byKey = make(map[Key]int, len(tenants))
 	byName := make(map[string]int, len(tenants))
 	for i, tenant := range tenants {
 		if tenant.Name == "" {
-			problems = append(problems, fmt.Errorf("tenant %d has no name; it is left out", i))
+			problems = append(problems, fmt.Errorf("tenant %d: missing name, tenant ignored", i))
 			continue
 		}
-		problems = append(problems, tenant.mend()...)
+		problems = append(problems, tenant.sanitize()...)
 		index, twice := byName[tenant.Name]
 		if twice {
-			problems = append(problems, fmt.Errorf("tenant %s stands twice; its first limit holds", tenant.Name))
+			problems = append(problems, fmt.Errorf("tenant %s: duplicate entry, first limit and priority kept", tenant.Name))
 		} else {
 			index = len(c.tenants)
 			byName[tenant.Name] = index
@@ -61,33 +61,33 @@
 	return problems
 }
 
-// mend replaces figures that mean nothing.
-func (t *Tenant) mend() (problems []error) {
+// sanitize sets negative limits to 0.
+func (t *Tenant) sanitize() (problems []error) {
 	if t.Limit.Rate < 0 {
-		problems = append(problems, fmt.Errorf("tenant %s: rate %g is negative; it has no limit", t.Name, t.Limit.Rate))
+		problems = append(problems, fmt.Errorf("tenant %s: negative rate %g, no limit applied", t.Name, t.Limit.Rate))
 		t.Limit.Rate = 0
 	}
 	if t.Limit.Burst < 0 {
-		problems = append(problems, fmt.Errorf("tenant %s: burst %g is negative; it has none", t.Name, t.Limit.Burst))
+		problems = append(problems, fmt.Errorf("tenant %s: negative burst %g ignored", t.Name, t.Limit.Burst))
 		t.Limit.Burst = 0
 	}
 	return problems
 }
 
-// nobody marks a key of two tenants.
-const nobody = -1
+// ambiguousKey marks a key that belongs to several tenants.
+const ambiguousKey = -1
 
 func (c *Configuration) addKeys(index int, keys []Key) (problems []error) {
 	empty := KeyOf("")
 	for _, key := range keys {
 		if key == empty {
-			problems = append(problems, fmt.Errorf("tenant %s has an empty key; it is left out", c.tenants[index].Name))
+			problems = append(problems, fmt.Errorf("tenant %s: empty key ignored", c.tenants[index].Name))
 			continue
 		}
 		owner, known := c.byKey[key]
 		if known && owner != index {
-			problems = append(problems, fmt.Errorf("key %s of tenant %s is another's too; it is nobody's", key, c.tenants[index].Name))
-			c.byKey[key] = nobody
+			problems = append(problems, fmt.Errorf("key %s of tenant %s is also used by another tenant, key ignored", key, c.tenants[index].Name))
+			c.byKey[key] = ambiguousKey
 			continue
 		}
 		c.byKey[key] = index
@@ -95,16 +95,16 @@
 	return problems
 }
 
-// HasTenants tells whether requests need a key, but on public routes.
+// HasTenants reports whether requests on non-public routes need a key.
 func (c *Configuration) HasTenants() bool { return len(c.tenants) > 0 }
 
-// Tenants is how many there are.
+// Tenants returns the number of tenants.
 func (c *Configuration) Tenants() int { return len(c.tenants) }
 
-// Identify finds the tenant that holds a key.
+// Identify returns the tenant to which the key belongs.
 func (c *Configuration) Identify(key Key) (Tenant, bool) {
 	index, ok := c.byKey[key]
-	if !ok || index == nobody {
+	if !ok || index == ambiguousKey {
 		return Tenant{}, false
 	}
 	return c.tenants[index], true
--- a/route/tenant_test.go
+++ b/route/tenant_test.go
@@ -2,25 +2,25 @@
 
 import "testing"
 
-func TestTenantsAreFoundByTheirKeys(t *testing.T) {
+func TestIdentify(t *testing.T) {
 	a, b := KeyOf("secret a"), KeyOf("secret b")
 	tests := []struct {
 		name     string
 		tenants  []Tenant
 		key      Key
-		want     string // tenant; empty: nobody
+		want     string // tenant name; empty if none
 		problems int
 	}{
-		{"a key of one", []Tenant{{Name: "x", Keys: []Key{a, b}}}, b, "x", 0},
-		{"an unknown key", []Tenant{{Name: "x", Keys: []Key{a}}}, b, "", 0},
-		{"a key of two", []Tenant{{Name: "x", Keys: []Key{a}}, {Name: "y", Keys: []Key{a, b}}}, a, "", 1},
-		{"the other key of the second", []Tenant{{Name: "x", Keys: []Key{a}}, {Name: "y", Keys: []Key{a, b}}}, b, "y", 1},
-		{"a key of three", []Tenant{{Name: "x", Keys: []Key{a}}, {Name: "y", Keys: []Key{a}}, {Name: "z", Keys: []Key{a}}}, a, "", 2},
-		{"a key that stands twice", []Tenant{{Name: "x", Keys: []Key{a, a}}}, a, "x", 0},
-		{"an empty key", []Tenant{{Name: "x", Keys: []Key{KeyOf("")}}}, KeyOf(""), "", 1},
-		{"a tenant without a name", []Tenant{{Keys: []Key{a}}, {Name: "y", Keys: []Key{b}}}, a, "", 1},
-		{"a tenant beside it", []Tenant{{Keys: []Key{a}}, {Name: "y", Keys: []Key{b}}}, b, "y", 1},
-		{"a tenant that stands twice", []Tenant{{Name: "x", Keys: []Key{a}}, {Name: "x", Keys: []Key{b}}}, b, "x", 1},
+		{"one tenant", []Tenant{{Name: "x", Keys: []Key{a, b}}}, b, "x", 0},
+		{"unknown key", []Tenant{{Name: "x", Keys: []Key{a}}}, b, "", 0},
+		{"key of two tenants", []Tenant{{Name: "x", Keys: []Key{a}}, {Name: "y", Keys: []Key{a, b}}}, a, "", 1},
+		{"unique key of the second tenant", []Tenant{{Name: "x", Keys: []Key{a}}, {Name: "y", Keys: []Key{a, b}}}, b, "y", 1},
+		{"key of three tenants", []Tenant{{Name: "x", Keys: []Key{a}}, {Name: "y", Keys: []Key{a}}, {Name: "z", Keys: []Key{a}}}, a, "", 2},
+		{"duplicate key of one tenant", []Tenant{{Name: "x", Keys: []Key{a, a}}}, a, "x", 0},
+		{"empty key", []Tenant{{Name: "x", Keys: []Key{KeyOf("")}}}, KeyOf(""), "", 1},
+		{"unnamed tenant", []Tenant{{Keys: []Key{a}}, {Name: "y", Keys: []Key{b}}}, a, "", 1},
+		{"tenant next to an unnamed one", []Tenant{{Keys: []Key{a}}, {Name: "y", Keys: []Key{b}}}, b, "y", 1},
+		{"duplicate tenant", []Tenant{{Name: "x", Keys: []Key{a}}, {Name: "x", Keys: []Key{b}}}, b, "x", 1},
 		{"no tenants", nil, a, "", 0},
 	}
 	for _, test := range tests {
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestNegativeFiguresOfATenantCountAsAbsent(t *testing.T) {
+func TestNegativeLimitsAreIgnored(t *testing.T) {
 	c := New(1, nil, nil, Limits{})
 	key := KeyOf("a")
 	problems := c.WithTenants([]Tenant{{Name: "x", Keys: []Key{key}, Limit: Limit{Rate: -1, Burst: -2}}})
