--- a/routing/chooser.go
+++ b/routing/chooser.go
@@ -1,14 +1,14 @@
 package routing
 
-// Chooser runs a profile with memory that it uses again, so that a choice
-// allocates nothing. It is for one goroutine.
+// Chooser runs a profile with reused buffers, so that a choice does not allocate. It
+// is not safe for concurrent use.
 type Chooser struct {
 	Profile Profile
-	request Request // of the present choice
+	request Request // current request
 	scored  []Scored
 }
 
-// Choose runs the stages over the endpoints; false when none is left.
+// Choose runs the stages on the endpoints. It returns false if none remains.
 func (c *Chooser) Choose(request Request, endpoints []Endpoint) (Endpoint, bool) {
 	c.request = request
 	c.scored = c.scored[:0]
--- a/routing/filter.go
+++ b/routing/filter.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// NotLeavingFilter leaves out endpoints that are leaving.
+// NotLeavingFilter excludes endpoints that are leaving.
 type NotLeavingFilter struct{}
 
 // Name is the stage's name in logs.
 func (NotLeavingFilter) Name() string { return "not-leaving" }
 
-// Keep is true for endpoints that stay.
+// Keep reports whether the endpoint stays.
 func (NotLeavingFilter) Keep(_ *Request, endpoint *Endpoint) bool { return !endpoint.Leaving }
 
 // RowFilter keeps the endpoints of the request's service and place.
@@ -17,7 +17,7 @@
 // Name is the stage's name in logs.
 func (RowFilter) Name() string { return "row" }
 
-// Keep compares service and, where one is chosen, place.
+// Keep compares the service and, if one is chosen, the place.
 func (RowFilter) Keep(request *Request, endpoint *Endpoint) bool {
 	if endpoint.Key.Service != request.Service {
 		return false
@@ -25,13 +25,13 @@
 	return request.Place == "" || endpoint.Key.Place == request.Place
 }
 
-// NotTriedFilter leaves out endpoints that an earlier attempt used.
+// NotTriedFilter excludes endpoints used by an earlier attempt.
 type NotTriedFilter struct{}
 
 // Name is the stage's name in logs.
 func (NotTriedFilter) Name() string { return "not-tried" }
 
-// Keep is true for endpoints that are not excluded.
+// Keep reports whether the endpoint is not excluded by the request.
 func (NotTriedFilter) Keep(request *Request, endpoint *Endpoint) bool {
 	return !slices.Contains(request.Excluded, endpoint.Name)
 }
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -2,13 +2,13 @@
 
 import "math/rand/v2"
 
-// BestPicker takes the highest score; ties are drawn.
+// BestPicker picks the highest score. Ties are broken at random.
 type BestPicker struct{ Random *rand.Rand }
 
 // Name is the stage's name in logs.
 func (BestPicker) Name() string { return "best" }
 
-// Pick draws among the endpoints that share the highest score.
+// Pick returns a random endpoint among those with the highest score.
 func (p BestPicker) Pick(_ *Request, scored []Scored) Scored {
 	best, ties := 0, 1
 	for i := 1; i < len(scored); i++ {
@@ -25,14 +25,14 @@
 	return scored[best]
 }
 
-// TwoChoicesPicker draws two endpoints and takes the better one, so that many
-// choosers with old data do not all take the same.
+// TwoChoicesPicker implements the power of two choices: it draws two endpoints and
+// picks the better one, so that choosers with stale data do not herd.
 type TwoChoicesPicker struct{ Random *rand.Rand }
 
 // Name is the stage's name in logs.
 func (TwoChoicesPicker) Name() string { return "two-choices" }
 
-// Pick compares two drawn endpoints.
+// Pick returns the better one of two random endpoints.
 func (p TwoChoicesPicker) Pick(_ *Request, scored []Scored) Scored {
 	first := scored[p.Random.IntN(len(scored))]
 	second := scored[p.Random.IntN(len(scored))]
--- a/routing/prefix.go
+++ b/routing/prefix.go
@@ -9,27 +9,27 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// PrefixSettings bound a PrefixIndex.
+// PrefixSettings configures a PrefixIndex.
 type PrefixSettings struct {
-	MaximumBlocks int           // hashes kept; the least recently seen go first
-	Lifetime      time.Duration // a block not seen for longer counts as evicted
-	// GapTrust is what is left of Lifetime at a worker whose events had a gap:
-	// its evictions may have been missed, and the blocks seen last go last.
+	MaximumBlocks int           // maximum hashes kept; the least recently seen are evicted first
+	Lifetime      time.Duration // time after which an unseen block counts as evicted
+	// GapTrust replaces Lifetime after a gap in a worker's events, which may have
+	// contained evictions. Recently seen blocks are evicted last.
 	GapTrust time.Duration
 }
 
-// DefaultPrefixSettings take some ten megabytes when full.
+// DefaultPrefixSettings returns settings that limit the index to about 10 MB.
 func DefaultPrefixSettings() PrefixSettings {
 	return PrefixSettings{MaximumBlocks: 65536, Lifetime: time.Minute, GapTrust: 10 * time.Second}
 }
 
-// PrefixIndex keeps which workers are thought to hold which prompt blocks in
-// their cache, from their events and from what was sent to them. It is a hint:
-// events come late and with gaps.
+// PrefixIndex estimates which workers have which prompt blocks in their prefix
+// cache, from cache events and dispatched requests. It is approximate, since
+// events may be late or missing. It is not safe for concurrent use.
 type PrefixIndex struct {
 	settings PrefixSettings
 	blocks   map[uint64]*list.Element
-	recent   *list.List // of *prefixBlock, the last seen in front
+	lru      *list.List // of *prefixBlock, most recently seen first
 	workers  map[api.WorkerID]*prefixWorker
 }
 
@@ -43,34 +43,34 @@
 	seen   time.Time
 }
 
-// prefixWorker is what is known of a worker's events.
+// prefixWorker is the state of one worker.
 type prefixWorker struct {
-	sequence uint64    // of the last event
-	distrust time.Time // blocks seen before count as evicted
-	gone     bool      // its blocks count for nothing
-	blocks   int       // leading blocks of the prompt that Match looks for
+	sequence       uint64    // of the latest event
+	distrustBefore time.Time // blocks last seen earlier count as evicted
+	removed        bool      // its blocks are ignored
+	matched        int       // leading blocks found by the latest Match
 }
 
-// NewPrefixIndex starts with nothing known.
+// NewPrefixIndex returns an empty index.
 func NewPrefixIndex(settings PrefixSettings) *PrefixIndex {
 	return &PrefixIndex{
-		settings: settings, blocks: map[uint64]*list.Element{}, recent: list.New(),
+		settings: settings, blocks: map[uint64]*list.Element{}, lru: list.New(),
 		workers: map[api.WorkerID]*prefixWorker{},
 	}
 }
 
-// CacheEvent is a change of a worker's cache, as its engine publishes it.
+// CacheEvent is a change of a worker's cache published by its engine.
 type CacheEvent struct {
-	Sequence uint64   `json:"sequence"` // a jump is a gap; a fall is a restart
+	Sequence uint64   `json:"sequence"` // a jump indicates a gap, a decrease a restart
 	Stored   []uint64 `json:"stored,omitempty"`
 	Removed  []uint64 `json:"removed,omitempty"`
 }
 
-// Apply takes a worker's events in the order of their sequence numbers.
+// Apply applies a worker's events, which must be in order of sequence number.
 func (x *PrefixIndex) Apply(now time.Time, worker api.WorkerID, events []CacheEvent) {
 	state := x.worker(worker)
 	for _, event := range events {
-		x.follow(now, state, event.Sequence)
+		x.checkSequence(now, state, event.Sequence)
 		for _, hash := range event.Removed {
 			x.remove(hash, state)
 		}
@@ -78,18 +78,18 @@
 	}
 }
 
-// follow checks that no event is missing before this one.
-func (x *PrefixIndex) follow(now time.Time, state *prefixWorker, sequence uint64) {
+// checkSequence detects gaps and restarts before the event.
+func (x *PrefixIndex) checkSequence(now time.Time, state *prefixWorker, sequence uint64) {
 	switch {
 	case sequence <= state.sequence:
-		state.distrust = now // the engine began again with an empty cache
+		state.distrustBefore = now // the engine restarted with an empty cache
 	case state.sequence > 0 && sequence > state.sequence+1:
-		state.distrust = later(state.distrust, now.Add(-x.settings.GapTrust))
+		state.distrustBefore = maxTime(state.distrustBefore, now.Add(-x.settings.GapTrust))
 	}
 	state.sequence = sequence
 }
 
-// Sequence is that of the worker's last event.
+// Sequence returns the sequence number of the worker's last event, or 0.
 func (x *PrefixIndex) Sequence(worker api.WorkerID) uint64 {
 	if state, ok := x.workers[worker]; ok {
 		return state.sequence
@@ -97,51 +97,52 @@
 	return 0
 }
 
-// Sent notes that the worker computes the prompt and then has it cached.
+// Sent records that a prompt was sent to the worker, which then caches it.
 func (x *PrefixIndex) Sent(now time.Time, worker api.WorkerID, prefix []uint64) {
 	x.add(now, x.worker(worker), prefix)
 }
 
-// Forget drops all that is known of a worker.
+// Forget removes a worker.
 func (x *PrefixIndex) Forget(worker api.WorkerID) {
 	if state, ok := x.workers[worker]; ok {
-		state.gone = true
+		state.removed = true
 		delete(x.workers, worker)
 	}
 }
 
-// Match finds the leading blocks of the prompt at all workers; Cached then
-// tells them for each.
+// Match looks up the leading blocks of a prompt at all workers. Cached returns the
+// result for each.
 func (x *PrefixIndex) Match(now time.Time, prefix []uint64) {
 	for _, state := range x.workers {
-		state.blocks = 0
+		state.matched = 0
 	}
 	for i, hash := range prefix {
 		element, ok := x.blocks[hash]
-		if !ok || !x.extend(now, element.Value.(*prefixBlock), i) {
+		if !ok || !x.extendMatch(now, element.Value.(*prefixBlock), i) {
 			return
 		}
 	}
 }
 
-// extend counts the block for the workers that have all blocks before it.
-func (x *PrefixIndex) extend(now time.Time, block *prefixBlock, position int) bool {
+// extendMatch counts the block for the workers that have all blocks before it. It
+// reports whether there are any.
+func (x *PrefixIndex) extendMatch(now time.Time, block *prefixBlock, position int) bool {
 	oldest := now.Add(-x.settings.Lifetime)
 	found := false
 	for i := range block.holders {
 		holder := &block.holders[i]
-		if holder.worker.blocks == position && !holder.worker.gone && holder.seen.After(oldest) && !holder.seen.Before(holder.worker.distrust) {
-			holder.worker.blocks++
+		if holder.worker.matched == position && !holder.worker.removed && holder.seen.After(oldest) && !holder.seen.Before(holder.worker.distrustBefore) {
+			holder.worker.matched++
 			found = true
 		}
 	}
 	return found
 }
 
-// Cached is how many leading blocks the worker has, by the last Match.
+// Cached returns the number of leading blocks at the worker, by the latest Match.
 func (x *PrefixIndex) Cached(worker api.WorkerID) int {
 	if state, ok := x.workers[worker]; ok {
-		return state.blocks
+		return state.matched
 	}
 	return 0
 }
@@ -159,20 +160,20 @@
 	for _, hash := range hashes {
 		element, ok := x.blocks[hash]
 		if !ok {
-			element = x.recent.PushFront(&prefixBlock{hash: hash})
+			element = x.lru.PushFront(&prefixBlock{hash: hash})
 			x.blocks[hash] = element
 		}
-		x.recent.MoveToFront(element)
-		element.Value.(*prefixBlock).hold(worker, now)
+		x.lru.MoveToFront(element)
+		element.Value.(*prefixBlock).addHolder(worker, now)
 	}
-	for x.recent.Len() > x.settings.MaximumBlocks {
-		oldest := x.recent.Back()
+	for x.lru.Len() > x.settings.MaximumBlocks {
+		oldest := x.lru.Back()
 		delete(x.blocks, oldest.Value.(*prefixBlock).hash)
-		x.recent.Remove(oldest)
+		x.lru.Remove(oldest)
 	}
 }
 
-func (b *prefixBlock) hold(worker *prefixWorker, now time.Time) {
+func (b *prefixBlock) addHolder(worker *prefixWorker, now time.Time) {
 	for i := range b.holders {
 		if b.holders[i].worker == worker {
 			b.holders[i].seen = now
@@ -197,26 +198,26 @@
 		}
 	}
 	if len(block.holders) == 0 {
-		x.recent.Remove(element)
+		x.lru.Remove(element)
 		delete(x.blocks, hash)
 	}
 }
 
-func later(a, b time.Time) time.Time {
+func maxTime(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// Bounds of the work that hashing a prompt takes.
+// Bounds of prompt hashing.
 const (
-	PrefixBlockBytes    = 64  // of prompt text in a block
-	MaximumPrefixBlocks = 128 // more of a prompt is not looked at
+	PrefixBlockBytes    = 64  // size of a block of prompt text
+	MaximumPrefixBlocks = 128 // maximum blocks hashed per prompt
 )
 
-// PrefixHashes gives the hashes of the growing prefixes of a prompt, block by
-// block; what does not fill a block is left out.
+// PrefixHashes returns the hashes of the prefixes of a prompt that end at block
+// boundaries. An incomplete last block is ignored.
 func PrefixHashes(prompt []byte) []uint64 {
 	count := min(len(prompt)/PrefixBlockBytes, MaximumPrefixBlocks)
 	hashes := make([]uint64, count)
--- a/routing/prefix_test.go
+++ b/routing/prefix_test.go
@@ -16,7 +16,7 @@
 	return x.Cached(worker)
 }
 
-func TestPrefixIndexFollowsEvents(t *testing.T) {
+func TestPrefixIndexAppliesEvents(t *testing.T) {
 	settings := PrefixSettings{MaximumBlocks: 100, Lifetime: time.Minute, GapTrust: 10 * time.Second}
 	minutes := func(n int) time.Time { return prefixStart.Add(time.Duration(n) * time.Minute) }
 	seconds := func(n int) time.Time { return prefixStart.Add(time.Duration(n) * time.Second) }
@@ -26,16 +26,16 @@
 		at    time.Time
 		want  int
 	}{
-		"stored":                     {func(*PrefixIndex) {}, seconds(1), 3},
-		"removed in the middle":      {func(x *PrefixIndex) { x.Apply(seconds(1), "w", []CacheEvent{{Sequence: 2, Removed: []uint64{2}}}) }, seconds(1), 1},
-		"too old":                    {func(*PrefixIndex) {}, minutes(2), 0},
-		"gap distrusts what is old":  {func(x *PrefixIndex) { x.Apply(seconds(30), "w", []CacheEvent{{Sequence: 9}}) }, seconds(30), 0},
-		"gap trusts what is new":     {func(x *PrefixIndex) { x.Apply(seconds(5), "w", []CacheEvent{{Sequence: 9}}) }, seconds(5), 3},
-		"no gap":                     {func(x *PrefixIndex) { x.Apply(seconds(30), "w", []CacheEvent{{Sequence: 2}}) }, seconds(30), 3},
-		"restart empties the cache":  {func(x *PrefixIndex) { x.Apply(seconds(1), "w", []CacheEvent{{Sequence: 1}}) }, seconds(1), 0},
-		"forgotten worker":           {func(x *PrefixIndex) { x.Forget("w") }, seconds(1), 0},
-		"other worker's eviction":    {func(x *PrefixIndex) { x.Apply(seconds(1), "v", []CacheEvent{{Sequence: 1, Removed: []uint64{1}}}) }, seconds(1), 3},
-		"sent again keeps it recent": {func(x *PrefixIndex) { x.Sent(minutes(1), "w", []uint64{1, 2, 3}) }, minutes(2).Add(-time.Second), 3},
+		"stored":                           {func(*PrefixIndex) {}, seconds(1), 3},
+		"removal in the middle":            {func(x *PrefixIndex) { x.Apply(seconds(1), "w", []CacheEvent{{Sequence: 2, Removed: []uint64{2}}}) }, seconds(1), 1},
+		"expired":                          {func(*PrefixIndex) {}, minutes(2), 0},
+		"gap invalidates old blocks":       {func(x *PrefixIndex) { x.Apply(seconds(30), "w", []CacheEvent{{Sequence: 9}}) }, seconds(30), 0},
+		"gap keeps recent blocks":          {func(x *PrefixIndex) { x.Apply(seconds(5), "w", []CacheEvent{{Sequence: 9}}) }, seconds(5), 3},
+		"no gap":                           {func(x *PrefixIndex) { x.Apply(seconds(30), "w", []CacheEvent{{Sequence: 2}}) }, seconds(30), 3},
+		"restart clears the cache":         {func(x *PrefixIndex) { x.Apply(seconds(1), "w", []CacheEvent{{Sequence: 1}}) }, seconds(1), 0},
+		"forgotten worker":                 {func(x *PrefixIndex) { x.Forget("w") }, seconds(1), 0},
+		"eviction at another worker":       {func(x *PrefixIndex) { x.Apply(seconds(1), "v", []CacheEvent{{Sequence: 1, Removed: []uint64{1}}}) }, seconds(1), 3},
+		"repeated prompt refreshes blocks": {func(x *PrefixIndex) { x.Sent(minutes(1), "w", []uint64{1, 2, 3}) }, minutes(2).Add(-time.Second), 3},
 	}
 	for name, test := range cases {
 		index := NewPrefixIndex(settings)
@@ -58,14 +58,14 @@
 			} else {
 				index.Apply(prefixStart, worker, []CacheEvent{{Sequence: uint64(i + 1), Removed: hashes}})
 			}
-			if len(index.blocks) > 20 || len(index.blocks) != index.recent.Len() {
-				t.Fatalf("%d blocks, %d in order", len(index.blocks), index.recent.Len())
+			if len(index.blocks) > 20 || len(index.blocks) != index.lru.Len() {
+				t.Fatalf("%d blocks indexed, %d in the LRU list", len(index.blocks), index.lru.Len())
 			}
 		}
 	})
 }
 
-func TestPrefixHashesGrowWithThePrompt(t *testing.T) {
+func TestPrefixHashesCoverGrowingPrefixes(t *testing.T) {
 	prompt := make([]byte, 3*PrefixBlockBytes+5)
 	long := PrefixHashes(prompt)
 	if len(long) != 3 {
@@ -74,7 +74,7 @@
 	prompt[PrefixBlockBytes+1] = 1 // in the second block
 	other := PrefixHashes(prompt)
 	if other[0] != long[0] || other[1] == long[1] || other[2] == long[2] {
-		t.Fatal("a change does not show in its own and all later blocks")
+		t.Fatal("a change must affect the hashes of its block and all later ones")
 	}
 	if got := len(PrefixHashes(make([]byte, 1<<20))); got != MaximumPrefixBlocks {
 		t.Fatalf("%d hashes of a long prompt", got)
--- a/routing/profiles.go
+++ b/routing/profiles.go
@@ -7,7 +7,7 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Weights of the scorers in the profiles.
+// Scorer weights of the profiles.
 const (
 	firstTokenWeight = 4
 	onlineLoadWeight = 0.25
@@ -16,7 +16,7 @@
 	homeZoneWeight   = 0.25
 )
 
-// OnlineProfile is how a home chooses the worker of an online request.
+// OnlineProfile is the profile by which a home chooses a worker for an online request.
 func OnlineProfile(self api.Location, random *rand.Rand) Profile {
 	return Profile{
 		Name:    "online",
@@ -30,8 +30,8 @@
 	}
 }
 
-// BatchProfile is how a home chooses the worker of a batch request among those
-// with idle room.
+// BatchProfile is the profile by which a home chooses a worker for a batch request
+// among those with idle slots.
 func BatchProfile(random *rand.Rand) Profile {
 	return Profile{
 		Name:    "batch",
@@ -41,7 +41,8 @@
 	}
 }
 
-// HomeProfile is how a sidecar chooses a home router by summaries.
+// HomeProfile is the profile by which a sidecar chooses a home router from load
+// summaries.
 func HomeProfile(self api.Location, random *rand.Rand) Profile {
 	return Profile{
 		Name:    "home",
@@ -54,8 +55,8 @@
 	}
 }
 
-// HomeEndpoint is a home router as a candidate for one of its rows, by its last
-// report; nothing has been sent there since.
+// HomeEndpoint returns the endpoint of a home router for one of its rows, with the
+// load of its last report and no requests sent since.
 func HomeEndpoint(node api.Node, summary api.ServiceSummary) Endpoint {
 	return Endpoint{
 		Name: string(node.ID), Address: node.Address, Key: summary.Key(), Location: node.Location,
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,7 +1,6 @@
-// Package routing chooses an endpoint for a request in named stages: filters
-// leave out what can't take it, scorers rate the rest, a picker takes one. The
-// data that the stages read (Endpoint) is kept elsewhere; admission decides
-// whether a request runs at all.
+// Package routing chooses an endpoint for a request in named stages: filters exclude
+// endpoints, scorers rate the remaining ones, and a picker chooses one. It does not
+// maintain the endpoints, and admission of requests is decided elsewhere.
 package routing
 
 import (
@@ -11,56 +10,57 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Request is what the stages may know of a request.
+// Request holds the attributes of a request that stages may use.
 type Request struct {
 	ID         api.RequestID
 	Tenant     api.TenantID
 	Service    api.ServiceName
-	Place      api.PlaceName // chosen by weight; empty before
+	Place      api.PlaceName // empty until chosen by weight
 	Class      api.Class
 	Repeatable bool
-	Prefix     []uint64 // hashes of growing prefixes of the prompt, block by block
+	Prefix     []uint64 // prompt prefix hashes, see PrefixHashes
 	Excluded   []string // endpoint names already tried
 }
 
-// Endpoint is a candidate: a worker seen by its home, or a home seen by others.
+// Endpoint is a candidate: a worker as seen by its home, or a home as seen by other
+// nodes.
 type Endpoint struct {
 	Name     string // worker id or node id
 	Address  string
 	Key      api.RowKey
 	Location api.Location
 	Slots    int
-	Online   int // online requests in flight, with those sent since the last report
+	Online   int // online requests in flight, including those sent since the last report
 	Batch    int
-	Starting int // online requests that have no first token yet, of Online
+	Starting int // those of Online without a first token
 	Leaving  bool
-	// Sent counts what was sent there since the report that the other figures
-	// come from, which it corrects for its age; nil where they are exact.
+	// Sent counts the requests sent since the report of the load, as a correction.
+	// It is nil if the load is exact.
 	Sent *atomic.Int64
-	// Cached is how many leading blocks of the request's prompt are thought to
-	// be in the endpoint's prefix cache.
+	// Cached is the estimated number of leading prompt blocks of the request in
+	// the endpoint's prefix cache.
 	Cached int
-	// Pending is how many blocks of prompt online requests there have yet to
-	// be computed before their first token.
+	// Pending is the number of uncached prompt blocks of the online requests there
+	// that have no first token yet.
 	Pending int
-	// BatchStarting counts batch requests sent there a moment ago, whose
-	// prompts are likely being computed.
+	// BatchStarting is the number of recently sent batch requests, whose prefill is
+	// probably running.
 	BatchStarting int
 }
 
-// Filter leaves out endpoints that can't take the request.
+// Filter excludes endpoints that cannot serve the request.
 type Filter interface {
 	Name() string
 	Keep(request *Request, endpoint *Endpoint) bool
 }
 
-// Scorer rates an endpoint within 0 (worst) to 1 (best).
+// Scorer rates an endpoint from 0 (worst) to 1 (best).
 type Scorer interface {
 	Name() string
 	Score(request *Request, endpoint *Endpoint) float64
 }
 
-// Picker takes one of the scored endpoints; scored is never empty.
+// Picker chooses one of the scored endpoints. scored is never empty.
 type Picker interface {
 	Name() string
 	Pick(request *Request, scored []Scored) Scored
@@ -72,7 +72,7 @@
 	Score    float64
 }
 
-// WeightedScorer is a scorer with its share of the sum.
+// WeightedScorer is a scorer with its weight in the total score.
 type WeightedScorer struct {
 	Scorer Scorer
 	Weight float64
@@ -86,7 +86,7 @@
 	Picker  Picker
 }
 
-// Choose runs the stages over the endpoints; false when none is left.
+// Choose runs the stages on the endpoints. It returns false if none remains.
 func (p Profile) Choose(request Request, endpoints []Endpoint) (Endpoint, bool) {
 	chooser := Chooser{Profile: p, scored: make([]Scored, 0, len(endpoints))}
 	return chooser.Choose(request, endpoints)
@@ -109,7 +109,7 @@
 	return total
 }
 
-// ChoosePlace draws one of the rows by weight; false when all weights are 0.
+// ChoosePlace draws a row by weight. It returns false if all weights are 0.
 func ChoosePlace(rows []api.Row, random *rand.Rand) (api.Row, bool) {
 	total := 0.0
 	for _, row := range rows {
--- a/routing/scorer.go
+++ b/routing/scorer.go
@@ -2,20 +2,20 @@
 
 import "github.com/dykewing/dykewing/api"
 
-// LoadScorer prefers endpoints with free slots; batch counts little, since it
-// yields to online work.
+// LoadScorer prefers endpoints with free slots. Batch counts less than online
+// requests, since it is preempted.
 type LoadScorer struct{}
 
-// batchLoadShare is how much a batch request weighs against an online one
-// when an online request chooses.
-const batchLoadShare = 0.25
+// batchLoadWeight is the load of a batch request, relative to an online one, when
+// choosing for an online request.
+const batchLoadWeight = 0.25
 
 // Name is the stage's name in logs.
 func (LoadScorer) Name() string { return "load" }
 
-// Score is 1 when idle and falls towards 0 as load passes the slots.
+// Score returns slots / (slots + load): 1 when idle, 0.5 when full.
 func (LoadScorer) Score(request *Request, endpoint *Endpoint) float64 {
-	share := batchLoadShare
+	share := batchLoadWeight
 	if request.Class == api.ClassBatch {
 		share = 1
 	}
@@ -27,7 +27,7 @@
 	return slots / (slots + load)
 }
 
-// ZoneScorer prefers the own zone, then the own region.
+// ZoneScorer prefers the zone of Self, then its region.
 type ZoneScorer struct{ Self api.Location }
 
 const sameRegionScore = 0.5
@@ -35,7 +35,7 @@
 // Name is the stage's name in logs.
 func (ZoneScorer) Name() string { return "zone" }
 
-// Score is 1 in the zone, 0.5 in the region, else 0.
+// Score returns 1 in the same zone, 0.5 in the same region, and 0 elsewhere.
 func (s ZoneScorer) Score(_ *Request, endpoint *Endpoint) float64 {
 	switch {
 	case endpoint.Location == s.Self:
@@ -52,7 +52,7 @@
 // Name is the stage's name in logs.
 func (PrefixScorer) Name() string { return "prefix" }
 
-// Score is the share of the prompt's blocks thought to be cached.
+// Score returns the estimated share of the prompt's blocks in the cache.
 func (PrefixScorer) Score(request *Request, endpoint *Endpoint) float64 {
 	if len(request.Prefix) == 0 {
 		return 0
@@ -60,23 +60,23 @@
 	return float64(endpoint.Cached) / float64(len(request.Prefix))
 }
 
-// FirstTokenScorer prefers endpoints where the first token will come soonest:
-// few blocks of prompt to compute, of this request and of those before it.
+// FirstTokenScorer prefers endpoints with the shortest expected time to first token,
+// estimated from the prompt blocks to compute for this and earlier requests.
 type FirstTokenScorer struct{}
 
 const (
-	firstTokenScale     = 64.0 // blocks at which the score is a half
-	batchStartingBlocks = 12.0 // a batch prompt that is being computed
-	onlineRequestBlocks = 0.5  // an online request that makes tokens
+	halfScoreBlocks     = 64.0 // blocks at which the score is 0.5
+	batchStartingBlocks = 12.0 // blocks per batch request in prefill
+	onlineRequestBlocks = 0.5  // blocks per online request in flight
 )
 
 // Name is the stage's name in logs.
 func (FirstTokenScorer) Name() string { return "first-token" }
 
-// Score is 1 when nothing has to be computed and falls towards 0.
+// Score returns 1 if no block has to be computed, and decreases towards 0.
 func (FirstTokenScorer) Score(request *Request, endpoint *Endpoint) float64 {
 	blocks := float64(endpoint.Pending + len(request.Prefix) - endpoint.Cached)
 	blocks += batchStartingBlocks * float64(endpoint.BatchStarting)
 	blocks += onlineRequestBlocks * float64(endpoint.Online)
-	return firstTokenScale / (firstTokenScale + blocks)
+	return halfScoreBlocks / (halfScoreBlocks + blocks)
 }
--- a/routing/stages_test.go
+++ b/routing/stages_test.go
@@ -18,14 +18,14 @@
 		endpoint Endpoint
 		want     bool
 	}{
-		"stays":          {NotLeavingFilter{}, good, true},
-		"leaves":         {NotLeavingFilter{}, Endpoint{Key: testKey, Leaving: true}, false},
-		"row":            {RowFilter{}, good, true},
-		"other place":    {RowFilter{}, Endpoint{Key: api.RowKey{Service: "model", Place: "there"}}, false},
-		"other service":  {RowFilter{}, Endpoint{Key: api.RowKey{Service: "other", Place: "here"}}, false},
-		"not tried":      {NotTriedFilter{}, good, true},
-		"tried already":  {NotTriedFilter{}, Endpoint{Name: "tried", Key: testKey}, false},
-		"name of a part": {NotTriedFilter{}, Endpoint{Name: "tri", Key: testKey}, true},
+		"staying":                {NotLeavingFilter{}, good, true},
+		"leaving":                {NotLeavingFilter{}, Endpoint{Key: testKey, Leaving: true}, false},
+		"row":                    {RowFilter{}, good, true},
+		"other place":            {RowFilter{}, Endpoint{Key: api.RowKey{Service: "model", Place: "there"}}, false},
+		"other service":          {RowFilter{}, Endpoint{Key: api.RowKey{Service: "other", Place: "here"}}, false},
+		"not tried":              {NotTriedFilter{}, good, true},
+		"tried already":          {NotTriedFilter{}, Endpoint{Name: "tried", Key: testKey}, false},
+		"prefix of a tried name": {NotTriedFilter{}, Endpoint{Name: "tri", Key: testKey}, true},
 	}
 	for name, test := range cases {
 		if got := test.filter.Keep(&request, &test.endpoint); got != test.want {
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestScorersPreferTheBetterEndpoint(t *testing.T) {
+func TestScorers(t *testing.T) {
 	online := Request{Class: api.ClassOnline, Prefix: make([]uint64, 10)}
 	batch := Request{Class: api.ClassBatch}
 	here, near, far := api.Location{Region: "r", Zone: "a"}, api.Location{Region: "r", Zone: "b"}, api.Location{Region: "s", Zone: "c"}
@@ -43,17 +43,17 @@
 		request       Request
 		better, worse Endpoint
 	}{
-		"fewer online":           {LoadScorer{}, online, Endpoint{Slots: 8, Online: 1}, Endpoint{Slots: 8, Online: 2}},
-		"batch instead":          {LoadScorer{}, online, Endpoint{Slots: 8, Batch: 2}, Endpoint{Slots: 8, Online: 2}},
-		"more slots":             {LoadScorer{}, online, Endpoint{Slots: 16, Online: 2}, Endpoint{Slots: 8, Online: 2}},
-		"fewer batch":            {LoadScorer{}, batch, Endpoint{Slots: 8, Batch: 1}, Endpoint{Slots: 8, Batch: 2}},
-		"own zone":               {ZoneScorer{Self: here}, online, Endpoint{Location: here}, Endpoint{Location: near}},
-		"own region":             {ZoneScorer{Self: here}, online, Endpoint{Location: near}, Endpoint{Location: far}},
-		"longer prefix":          {PrefixScorer{}, online, Endpoint{Cached: 5}, Endpoint{Cached: 4}},
-		"cached prompt":          {FirstTokenScorer{}, online, Endpoint{Cached: 5}, Endpoint{Cached: 4}},
-		"fewer pending prompts":  {FirstTokenScorer{}, online, Endpoint{Pending: 1}, Endpoint{Pending: 2}},
-		"no batch that starts":   {FirstTokenScorer{}, online, Endpoint{}, Endpoint{BatchStarting: 1}},
-		"cache beats some queue": {FirstTokenScorer{}, online, Endpoint{Cached: 10, Pending: 5}, Endpoint{Cached: 0}},
+		"fewer online":                           {LoadScorer{}, online, Endpoint{Slots: 8, Online: 1}, Endpoint{Slots: 8, Online: 2}},
+		"batch instead of online":                {LoadScorer{}, online, Endpoint{Slots: 8, Batch: 2}, Endpoint{Slots: 8, Online: 2}},
+		"more slots":                             {LoadScorer{}, online, Endpoint{Slots: 16, Online: 2}, Endpoint{Slots: 8, Online: 2}},
+		"fewer batch":                            {LoadScorer{}, batch, Endpoint{Slots: 8, Batch: 1}, Endpoint{Slots: 8, Batch: 2}},
+		"own zone":                               {ZoneScorer{Self: here}, online, Endpoint{Location: here}, Endpoint{Location: near}},
+		"own region":                             {ZoneScorer{Self: here}, online, Endpoint{Location: near}, Endpoint{Location: far}},
+		"longer prefix":                          {PrefixScorer{}, online, Endpoint{Cached: 5}, Endpoint{Cached: 4}},
+		"cached prompt":                          {FirstTokenScorer{}, online, Endpoint{Cached: 5}, Endpoint{Cached: 4}},
+		"fewer pending prompts":                  {FirstTokenScorer{}, online, Endpoint{Pending: 1}, Endpoint{Pending: 2}},
+		"no batch in prefill":                    {FirstTokenScorer{}, online, Endpoint{}, Endpoint{BatchStarting: 1}},
+		"cached prefix outweighs pending blocks": {FirstTokenScorer{}, online, Endpoint{Cached: 10, Pending: 5}, Endpoint{Cached: 0}},
 	}
 	for name, test := range cases {
 		better, worse := test.scorer.Score(&test.request, &test.better), test.scorer.Score(&test.request, &test.worse)
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestPrefixScorerWithoutPromptIsNeutral(t *testing.T) {
+func TestPrefixScorerWithoutPrompt(t *testing.T) {
 	if got := (PrefixScorer{}).Score(&Request{}, &Endpoint{Cached: 3}); got != 0 {
 		t.Fatalf("score %v", got)
 	}
@@ -78,10 +78,10 @@
 			counts[picker.Pick(&Request{}, scored).Endpoint.Name]++
 		}
 		if counts["b"] < 300 || counts["c"] < 300 {
-			t.Errorf("%s does not share equals: %v", name, counts)
+			t.Errorf("%s does not distribute ties: %v", name, counts)
 		}
 		if name == "best" && counts["a"] > 0 {
-			t.Errorf("best picked the worst: %v", counts)
+			t.Errorf("best picked a lower score: %v", counts)
 		}
 	}
 }
@@ -113,12 +113,12 @@
 	return endpoints
 }
 
-func TestChooserAllocatesNothing(t *testing.T) {
+func TestChooserDoesNotAllocate(t *testing.T) {
 	chooser := Chooser{Profile: OnlineProfile(api.Location{Zone: "a"}, rand.New(rand.NewPCG(1, 1)))}
 	endpoints := testEndpoints(16)
 	request := Request{Service: "model", Place: "here", Class: api.ClassOnline}
 	if allocations := testing.AllocsPerRun(100, func() { chooser.Choose(request, endpoints) }); allocations > 0 {
-		t.Fatalf("%v allocations a choice", allocations)
+		t.Fatalf("%v allocations per choice", allocations)
 	}
 }
 
