--- a/retry/outcome.go
+++ b/retry/outcome.go
@@ -6,14 +6,14 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Evidence is what is known of an attempt that brought no answer.
+// Evidence describes how far an attempt without a response got.
 type Evidence struct {
-	Connected bool // a connection was given to the request
-	BytesLeft bool // a byte of it was handed to that connection
+	Connected bool // the request got a connection
+	BytesLeft bool // a byte of the request was written to it
 }
 
-// OutcomeOf reads the outcome of an attempt that brought no answer: not run
-// only when no byte of the request can have reached the peer.
+// OutcomeOf returns the outcome of an attempt without a response. It is
+// api.OutcomeNotRun only if no byte of the request can have reached the peer.
 func OutcomeOf(evidence Evidence) api.Outcome {
 	if !evidence.Connected || !evidence.BytesLeft {
 		return api.OutcomeNotRun
@@ -21,18 +21,18 @@
 	return api.OutcomeUnknown
 }
 
-// BackendAnswer is the head of a back end's answer.
+// BackendAnswer is the header of a backend's response.
 type BackendAnswer struct {
 	Status     int
-	Outcome    api.Outcome // the back end's own word, HeaderOutcome; may be empty
-	RetryAfter bool        // the answer says when to come back
-	// Application back ends run requests of their own, which may fail half
-	// way; model engines refuse before they schedule.
+	Outcome    api.Outcome // from HeaderOutcome; may be empty
+	RetryAfter bool        // a Retry-After header is present
+	// Application marks a backend that sends requests of its own, which may fail
+	// halfway. Model engines reject a request before they run it.
 	Application bool
 }
 
-// OutcomeOfAnswer reads a back end's answer. Ran means that the answer is
-// given to the caller as it is. docs/design/retries.md has the reasons.
+// OutcomeOfAnswer returns the outcome for a backend's response. After
+// api.OutcomeRan the response is forwarded unchanged. See docs/design/retries.md.
 func OutcomeOfAnswer(answer BackendAnswer) api.Outcome {
 	if answer.Outcome == api.OutcomeNotRun || answer.Outcome == api.OutcomeUnknown {
 		return answer.Outcome
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,11 +1,10 @@
-// Package retry is the one place that decides whether a failed attempt is
-// tried again, and what a caller may be told of its effect.
+// Package retry decides whether a failed attempt is retried and which outcome a caller is
+// told.
 //
-// Invariants: a request that may not be repeated is tried again only after an
-// attempt that certainly did not run. No attempt follows once a byte of an
-// answer was passed on. Retries never pass the budget, which only first
-// attempts fill, so a fleet that fails sees at most 1+BudgetRatio times its
-// ordinary load.
+// Invariants: a request that is not repeatable is retried only after an attempt that
+// certainly did not run. No attempt follows once a byte of a response was forwarded.
+// Retries never exceed the budget, which only first attempts replenish, so that a failing
+// fleet receives at most 1+BudgetRatio times its normal load.
 package retry
 
 import (
@@ -20,30 +19,30 @@
 	Number     int // 1 for the first
 	Failure    *api.Error
 	Repeatable bool
-	// Started: bytes of the answer were already passed to the caller.
+	// Started reports that part of the response was forwarded to the caller.
 	Started   bool
 	Remaining time.Duration // until the request's deadline
 }
 
-// Decision is what follows a failed attempt.
+// Decision is the reaction to a failed attempt.
 type Decision struct {
 	Again bool
 	Delay time.Duration // before the next attempt
 }
 
-// Settings bound retries.
+// Settings configures a Policy.
 type Settings struct {
 	MaximumAttempts int
-	BudgetRatio     float64 // retries allowed for each first attempt
-	BudgetBurst     float64 // retries allowed at once
-	// BaseDelay is the longest pause before the second attempt; it doubles
-	// with each further one up to MaximumDelay. The pause is drawn evenly
-	// between 0 and that bound.
+	BudgetRatio     float64 // retries per first attempt
+	BudgetBurst     float64 // maximum budget
+	// BaseDelay is the maximum delay before the second attempt. The maximum
+	// doubles with each attempt up to MaximumDelay, and the delay is drawn
+	// uniformly between 0 and it (exponential backoff with full jitter).
 	BaseDelay    time.Duration
 	MaximumDelay time.Duration
 }
 
-// DefaultSettings fit online requests.
+// DefaultSettings returns settings for online requests.
 func DefaultSettings() Settings {
 	return Settings{
 		MaximumAttempts: 4, BudgetRatio: 0.2, BudgetBurst: 20,
@@ -51,33 +50,33 @@
 	}
 }
 
-// Policy decides, within a budget that first attempts fill and retries use.
+// Policy decides on retries within a retry budget, which first attempts replenish.
 // It is not safe for concurrent use.
 type Policy struct {
 	settings Settings
 	budget   float64
 	random   *rand.Rand
-	// repeatUnknown is the fault that tests plant: the rule for requests that
-	// may not be repeated is left out.
-	repeatUnknown bool
+	// faultRetryUnknown is a fault injected by tests: requests that are not
+	// repeatable are retried.
+	faultRetryUnknown bool
 }
 
-// NewPolicy starts with a full budget; random draws the pauses.
+// NewPolicy returns a policy with a full budget. random is used for the delays.
 func NewPolicy(settings Settings, random *rand.Rand) *Policy {
 	return &Policy{settings: settings, budget: settings.BudgetBurst, random: random}
 }
 
-// FirstAttempt credits the budget.
+// FirstAttempt replenishes the budget. It must be called once per request.
 func (p *Policy) FirstAttempt() {
 	p.budget = min(p.budget+p.settings.BudgetRatio, p.settings.BudgetBurst)
 }
 
-// Decide says whether to try again elsewhere.
+// Decide decides whether to retry after a failed attempt. A retry consumes budget.
 func (p *Policy) Decide(attempt Attempt) Decision {
-	if attempt.Started || !retriable(attempt.Failure) {
+	if attempt.Started || !retryable(attempt.Failure) {
 		return Decision{}
 	}
-	if !attempt.Repeatable && attempt.Failure.Outcome != api.OutcomeNotRun && !p.repeatUnknown {
+	if !attempt.Repeatable && attempt.Failure.Outcome != api.OutcomeNotRun && !p.faultRetryUnknown {
 		return Decision{}
 	}
 	if attempt.Number >= p.settings.MaximumAttempts {
@@ -91,8 +90,7 @@
 	return Decision{Again: true, Delay: delay}
 }
 
-// delay is drawn evenly below a bound that doubles, so that the callers of a
-// broken peer spread out.
+// delay returns the backoff delay with full jitter.
 func (p *Policy) delay(number int) time.Duration {
 	bound := min(p.settings.BaseDelay<<(number-1), p.settings.MaximumDelay)
 	if bound <= 0 {
@@ -101,8 +99,8 @@
 	return time.Duration(p.random.Int64N(int64(bound)))
 }
 
-// retriable tells whether another router or worker may do better.
-func retriable(failure *api.Error) bool {
+// retryable reports whether the request may succeed at another router or worker.
+func retryable(failure *api.Error) bool {
 	switch failure.Code {
 	case api.CodeUpstream, api.CodeOutcomeUnknown, api.CodeLeaving, api.CodeNoCapacity,
 		api.CodePreempted, api.CodeNotLeader, api.CodeNoTable, api.CodeInternal, api.CodeOverloaded:
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -21,7 +21,7 @@
 	api.CodeClientCancelled, api.CodeAlreadySubmitted, api.CodeInternal, api.CodeOverloaded, api.CodeRequestTimeout,
 }
 
-func drawAttempt(t *rapid.T) Attempt {
+func genAttempt(t *rapid.T) Attempt {
 	outcomes := []api.Outcome{api.OutcomeNotRun, api.OutcomeRan, api.OutcomeUnknown}
 	return Attempt{
 		Number: rapid.IntRange(1, 6).Draw(t, "number"), Repeatable: rapid.Bool().Draw(t, "repeatable"),
@@ -32,45 +32,44 @@
 	}
 }
 
-// checkRules gives the first rule that a decision breaks.
-func checkRules(attempt Attempt, decision Decision) string {
+// violatedRule returns the first rule that a decision violates.
+func violatedRule(attempt Attempt, decision Decision) string {
 	if !decision.Again {
 		return ""
 	}
 	switch {
 	case !attempt.Repeatable && attempt.Failure.Outcome != api.OutcomeNotRun:
-		return "a request that may not be repeated is sent again after " + string(attempt.Failure.Outcome)
+		return "non-repeatable request retried after outcome " + string(attempt.Failure.Outcome)
 	case attempt.Started:
-		return "a retry after the answer began"
+		return "retry after the response started"
 	case attempt.Remaining <= decision.Delay:
-		return "a retry after the deadline"
+		return "retry after the deadline"
 	case attempt.Number >= DefaultSettings().MaximumAttempts:
 		return "too many attempts"
 	}
 	return ""
 }
 
-func TestDecideKeepsItsRules(t *testing.T) {
+func TestDecideFollowsRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := newTestPolicy()
-		attempt := drawAttempt(t)
-		if broken := checkRules(attempt, policy.Decide(attempt)); broken != "" {
-			t.Fatal(broken)
+		attempt := genAttempt(t)
+		if violated := violatedRule(attempt, policy.Decide(attempt)); violated != "" {
+			t.Fatal(violated)
 		}
 	})
 }
 
-func TestPlantedRepeatOfUnknownIsCaught(t *testing.T) {
+func TestRuleCheckDetectsRetryOfUnknownOutcome(t *testing.T) {
 	policy := newTestPolicy()
-	policy.repeatUnknown = true
+	policy.faultRetryUnknown = true
 	attempt := Attempt{Number: 1, Remaining: time.Minute, Failure: &api.Error{Code: api.CodeUpstream, Outcome: api.OutcomeUnknown}}
-	if checkRules(attempt, policy.Decide(attempt)) == "" {
-		t.Fatal("the rules do not catch a repeated unknown")
+	if violatedRule(attempt, policy.Decide(attempt)) == "" {
+		t.Fatal("retry after an unknown outcome was not detected")
 	}
 }
 
-// TestBudgetBoundsRetries has every attempt fail: retries never pass the burst
-// and the ratio of first attempts.
+// Every attempt fails. Retries must not exceed the burst plus the ratio of first attempts.
 func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultSettings()
@@ -88,7 +87,7 @@
 			}
 		}
 		if bound := settings.BudgetBurst + settings.BudgetRatio*float64(requests); float64(retries) > bound {
-			t.Fatalf("%d retries of %d requests, bound %v", retries, requests, bound)
+			t.Fatalf("%d retries for %d requests, limit %v", retries, requests, bound)
 		}
 	})
 }
@@ -101,7 +100,7 @@
 	}{
 		{"no connection", Evidence{}, api.OutcomeNotRun},
 		{"connection, no byte", Evidence{Connected: true}, api.OutcomeNotRun},
-		{"a byte", Evidence{Connected: true, BytesLeft: true}, api.OutcomeUnknown},
+		{"byte written", Evidence{Connected: true, BytesLeft: true}, api.OutcomeUnknown},
 	} {
 		if got := OutcomeOf(c.evidence); got != c.want {
 			t.Errorf("%s: %s, want %s", c.name, got, c.want)
@@ -114,13 +113,13 @@
 	}{
 		{"200", BackendAnswer{Status: 200}, api.OutcomeRan},
 		{"400", BackendAnswer{Status: 400}, api.OutcomeRan},
-		{"302 is passed on, not followed", BackendAnswer{Status: 302}, api.OutcomeRan},
+		{"302 is forwarded", BackendAnswer{Status: 302}, api.OutcomeRan},
 		{"429", BackendAnswer{Status: 429}, api.OutcomeNotRun},
-		{"429 of an application", BackendAnswer{Status: 429, Application: true}, api.OutcomeNotRun},
-		{"503 of an engine that says when", BackendAnswer{Status: 503, RetryAfter: true}, api.OutcomeNotRun},
-		{"503 that does not say when", BackendAnswer{Status: 503}, api.OutcomeUnknown},
-		{"503 of an application", BackendAnswer{Status: 503, RetryAfter: true, Application: true}, api.OutcomeUnknown},
-		{"503 of an application that says not run", BackendAnswer{Status: 503, Application: true, Outcome: api.OutcomeNotRun}, api.OutcomeNotRun},
+		{"429 from an application", BackendAnswer{Status: 429, Application: true}, api.OutcomeNotRun},
+		{"503 with Retry-After from an engine", BackendAnswer{Status: 503, RetryAfter: true}, api.OutcomeNotRun},
+		{"503 without Retry-After", BackendAnswer{Status: 503}, api.OutcomeUnknown},
+		{"503 from an application", BackendAnswer{Status: 503, RetryAfter: true, Application: true}, api.OutcomeUnknown},
+		{"503 from an application with outcome not run", BackendAnswer{Status: 503, Application: true, Outcome: api.OutcomeNotRun}, api.OutcomeNotRun},
 		{"500", BackendAnswer{Status: 500}, api.OutcomeUnknown},
 		{"502 with Retry-After", BackendAnswer{Status: 502, RetryAfter: true}, api.OutcomeUnknown},
 	} {
