--- a/fill/begin.go
+++ b/fill/begin.go
@@ -61,11 +61,11 @@
 // slots available to batch on average. It sets no limit if demand has no period, or if
 // keeping slots free would make items miss their due time.
 func (d *Demand) Start(now time.Time, slots, need int, room float64) Start {
-	if d.rhythm.Period() == 0 {
+	if d.forecast.Period() == 0 {
 		return Start{}
 	}
 	// The average of room lags behind when workers leave.
-	room = min(room, float64(slots)-d.rhythm.Mean())
+	room = min(room, float64(slots)-d.forecast.Mean())
 	start := Start{demand: d, now: now, slots: slots, required: need, minRun: minRun}
 	switch {
 	case float64(need) >= scarceUtilization*room:
@@ -95,6 +95,6 @@
 	if !s.Bounded() {
 		return s.slots
 	}
-	peak, _ := s.demand.rhythm.Peak(s.now, within)
+	peak, _ := s.demand.forecast.Peak(s.now, within)
 	return max(s.slots-int(math.Ceil(peak+peakStdDevs*math.Sqrt(peak))), 0)
 }
--- a/fill/begin_test.go
+++ b/fill/begin_test.go
@@ -58,7 +58,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			var demand Demand
 			until := 4*6600*time.Millisecond + test.at
-			observeSeries(&demand.rhythm, 0, until, test.demand, rand.New(rand.NewPCG(1, 2)))
+			observeSeries(&demand.forecast, 0, until, test.demand, rand.New(rand.NewPCG(1, 2)))
 			s := demand.Start(start.Add(until), 96, test.need, test.room)
 			if got := s.Allows(test.running, test.left); got != test.want {
 				t.Errorf("allowed: %t, limit %d", got, s.Beside(test.left))
--- a/fill/demand.go
+++ b/fill/demand.go
@@ -1,7 +1,7 @@
 // Package fill schedules batch items into slots that online requests leave idle (backfill).
 // It decides how many slots to reserve for requests that arrive before an item can be
-// preempted (Demand), which items have to run now to finish by their due time (Pressed),
-// and how many items may start or have to be preempted at each worker (Worker).
+// preempted, which items have to run now to finish by their due time, and how many items
+// may start or have to be preempted at each worker.
 //
 // The package performs no I/O and reads no clock. Its types are not safe for concurrent
 // use.
@@ -24,8 +24,8 @@
 // Demand tracks the number of online requests and how fast it grows. The zero value is ready
 // to use.
 type Demand struct {
-	recent []observation // within preemptionLatency, oldest first
-	rhythm Rhythm
+	recent   []observation // within preemptionLatency, oldest first
+	forecast Rhythm
 }
 
 type observation struct {
@@ -35,7 +35,7 @@
 
 // Observe records the number of online requests at the workers.
 func (d *Demand) Observe(now time.Time, held int) {
-	d.rhythm.Observe(now, held)
+	d.forecast.Observe(now, held)
 	d.recent = append(d.recent, observation{at: now, held: held})
 	for now.Sub(d.recent[0].at) > preemptionLatency {
 		d.recent = d.recent[1:]
@@ -43,7 +43,7 @@
 }
 
 // Rhythm returns the detected periodicity of the demand.
-func (d *Demand) Rhythm() *Rhythm { return &d.rhythm }
+func (d *Demand) Rhythm() *Rhythm { return &d.forecast }
 
 // Reserve returns how many of the slots to keep free now: the increase within the last
 // preemption latency, and at least the random variation of the number of requests.
--- a/fill/length.go
+++ b/fill/length.go
@@ -21,14 +21,14 @@
 )
 
 // Lengths estimates run times of items from moving averages of the output size, the run
-// time, and the relative run time of each worker. Create one with NewLengths.
+// time, and the relative run time of each worker. The zero value is not usable.
 type Lengths struct {
 	runTime   time.Duration // average run time of a completed item
 	textBytes float64       // average output of a completed item; 0 before the first
 	rates     map[string]float64
 }
 
-// NewLengths returns a Lengths without observations.
+// NewLengths returns an estimator without observations.
 func NewLengths() *Lengths { return &Lengths{runTime: initialRunTime, rates: map[string]float64{}} }
 
 // Run returns the average run time of an item.
--- a/fill/pressed.go
+++ b/fill/pressed.go
@@ -11,7 +11,7 @@
 // Standing is the urgency of an item with respect to its due time.
 type Standing int
 
-// Standings in the order in which items start.
+// The values are in the order in which items start.
 const (
 	Pressed Standing = iota // has to run now to finish by its due time
 	Usual
@@ -25,7 +25,7 @@
 	minMargin     = time.Second
 )
 
-// Stand returns the standing of each item. The items must be sorted by due time. An item is
+// Stand returns the urgency of each item. The items must be sorted by due time. An item is
 // Pressed if the room, the average number of slots available to batch, is just enough to
 // finish it after all items that are due before it.
 func Stand(now time.Time, items []Item, room float64) []Standing {
--- a/fill/room.go
+++ b/fill/room.go
@@ -23,7 +23,7 @@
 }
 
 // RoomPressed returns how many items that have to run now may start. They may use the half
-// of the reserve that Early does not restore, but no slot that a request waits for:
+// of the reserve that preemption does not restore, but no slot that a request waits for:
 // otherwise an item would be started and preempted in a loop.
 func RoomPressed(workers []Worker, reserve float64, waiting int) int {
 	return max(freeSlots(workers)-int(reserve/2)-waiting, 0)
@@ -48,9 +48,9 @@
 	return excess
 }
 
-// Early returns how many items to preempt at each worker, including those of Excess, to
-// restore half of the reserve before requests arrive. Items that have to run now are exempt
-// from the surplus over Excess. Only half is restored, so that the next request does not
+// Early returns how many items to preempt at each worker, including the required ones, to
+// restore half of the reserve before requests arrive. The additional preemptions must spare
+// items that have to run now. Only half is restored, so that the next request does not
 // preempt an item that has just started.
 func Early(workers []Worker, reserve float64, waiting int) []int {
 	early := Excess(workers, waiting)
--- a/placement/gather_test.go
+++ b/placement/gather_test.go
@@ -36,7 +36,7 @@
 	return counts
 }
 
-func TestGatheredMembersUseFewZones(t *testing.T) {
+func TestCompactMembersUseFewZones(t *testing.T) {
 	for _, test := range []struct {
 		name            string
 		sizes           []int
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestGatheredMembersShareARegion(t *testing.T) {
+func TestCompactMembersShareARegion(t *testing.T) {
 	stores := storesInZones(3, 3, 3, 3)
 	for i := range stores[6:] {
 		stores[6+i].Location.Region = "other"
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestGatheredGroupsAreBalancedAcrossStores(t *testing.T) {
+func TestCompactGroupsAreBalancedAcrossStores(t *testing.T) {
 	const groups = 5
 	stores := storesInZones(3, 3, 3, 2)
 	for group := range api.GroupID(groups) {
@@ -97,7 +97,7 @@
 }
 
 // Replacements stay in the zones of the group, and no step reduces its copies.
-func TestReplacementKeepsGatheredGroupTogether(t *testing.T) {
+func TestReplacementKeepsGroupCompact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stores := storesInZones(4, 4, 4)
 		members, _ := GatheredMembers(api.GroupID(rapid.IntRange(0, 9).Draw(t, "group")), stores, 5)
--- a/placement/groups.go
+++ b/placement/groups.go
@@ -17,9 +17,9 @@
 	Groups   int  // number of replicas held
 }
 
-// FirstMembers chooses the first voters of a group. They span as many zones as possible.
-// Stores are chosen by the lowest number of groups, then by rendezvous hashing. It returns
-// false if there are fewer stores than replicas.
+// FirstMembers chooses the first voters of a group. They span as many zones as possible. In
+// a zone, stores are chosen by the lowest number of groups, then by rendezvous hashing. It
+// returns false if there are fewer stores than replicas.
 func FirstMembers(group api.GroupID, stores []Store, replicas int) (replication.Members, bool) {
 	var members replication.Members
 	rest := candidateStores(stores, nil)
@@ -87,7 +87,7 @@
 	Lost     func(replica replication.ReplicaID) bool // reports a replica down for longer than the timeout
 	Leaving  func(replica replication.ReplicaID) bool // reports a replica on a machine being decommissioned
 	Replicas int                                      // target number of voters
-	Gathered bool                                     // prefers few zones, see GatheredMembers
+	Gathered bool                                     // prefers few zones
 }
 
 // NextChange returns the next membership of a group that has a lost or leaving replica, one
--- a/placement/groups_test.go
+++ b/placement/groups_test.go
@@ -23,7 +23,7 @@
 }
 
 // Guards against one store becoming a member of all groups and running out of memory.
-func TestFirstMembersAreBalancedAcrossStores(t *testing.T) {
+func TestSpreadMembersAreBalancedAcrossStores(t *testing.T) {
 	const groups, replicas = 5, 5
 	var stores []Store
 	for i := range 10 {
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestFirstMembersUseDistinctZones(t *testing.T) {
+func TestSpreadMembersUseDistinctZones(t *testing.T) {
 	stores := testStores(9, 3)
 	for group := range api.GroupID(50) {
 		members, ok := FirstMembers(group, stores, 3)
--- a/reservation/queue.go
+++ b/reservation/queue.go
@@ -19,8 +19,8 @@
 	Place chan Answer
 }
 
-// Wait returns a Waiting for a request of the frontend that arrived at now. Its deadlines
-// are computed from the durations in ask.
+// Wait returns the queue entry for a request of the frontend that arrived at now. Its
+// deadlines are computed from the durations in ask.
 func Wait(now time.Time, node api.NodeID, ask Ask) *Waiting {
 	w := &Waiting{
 		Node: node, Ask: ask, Since: now, Place: make(chan Answer, 1),
@@ -60,7 +60,7 @@
 
 // Full returns the answer for a request that got no slot and no longer waits.
 func (q *Queue) Full(now time.Time, w *Waiting) Answer {
-	answer := Answer{Full: true, Waiting: q.Len(), Until: q.Line.Look(now, overloadUse(now, w, false), q.countAhead(now, w)).Until}
+	answer := Answer{Full: true, Waiting: q.Len(), Until: q.Line.Look(now, overloadRequest(now, w, false), q.countAhead(now, w)).Until}
 	if !w.Order.Promised.IsZero() {
 		due := w.Order.Promised.Sub(now)
 		answer.Promise = &due
@@ -86,9 +86,9 @@
 // Decide decides whether a request that finds no free slot waits or is rejected.
 func (q *Queue) Decide(now time.Time, w *Waiting) overload.Verdict {
 	if w.Ask.Elsewhere {
-		return q.Line.Look(now, overloadUse(now, w, false), q.countAhead(now, w))
+		return q.Line.Look(now, overloadRequest(now, w, false), q.countAhead(now, w))
 	}
-	return q.Line.Decide(now, overloadUse(now, w, false), q.countAhead(now, w))
+	return q.Line.Decide(now, overloadRequest(now, w, false), q.countAhead(now, w))
 }
 
 // countAhead returns the number of waiting requests that precede w, including those whose
@@ -113,7 +113,7 @@
 func (q *Queue) Refuse(now time.Time) (refused []Refused) {
 	ahead := 0
 	for _, w := range q.Sorted(now) {
-		if verdict := q.Line.Decide(now, overloadUse(now, w, true), ahead); verdict.Refuse {
+		if verdict := q.Line.Decide(now, overloadRequest(now, w, true), ahead); verdict.Refuse {
 			q.Remove(w)
 			refused = append(refused, Refused{Waiting: w, Verdict: verdict})
 			continue
@@ -123,10 +123,10 @@
 	return refused
 }
 
-// overloadUse describes a request to the overload controller. A returning request counts as
+// overloadRequest describes a request to the overload controller. A returning request counts as
 // waiting: it is assumed to have no further attempt, so it is rejected only when no slot is
 // expected in time.
-func overloadUse(now time.Time, w *Waiting, waits bool) overload.Use {
+func overloadRequest(now time.Time, w *Waiting, waits bool) overload.Use {
 	return overload.Use{
 		Rank: w.Order.Rank, Begin: w.Order.Begin.Sub(now), Last: w.Order.Last.Sub(now), Waits: waits || w.Ask.Returned,
 		Promised: !w.Order.Promised.IsZero(), Due: w.Order.Promised.Sub(now),
--- a/reservation/reservation.go
+++ b/reservation/reservation.go
@@ -25,16 +25,17 @@
 type Report struct {
 	Node     api.NodeID     `json:"node"`
 	Sequence uint64         `json:"sequence"`       // increases with each report, also across restarts
-	Seen     uint64         `json:"seen,omitempty"` // latest grant included in Held
+	Seen     uint64         `json:"seen,omitempty"` // latest grant included in this report
 	Held     map[string]int `json:"held,omitempty"` // requests in flight by worker
 	// Heard is what the frontend has observed of these workers since its last report, at
 	// most reservation.MaximumWords entries.
 	Heard []Word `json:"heard,omitempty"`
-	// Born is the start time of the workers in Held that report one.
+	// Born is the start time, by worker, of those that report one.
 	Born map[string]time.Time `json:"born,omitempty"`
 }
 
-// MaximumWords is the maximum number of worker observations in one report.
+// MaximumWords is the maximum number of worker observations in one report. It exceeds the
+// number of workers that a frontend observes at one leader between two messages.
 const MaximumWords = 64
 
 // Word is what a frontend has observed of one incarnation of a worker.
@@ -44,10 +45,8 @@
 	// Pace is the pace last reported by the worker, PaceAge ago; 0 if none.
 	Pace    float64       `json:"pace,omitempty"`
 	PaceAge time.Duration `json:"pace_age,omitempty"`
-	// Streams is the number of streams that ended, and Step the mean interval between
-	// their events.
-	Streams int           `json:"streams,omitempty"`
-	Step    time.Duration `json:"step,omitempty"`
+	Streams int           `json:"streams,omitempty"` // number of streams that ended
+	Step    time.Duration `json:"step,omitempty"`    // mean interval between their events
 	worker.Outcomes
 }
 
@@ -75,16 +74,18 @@
 	Excluded []string      `json:"excluded,omitempty"`
 	Zone     string        `json:"zone,omitempty"` // of the frontend
 	Rank     hold.Rank     `json:"rank"`
-	// Begin and Last are the time left until the request must start to meet its target,
-	// and to be served at all. They are negative once that has passed.
+	// Begin is the time left until the request must start to meet its target. It is
+	// negative once that has passed.
 	Begin time.Duration `json:"begin"`
-	Last  time.Duration `json:"last"`
-	// Wait is the maximum time to queue for a slot; 0 disables queueing.
-	Wait time.Duration `json:"wait,omitempty"`
+	// Last is the time left until the request must start to be served at all. It is
+	// negative once that has passed.
+	Last time.Duration `json:"last"`
+	Wait time.Duration `json:"wait,omitempty"` // maximum time in the queue; 0 disables queueing
 	// Returned reports that the caller was probably rejected before, judging by the time
-	// it has left. Again reports that this attempt has queued at a leader before.
+	// it has left.
 	Returned bool `json:"returned,omitempty"`
-	Again    bool `json:"again,omitempty"`
+	// Again reports that this attempt has queued at a leader before.
+	Again bool `json:"again,omitempty"`
 	// Elsewhere reports that the frontend tries another leader if this one has no slot in
 	// time, so that a rejection records no promise.
 	Elsewhere bool `json:"elsewhere,omitempty"`
@@ -99,8 +100,8 @@
 	Ask    *Ask   `json:"ask,omitempty"`
 }
 
-// Answer is the reply to a Message that requests a slot. Exactly one of Worker, Blind,
-// Full and Hopeless is set.
+// Answer is the reply to a Message that requests a slot. It grants a slot at a worker, or
+// sets exactly one of the three flags that say why none was granted.
 type Answer struct {
 	Worker string `json:"worker,omitempty"` // where the slot was granted
 	Grant  uint64 `json:"grant,omitempty"`  // number of the grant
@@ -137,11 +138,10 @@
 type Book struct {
 	frontends map[api.NodeID]*frontend
 	online    map[string]int // requests by worker
-	ended     map[string]int // finished requests by worker since the last call of Ended
+	ended     map[string]int // finished requests by worker, until they are read
 	startedAt map[string]time.Time
 	lastGrant uint64
-	// changed holds the workers whose count may have changed since the last call of
-	// Touched.
+	// changed holds the workers whose count may have changed, until they are read.
 	changed map[string]bool
 }
 
@@ -160,7 +160,7 @@
 	grantedAt time.Time
 }
 
-// New returns an empty Book.
+// New returns an empty value without reports and grants.
 func New() *Book {
 	return &Book{frontends: map[api.NodeID]*frontend{}, online: map[string]int{}, ended: map[string]int{}, startedAt: map[string]time.Time{}, changed: map[string]bool{}}
 }
--- a/reservation/reservation_test.go
+++ b/reservation/reservation_test.go
@@ -252,12 +252,12 @@
 // Requests that queue again and probes do not count as new arrivals.
 func TestArrivalRateCountsOnlyNewCallers(t *testing.T) {
 	q, now := saturatedQueue(50)
-	before := q.Line.Look(now, overloadUse(now, Wait(now, "f", Ask{Rank: hold.Rank{Route: 1}, Begin: time.Second, Last: time.Second}), false), 0).PerSecond
+	before := q.Line.Look(now, overloadRequest(now, Wait(now, "f", Ask{Rank: hold.Rank{Route: 1}, Begin: time.Second, Last: time.Second}), false), 0).PerSecond
 	for range 100 {
 		q.Arrived(now, Wait(now, "f", Ask{Again: true, Begin: time.Second, Last: time.Second}))
 		q.Full(now, Wait(now, "f", Ask{Begin: time.Second, Last: time.Second}))
 	}
-	after := q.Line.Look(now, overloadUse(now, Wait(now, "f", Ask{Rank: hold.Rank{Route: 1}, Begin: time.Second, Last: time.Second}), false), 0).PerSecond
+	after := q.Line.Look(now, overloadRequest(now, Wait(now, "f", Ask{Rank: hold.Rank{Route: 1}, Begin: time.Second, Last: time.Second}), false), 0).PerSecond
 	if before != after || before < 40 || before > 60 {
 		t.Errorf("rate left for later ranks is %.1f per second, was %.1f, want 40 to 60 unchanged", after, before)
 	}
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -36,10 +36,10 @@
 	BudgetRatio     float64 // retries per first attempt
 	BudgetBurst     float64 // maximum budget
 	// BaseDelay is the maximum delay before the second attempt. The maximum
-	// doubles with each attempt up to MaximumDelay, and the delay is drawn
+	// doubles with each attempt up to a limit, and the delay is drawn
 	// uniformly between 0 and it (exponential backoff with full jitter).
 	BaseDelay    time.Duration
-	MaximumDelay time.Duration
+	MaximumDelay time.Duration // limit of the maximum
 }
 
 // DefaultSettings returns settings for online requests.
--- a/routing/prefix.go
+++ b/routing/prefix.go
@@ -13,7 +13,7 @@
 type PrefixSettings struct {
 	MaximumBlocks int           // maximum hashes kept; the least recently seen are evicted first
 	Lifetime      time.Duration // time after which an unseen block counts as evicted
-	// GapTrust replaces Lifetime after a gap in a worker's events, which may have
+	// GapTrust replaces the lifetime after a gap in a worker's events, which may have
 	// contained evictions. Recently seen blocks are evicted last.
 	GapTrust time.Duration
 }
@@ -110,8 +110,8 @@
 	}
 }
 
-// Match looks up the leading blocks of a prompt at all workers. Cached returns the
-// result for each.
+// Match looks up the leading blocks of a prompt at all workers and stores their number
+// for each worker.
 func (x *PrefixIndex) Match(now time.Time, prefix []uint64) {
 	for _, state := range x.workers {
 		state.matched = 0
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -34,8 +34,8 @@
 	Batch    int
 	Starting int // those of Online without a first token
 	Leaving  bool
-	// Sent counts the requests sent since the report of the load, as a correction.
-	// It is nil if the load is exact.
+	// The number of requests sent since the report of the load, as a correction;
+	// nil if the load is exact.
 	Sent *atomic.Int64
 	// Cached is the estimated number of leading prompt blocks of the request in
 	// the endpoint's prefix cache.
