--- a/reservation/queue.go
+++ b/reservation/queue.go
@@ -15,7 +15,7 @@
 	Ask   Ask
 	Since time.Time
 	Order hold.Request
-	// Place receives the answer. It is buffered, so that sending does not block.
+	// Place receives the response. It is buffered, so that sending does not block.
 	Place chan Answer
 }
 
@@ -58,7 +58,7 @@
 	q.Line.Placed(now, w.Order.Rank, w.Order.Class(now) == hold.InTime)
 }
 
-// Full returns the answer for a request that got no slot and no longer waits.
+// Full returns the response for a request that got no slot and no longer waits.
 func (q *Queue) Full(now time.Time, w *Waiting) Answer {
 	answer := Answer{Full: true, Waiting: q.Len(), Until: q.Line.Look(now, overloadRequest(now, w, false), q.countAhead(now, w)).Until}
 	if !w.Order.Promised.IsZero() {
--- a/reservation/reservation.go
+++ b/reservation/reservation.go
@@ -17,8 +17,8 @@
 	"github.com/dykewing/dykewing/worker"
 )
 
-// Path is the HTTP path that accepts a Message and replies with an Answer. Only processes
-// that lead a group serve it.
+// Path is the HTTP path for reports and slot requests. Only processes that lead a group
+// serve it.
 const Path = "/internal/v1/places"
 
 // Report is the number of requests that a frontend has at the workers led by the receiver.
@@ -119,8 +119,8 @@
 	Hopeless   bool          `json:"hopeless,omitempty"`
 	RetryAfter time.Duration `json:"retry_after,omitempty"`
 	// Paces is the machine part of the pace of some workers led by the process, estimated
-	// from the observations of all frontends. Consecutive answers cover the workers in
-	// turn. It may accompany any answer.
+	// from the observations of all frontends. Consecutive responses cover the workers
+	// in turn. It may accompany any response.
 	Paces map[string]float64 `json:"paces,omitempty"`
 }
 
@@ -128,7 +128,7 @@
 	// reportTTL is how long a report remains valid: the requests of a failed frontend end
 	// with it.
 	reportTTL = 1500 * time.Millisecond
-	// grantTTL is how long an unreported grant counts: either its answer was lost or its
+	// grantTTL is how long an unreported grant counts: either its response was lost or its
 	// frontend failed.
 	grantTTL = 500 * time.Millisecond
 )
