--- a/quarantine/digest.go
+++ b/quarantine/digest.go
@@ -6,30 +6,30 @@
 	"encoding/hex"
 )
 
-// digestBytes are kept of a SHA-256: callers must not be able to make two requests of
-// one digest.
+// digestBytes is the length of the truncated SHA-256. It has to stay collision resistant,
+// since callers choose the input.
 const digestBytes = 16
 
-// Digest names what makes a request the same when it comes again, with whatever id and
-// at whatever process: whose it is, where it goes and what it carries.
+// Digest identifies equal requests across retries and processes: those of one tenant with
+// the same host, target and body, whatever their request ids. It is lower-case hexadecimal.
 type Digest string
 
-// Valid tells whether it has the form that Identity.Digest gives.
+// Valid reports whether d has the form that Identity.Digest returns.
 func (d Digest) Valid() bool {
 	raw, err := hex.DecodeString(string(d))
 	return err == nil && len(raw) == digestBytes
 }
 
-// Identity is what a Digest is made of.
+// Identity is the input of a Digest.
 type Identity struct {
-	Tenant string // empty: nobody's
+	Tenant string // empty for requests without a tenant
 	Host   string
 	Target string // path and query, escaped
 	Body   []byte
 }
 
-// Digest gives the identity's digest. The tenant is a part of it: what one tenant's
-// request does is never held against another's equal one.
+// Digest returns the digest of the identity. It includes the tenant, so that a request of
+// one tenant never quarantines an equal request of another.
 func (i Identity) Digest() Digest {
 	hash := sha256.New()
 	for _, part := range [][]byte{[]byte(i.Tenant), []byte(i.Host), []byte(i.Target), i.Body} {
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -10,32 +10,32 @@
 	"time"
 )
 
-// A simulated fleet on a virtual clock: requests at workers, some of which end them,
-// others popular or asked for once, and workers that end by themselves.
+// Parameters of a fleet simulated on a virtual clock. Some requests crash their worker,
+// others are harmless (popular or unique), and workers also crash on their own.
 const (
-	fleetWorkers  = 16
-	fleetFirst    = 60 * time.Millisecond // until a run gives the first part of its answer
-	fleetStep     = 10 * time.Millisecond
-	fleetRun      = 500 * time.Millisecond
-	fleetLength   = 90 * time.Second
-	fleetBack     = 1500 * time.Millisecond
-	fleetReport   = 250 * time.Millisecond // from an end to its report
-	fleetRequests = 100                    // a second
+	fleetWorkers     = 16
+	fleetFirstByte   = 60 * time.Millisecond // until a run begins to respond
+	fleetStep        = 10 * time.Millisecond
+	fleetRunTime     = 500 * time.Millisecond
+	fleetDuration    = 90 * time.Second
+	fleetRestart     = 1500 * time.Millisecond
+	fleetReportDelay = 250 * time.Millisecond // from a crash to its report
+	fleetRequestRate = 100                    // per second
 )
 
-// fleetDay is what one simulated day has.
-type fleetDay struct {
-	endsEach time.Duration // the request that ends workers comes at this interval; 0: never
-	crash    time.Duration // a worker ends by itself at this interval; 0: never
-	popular  float64       // share of requests of a few popular bodies
-	repeats  float64       // share of those that broke off that come again once
-	workers  int           // 0: fleetWorkers
-	back     time.Duration // until a worker that ended is there again; 0: fleetBack
+// scenario configures one simulation.
+type scenario struct {
+	crashingEvery    time.Duration // interval of the crashing request; 0: never
+	randomCrashEvery time.Duration // interval of crashes without a cause; 0: never
+	popular          float64       // fraction of requests that have one of a few popular bodies
+	repeats          float64       // fraction of interrupted requests that are retried once
+	workers          int           // 0: fleetWorkers
+	restart          time.Duration // until a crashed worker has restarted; 0: fleetRestart
 }
 
-// fleetResult is what became of it.
+// fleetResult counts the outcomes of a simulation.
 type fleetResult struct {
-	runs, late int // of the request that ends workers; from 3 s after its third end on
+	runs, late int // of the crashing request: all, and those more than 3 s after its third crash
 	harmless   int
 	refused    int // harmless requests that were refused
 	served     int // harmless requests served
@@ -43,51 +43,51 @@
 
 type fleetWorker struct {
 	id      string
-	until   time.Time // it is down
+	until   time.Time // restarting until then
 	running map[Digest][]time.Time
 }
 
-type fleetReportDue struct {
+type pendingReport struct {
 	at       time.Time
 	worker   string
 	requests []Digest
 	answered []Digest
 }
 
-const ending = Digest("ends workers")
+const crashingRequest = Digest("ends workers")
 
-func playFleet(settings Settings, day fleetDay, seed uint64) (result fleetResult) {
+func simulateFleet(settings Settings, sc scenario, seed uint64) (result fleetResult) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	book := New(settings)
-	workers := make([]*fleetWorker, cmp.Or(day.workers, fleetWorkers))
+	detector := New(settings)
+	workers := make([]*fleetWorker, cmp.Or(sc.workers, fleetWorkers))
 	for i := range workers {
 		workers[i] = &fleetWorker{id: fmt.Sprint("w", i), running: map[Digest][]time.Time{}}
 	}
-	var reports []fleetReportDue
-	var again []Digest
-	ids, thirdEnd := 0, time.Time{}
-	end := func(now time.Time, w *fleetWorker) {
+	var reports []pendingReport
+	var retries []Digest
+	ids, thirdCrash := 0, time.Time{}
+	crash := func(now time.Time, w *fleetWorker) {
 		var requests, answered []Digest
 		for _, request := range slices.Sorted(maps.Keys(w.running)) {
 			if runs := w.running[request]; len(runs) > 0 {
-				if now.Sub(runs[0]) >= fleetFirst {
+				if now.Sub(runs[0]) >= fleetFirstByte {
 					answered = append(answered, request)
 				} else {
 					requests = append(requests, request)
 				}
-				if request != ending && random.Float64() < day.repeats {
-					again = append(again, request)
+				if request != crashingRequest && random.Float64() < sc.repeats {
+					retries = append(retries, request)
 				}
 			}
 		}
-		reports = append(reports, fleetReportDue{at: now.Add(fleetReport), worker: w.id, requests: requests, answered: answered})
+		reports = append(reports, pendingReport{at: now.Add(fleetReportDelay), worker: w.id, requests: requests, answered: answered})
 		ids++
-		w.id, w.until, w.running = fmt.Sprint("n", ids), now.Add(cmp.Or(day.back, fleetBack)), map[Digest][]time.Time{}
+		w.id, w.until, w.running = fmt.Sprint("n", ids), now.Add(cmp.Or(sc.restart, fleetRestart)), map[Digest][]time.Time{}
 	}
 	send := func(now time.Time, request Digest) {
-		if granted := !book.Holds(request); !granted {
-			if granted, _ = book.Trial(now, request); !granted {
-				if request != ending {
+		if granted := !detector.Holds(request); !granted {
+			if granted, _ = detector.Trial(now, request); !granted {
+				if request != crashingRequest {
 					result.refused++
 				}
 				return
@@ -97,32 +97,32 @@
 		w := workers[at]
 		for i := 0; now.Before(w.until); i++ {
 			if i == len(workers) {
-				return // none is there
+				return // all workers are down
 			}
 			w = workers[(at+i)%len(workers)]
 		}
 		w.running[request] = append(w.running[request], now)
-		if request != ending {
+		if request != crashingRequest {
 			return
 		}
 		result.runs++
-		if !thirdEnd.IsZero() && now.Sub(thirdEnd) > 3*time.Second {
+		if !thirdCrash.IsZero() && now.Sub(thirdCrash) > 3*time.Second {
 			result.late++
 		}
-		end(now, w)
+		crash(now, w)
 		if result.runs == 3 {
-			thirdEnd = now
+			thirdCrash = now
 		}
 	}
-	nextEnding, nextCrash := day.endsEach, day.crash
-	for passed := time.Duration(0); passed < fleetLength; passed += fleetStep {
+	nextCrashing, nextRandomCrash := sc.crashingEvery, sc.randomCrashEvery
+	for passed := time.Duration(0); passed < fleetDuration; passed += fleetStep {
 		now := start.Add(passed)
 		for _, w := range workers {
 			for request, runs := range w.running {
-				for len(runs) > 0 && now.Sub(runs[0]) >= fleetRun {
+				for len(runs) > 0 && now.Sub(runs[0]) >= fleetRunTime {
 					runs = runs[1:]
 					result.served++
-					book.Survived(request)
+					detector.Survived(request)
 				}
 				w.running[request] = runs
 				if len(runs) == 0 {
@@ -131,19 +131,19 @@
 			}
 		}
 		for len(reports) > 0 && !reports[0].at.After(now) {
-			book.Lost(now, Loss{Worker: reports[0].worker, Age: fleetReport, Requests: reports[0].requests, Answered: reports[0].answered})
+			detector.Lost(now, Loss{Worker: reports[0].worker, Age: fleetReportDelay, Requests: reports[0].requests, Answered: reports[0].answered})
 			reports = reports[1:]
 		}
-		book.Settle(now)
-		for _, request := range again {
+		detector.Settle(now)
+		for _, request := range retries {
 			result.harmless++
 			send(now, request)
 		}
-		again = nil
-		for random.Float64() < float64(fleetRequests)*fleetStep.Seconds() {
+		retries = nil
+		for random.Float64() < float64(fleetRequestRate)*fleetStep.Seconds() {
 			ids++
 			request := Digest(fmt.Sprint("r", ids))
-			if random.Float64() < day.popular {
+			if random.Float64() < sc.popular {
 				request = Digest(fmt.Sprint("popular", random.IntN(4)))
 			}
 			result.harmless++
@@ -152,55 +152,55 @@
 				break
 			}
 		}
-		if day.endsEach > 0 && passed >= nextEnding {
-			nextEnding += day.endsEach
-			send(now, ending)
+		if sc.crashingEvery > 0 && passed >= nextCrashing {
+			nextCrashing += sc.crashingEvery
+			send(now, crashingRequest)
 		}
-		if day.crash > 0 && passed >= nextCrash {
-			nextCrash += day.crash
+		if sc.randomCrashEvery > 0 && passed >= nextRandomCrash {
+			nextRandomCrash += sc.randomCrashEvery
 			if w := workers[random.IntN(len(workers))]; !now.Before(w.until) {
-				end(now, w)
+				crash(now, w)
 			}
 		}
 	}
 	return result
 }
 
-var fleetDays = []struct {
-	name string
-	day  fleetDay
-	most float64 // share of harmless requests that may be refused
+var scenarios = []struct {
+	name       string
+	sc         scenario
+	maxRefused float64 // largest fraction of harmless requests that may be refused
 }{
-	{"one request ends workers", fleetDay{endsEach: 300 * time.Millisecond, repeats: 0.8}, 0},
-	{"beside popular ones", fleetDay{endsEach: 300 * time.Millisecond, popular: 0.5, repeats: 0.8}, 0},
-	{"seldom, beside popular ones", fleetDay{endsEach: 5 * time.Second, popular: 0.5, repeats: 0.8}, 0},
-	{"workers end by themselves", fleetDay{crash: 400 * time.Millisecond, popular: 0.5, repeats: 0.8}, 0},
-	{"many at once, and all that broke off come again", fleetDay{endsEach: 30 * time.Millisecond, repeats: 1}, 0},
-	// All workers end within a tenth of a second under the same few requests, and none is
-	// there for a while that could survive one of these.
-	{"three workers, popular requests", fleetDay{endsEach: 30 * time.Millisecond, popular: 0.9, repeats: 0.8, workers: 3}, 0.005},
-	// Workers end faster than most runs do.
-	{"three workers, one after the other", fleetDay{endsEach: 150 * time.Millisecond, popular: 0.9, repeats: 0.8, workers: 3, back: 300 * time.Millisecond}, 0},
-	{"both", fleetDay{endsEach: time.Second, crash: time.Second, popular: 0.5, repeats: 0.8}, 0},
+	{"one crashing request", scenario{crashingEvery: 300 * time.Millisecond, repeats: 0.8}, 0},
+	{"crashing and popular requests", scenario{crashingEvery: 300 * time.Millisecond, popular: 0.5, repeats: 0.8}, 0},
+	{"rare crashing and popular requests", scenario{crashingEvery: 5 * time.Second, popular: 0.5, repeats: 0.8}, 0},
+	{"workers crash on their own", scenario{randomCrashEvery: 400 * time.Millisecond, popular: 0.5, repeats: 0.8}, 0},
+	{"many crashes at once, every interrupted request is retried", scenario{crashingEvery: 30 * time.Millisecond, repeats: 1}, 0},
+	// All workers crash within 100 ms while running the same few requests, and for a while no
+	// worker is up that could survive one of these.
+	{"three workers crash at once, popular requests", scenario{crashingEvery: 30 * time.Millisecond, popular: 0.9, repeats: 0.8, workers: 3}, 0.005},
+	// Workers crash sooner than most runs complete.
+	{"three workers crash in turn, popular requests", scenario{crashingEvery: 150 * time.Millisecond, popular: 0.9, repeats: 0.8, workers: 3, restart: 300 * time.Millisecond}, 0},
+	{"a crashing request and workers that crash on their own", scenario{crashingEvery: time.Second, randomCrashEvery: time.Second, popular: 0.5, repeats: 0.8}, 0},
 }
 
 const fleetSeeds = 4
 
-// The request that ends workers runs at most three times later than 3 s after the third
-// end, trials included, and hardly any harmless request is refused.
-func TestTheOneThatEndsWorkersIsFoundAndNoOther(t *testing.T) {
-	for _, each := range fleetDays {
+// The crashing request runs at most three times, trials included, from 3 s after its third
+// crash on, and hardly any harmless request is refused.
+func TestSimulationQuarantinesOnlyCrashingRequests(t *testing.T) {
+	for _, each := range scenarios {
 		t.Run(each.name, func(t *testing.T) {
 			total := fleetResult{}
 			for seed := range uint64(fleetSeeds) {
-				result := playFleet(Settings{}, each.day, seed)
+				result := simulateFleet(Settings{}, each.sc, seed)
 				if result.late > 3 {
-					t.Errorf("seed %d: %d runs later than 3 s after the third end, of %d", seed, result.late, result.runs)
+					t.Errorf("seed %d: %d runs later than 3 s after the third crash, of %d", seed, result.late, result.runs)
 				}
 				total = total.plus(result)
 			}
 			t.Logf("%+v", total)
-			if float64(total.refused) > each.most*float64(total.harmless) {
+			if float64(total.refused) > each.maxRefused*float64(total.harmless) {
 				t.Errorf("%d of %d harmless requests were refused", total.refused, total.harmless)
 			}
 		})
@@ -214,12 +214,11 @@
 	}
 }
 
-// Without word of runs that workers survive, popular requests are refused: the other way
-// that was weighed, and a planted fault that the check above sees.
-func TestCountsOfEndsAloneRefuseHarmlessRequests(t *testing.T) {
+// Popular requests are refused when surviving runs are ignored, which the test above detects.
+func TestIgnoringSurvivalsRefusesHarmlessRequests(t *testing.T) {
 	total := fleetResult{}
-	for _, each := range fleetDays {
-		result := playFleet(Settings{Fault: FaultIgnoreSurvivals}, each.day, 1)
+	for _, each := range scenarios {
+		result := simulateFleet(Settings{Fault: FaultIgnoreSurvivals}, each.sc, 1)
 		t.Logf("%-30s %+v", each.name, result)
 		total = total.plus(result)
 	}
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -1,14 +1,14 @@
-// Package quarantine finds requests under which workers end, so that they are not sent
-// to more of them.
+// Package quarantine detects requests that crash workers, so that they are not sent to
+// more of them.
 //
-// Processes report, for each worker that ended, the requests that they had there. One of
-// these may have ended it, the others only shared it. A Book tells them apart: a request
-// is found once Ends workers have ended under it, and no run of it came to an end that its
-// worker survived. An end under a run that had given a part of its answer says less, and
-// nothing where a request that was found explains it: requests end workers mostly as they
-// begin. In a simulated fleet where half of the
-// requests are popular and workers end, 2 to 9 of 20 requests were refused without the
-// second condition, none with it. It has no input, output or clock: time is passed in.
+// Processes report, for each crashed worker, the requests that they had in flight there.
+// One of these may have caused the crash; the others only shared the worker. A request is
+// quarantined once a threshold of workers has crashed while running it and no run of it has
+// completed in between with its worker still alive. Requests mostly crash a worker before
+// they respond, so a crash during a run that had begun to respond is weaker evidence, and
+// none where a quarantined request explains the crash.
+//
+// The package does no I/O and reads no clock: callers pass the time in.
 package quarantine
 
 import (
@@ -18,90 +18,91 @@
 	"time"
 )
 
-// Book is what one process knows. It is not safe for concurrent use.
+// Book collects crash reports and keeps the quarantined requests of one process. It is not
+// safe for concurrent use.
 type Book struct {
-	settings Settings
-	losses   map[string]*loss           // by worker
-	ends     map[Digest]map[string]bool // workers of losses, by request; true: no run had answered
-	found    map[Digest]*Finding
+	settings         Settings
+	crashes          map[string]*crash          // by worker
+	crashesByRequest map[Digest]map[string]bool // by request and worker; true if no run had begun to respond
+	entries          map[Digest]*Finding
 }
 
-// loss is a worker that ended.
-type loss struct {
-	at       time.Time       // when it was first told
-	requests map[Digest]bool // true: no run of it there had given a part of its answer
-	settled  bool            // the reports of other processes are there
+// crash is the crash of one worker.
+type crash struct {
+	at        time.Time       // as first reported
+	requests  map[Digest]bool // true if no run there had begun to respond
+	evaluated bool            // the report window has passed
 }
 
-// Finding is a request that is not sent to workers.
+// Finding is a quarantined request.
 type Finding struct {
 	Digest  Digest
-	Workers []string // that ended under it, sorted
-	Trials  int      // runs that it was let go for since
+	Workers []string // crashed while running it, sorted
+	Trials  int      // trial runs granted so far
 
 	nextTrial time.Time
-	asked     time.Time // when it last came again
+	lastSeen  time.Time // last arrival
 }
 
-// New gives an empty book.
 func New(settings Settings) *Book {
-	return &Book{settings: settings.withDefaults(), losses: map[string]*loss{}, ends: map[Digest]map[string]bool{}, found: map[Digest]*Finding{}}
+	return &Book{settings: settings.withDefaults(), crashes: map[string]*crash{}, crashesByRequest: map[Digest]map[string]bool{}, entries: map[Digest]*Finding{}}
 }
 
-// Loss is a worker that ended, as one process saw it.
+// Loss is the crash of a worker as reported by one process.
 type Loss struct {
 	Worker   string
-	Age      time.Duration // since then
-	Requests []Digest      // of which no run there had given a part of its answer
-	Answered []Digest      // of which one had
+	Age      time.Duration // time since the crash
+	Requests []Digest      // in flight, without any run that had begun to respond
+	Answered []Digest      // in flight, with a run that had begun to respond
 }
 
-// Lost notes that a worker ended under requests of one process.
-func (b *Book) Lost(now time.Time, told Loss) {
-	b.expire(now)
-	if told.Age >= b.settings.Life {
+// Lost records the crash of a worker with requests of one process in flight. Reports of the
+// same worker by several processes are merged.
+func (d *Book) Lost(now time.Time, report Loss) {
+	d.expire(now)
+	if report.Age >= d.settings.Life {
 		return
 	}
-	known := b.losses[told.Worker]
+	known := d.crashes[report.Worker]
 	if known == nil {
-		known = &loss{at: now.Add(-max(told.Age, 0)), requests: map[Digest]bool{}}
-		b.losses[told.Worker] = known
+		known = &crash{at: now.Add(-max(report.Age, 0)), requests: map[Digest]bool{}}
+		d.crashes[report.Worker] = known
 	}
-	for _, request := range told.Requests {
-		b.add(now, told.Worker, request, true)
+	for _, request := range report.Requests {
+		d.add(now, report.Worker, request, true)
 	}
-	for _, request := range told.Answered {
-		b.add(now, told.Worker, request, false)
+	for _, request := range report.Answered {
+		d.add(now, report.Worker, request, false)
 	}
-	known.settled = false
-	b.makeRoom()
+	known.evaluated = false
+	d.enforceLimits()
 }
 
-// add notes a request of an ended worker; silent: no run of it had answered, as far as the
-// process knows that tells it.
-func (b *Book) add(now time.Time, worker string, request Digest, silent bool) {
-	known := b.losses[worker]
+// add records a request in flight on a crashed worker; unanswered reports whether none of
+// the reporting process's runs had begun to respond.
+func (d *Book) add(now time.Time, worker string, request Digest, unanswered bool) {
+	known := d.crashes[worker]
 	before, again := known.requests[request]
-	if !again && len(known.requests) >= b.settings.Requests && b.settings.Fault != FaultUnbounded {
+	if !again && len(known.requests) >= d.settings.Requests && d.settings.Fault != FaultUnbounded {
 		return
 	}
-	if b.ends[request] == nil {
-		b.ends[request] = map[string]bool{}
+	if d.crashesByRequest[request] == nil {
+		d.crashesByRequest[request] = map[string]bool{}
 	}
-	silent = silent && (before || !again)
-	known.requests[request], b.ends[request][worker] = silent, silent
+	unanswered = unanswered && (before || !again)
+	known.requests[request], d.crashesByRequest[request][worker] = unanswered, unanswered
 	if again {
 		return
 	}
-	finding := b.found[request]
+	finding := d.entries[request]
 	if finding == nil {
 		return
 	}
-	finding.Workers = insert(finding.Workers, worker)
-	finding.nextTrial = later(finding.nextTrial, now.Add(b.pause(finding)))
+	finding.Workers = insertSorted(finding.Workers, worker)
+	finding.nextTrial = later(finding.nextTrial, now.Add(d.trialDelay(finding)))
 }
 
-func insert(sorted []string, worker string) []string {
+func insertSorted(sorted []string, worker string) []string {
 	at, found := slices.BinarySearch(sorted, worker)
 	if found {
 		return sorted
@@ -116,156 +117,157 @@
 	return b
 }
 
-// Survived notes that a run of a request came to an end and its worker is still there:
-// what ended under it before was ended by something else. It tells whether the request
-// was found, and is let go now.
-func (b *Book) Survived(request Digest) (released bool) {
-	if b.settings.Fault == FaultIgnoreSurvivals {
+// Survived records that a run of a request completed with its worker still alive, which
+// clears the request of all earlier crashes. It reports whether the request was quarantined
+// and is released by this.
+func (d *Book) Survived(request Digest) (released bool) {
+	if d.settings.Fault == FaultIgnoreSurvivals {
 		return false
 	}
-	return b.Release(request)
+	return d.Release(request)
 }
 
-// Release forgets all that speaks against a request, and tells whether it was found.
-func (b *Book) Release(request Digest) (released bool) {
-	for worker := range b.ends[request] {
-		delete(b.losses[worker].requests, request)
+// Release removes a request from quarantine together with all evidence against it, and
+// reports whether it was quarantined.
+func (d *Book) Release(request Digest) (released bool) {
+	for worker := range d.crashesByRequest[request] {
+		delete(d.crashes[worker].requests, request)
 	}
-	delete(b.ends, request)
-	_, released = b.found[request]
-	delete(b.found, request)
+	delete(d.crashesByRequest, request)
+	_, released = d.entries[request]
+	delete(d.entries, request)
 	return released
 }
 
-// Settle finds the requests that fit the ends told so far. Call it again at the time it
-// gives; zero when nothing waits.
-func (b *Book) Settle(now time.Time) (found []Finding, next time.Time) {
-	b.expire(now)
-	fits := map[Digest]bool{}
-	for _, known := range b.losses {
-		if known.settled {
+// Settle evaluates the crashes whose report window has passed and returns the requests that
+// it quarantines. It should be called again at next, which is zero when no crash is waiting.
+func (d *Book) Settle(now time.Time) (quarantined []Finding, next time.Time) {
+	d.expire(now)
+	candidates := map[Digest]bool{}
+	for _, known := range d.crashes {
+		if known.evaluated {
 			continue
 		}
-		if due := known.at.Add(b.settings.Settle); due.After(now) {
+		if due := known.at.Add(d.settings.Settle); due.After(now) {
 			if next.IsZero() || due.Before(next) {
 				next = due
 			}
 			continue
 		}
-		known.settled = true
-		maps.Copy(fits, known.requests)
+		known.evaluated = true
+		maps.Copy(candidates, known.requests)
 	}
-	requests := slices.Sorted(maps.Keys(fits))
-	// Those with the better evidence come first: they explain ends of the others.
-	for _, fit := range []func(ends) bool{b.enoughSilent, b.enough} {
+	requests := slices.Sorted(maps.Keys(candidates))
+	// Requests with strong evidence go first, since they explain crashes of the others.
+	for _, meets := range []func(evidence) bool{d.strong, d.sufficient} {
 		for _, request := range requests {
-			if b.found[request] == nil && fit(b.count(request, true)) {
-				found = append(found, b.find(now, request))
+			if d.entries[request] == nil && meets(d.count(request, true)) {
+				quarantined = append(quarantined, d.quarantine(now, request))
 			}
 		}
 	}
-	return found, next
+	return quarantined, next
 }
 
-// ends counts the ends of workers under a request.
-type ends struct {
-	silent int // no run of it there had given a part of its answer
-	others int // one had, and nothing that was found explains the end
+// evidence counts the crashes of workers that ran a request.
+type evidence struct {
+	unanswered int // no run there had begun to respond
+	answered   int // a run had begun to respond, and no quarantined request explains the crash
 }
 
-// count counts a request's ends. With settled, those of which reports may still come don't
-// count.
-func (b *Book) count(request Digest, settled bool) (count ends) {
-	for worker, silent := range b.ends[request] {
-		known := b.losses[worker]
+// count counts the crashes of a request. With evaluatedOnly, crashes whose report window is
+// still open are left out.
+func (d *Book) count(request Digest, evaluatedOnly bool) (count evidence) {
+	for worker, unanswered := range d.crashesByRequest[request] {
+		known := d.crashes[worker]
 		switch {
-		case settled && !known.settled:
-		case silent:
-			count.silent++
-		case !b.explained(known):
-			count.others++
+		case evaluatedOnly && !known.evaluated:
+		case unanswered:
+			count.unanswered++
+		case !d.explained(known):
+			count.answered++
 		}
 	}
 	return count
 }
 
-// explained tells whether a request that was found had a silent end there.
-func (b *Book) explained(known *loss) bool {
-	for request, silent := range known.requests {
-		if silent && b.found[request] != nil {
+// explained reports whether a quarantined request had an unanswered run on the worker.
+func (d *Book) explained(known *crash) bool {
+	for request, unanswered := range known.requests {
+		if unanswered && d.entries[request] != nil {
 			return true
 		}
 	}
 	return false
 }
 
-func (b *Book) enoughSilent(count ends) bool { return count.silent >= b.settings.Ends }
+func (d *Book) strong(count evidence) bool { return count.unanswered >= d.settings.Ends }
 
-func (b *Book) enough(count ends) bool {
-	return b.enoughSilent(count) || count.silent+count.others >= b.settings.Ends+moreAnswered
+func (d *Book) sufficient(count evidence) bool {
+	return d.strong(count) || count.unanswered+count.answered >= d.settings.Ends+answeredExtraCrashes
 }
 
-// find keeps a finding.
-func (b *Book) find(now time.Time, request Digest) Finding {
-	finding := &Finding{Digest: request, Workers: slices.Sorted(maps.Keys(b.ends[request])), asked: now}
-	finding.nextTrial = now.Add(b.pause(finding))
-	b.found[request] = finding
-	b.makeRoom()
+// quarantine adds a request to the quarantined ones.
+func (d *Book) quarantine(now time.Time, request Digest) Finding {
+	finding := &Finding{Digest: request, Workers: slices.Sorted(maps.Keys(d.crashesByRequest[request])), lastSeen: now}
+	finding.nextTrial = now.Add(d.trialDelay(finding))
+	d.entries[request] = finding
+	d.enforceLimits()
 	return finding.copy()
 }
 
-// copy is the finding as it stands. The book goes on adding workers to its own, in place,
-// while another goroutine may be writing what it was given.
+// copy returns a deep copy for callers: later crashes are inserted into the original's list
+// of workers in place.
 func (f *Finding) copy() Finding {
-	given := *f
-	given.Workers = slices.Clone(f.Workers)
-	return given
+	clone := *f
+	clone.Workers = slices.Clone(f.Workers)
+	return clone
 }
 
-// pause is how long a finding is not tried.
-func (b *Book) pause(finding *Finding) time.Duration {
-	return b.settings.Trials[min(finding.Trials, len(b.settings.Trials)-1)]
+// trialDelay returns the delay before the next trial run.
+func (d *Book) trialDelay(finding *Finding) time.Duration {
+	return d.settings.Trials[min(finding.Trials, len(d.settings.Trials)-1)]
 }
 
-// Adopt takes a finding that another process made, with the trials since then: what others
-// granted is not granted here once more.
-func (b *Book) Adopt(now time.Time, request Digest, trials int) {
-	if known := b.found[request]; known != nil {
+// Adopt merges a quarantined request that another process published, with the number of
+// trial runs granted so far: a trial that was granted elsewhere delays the next one here.
+func (d *Book) Adopt(now time.Time, request Digest, trials int) {
+	if known := d.entries[request]; known != nil {
 		if trials > known.Trials {
 			known.Trials = trials
-			known.nextTrial = later(known.nextTrial, now.Add(b.pause(known)))
+			known.nextTrial = later(known.nextTrial, now.Add(d.trialDelay(known)))
 		}
 		return
 	}
-	finding := &Finding{Digest: request, Trials: trials, asked: now}
-	finding.nextTrial = now.Add(b.pause(finding))
-	b.found[request] = finding
-	b.makeRoom()
+	finding := &Finding{Digest: request, Trials: trials, lastSeen: now}
+	finding.nextTrial = now.Add(d.trialDelay(finding))
+	d.entries[request] = finding
+	d.enforceLimits()
 }
 
-// Holds tells whether a request was found.
-func (b *Book) Holds(request Digest) bool { return b.found[request] != nil }
+// Holds reports whether a request is quarantined.
+func (d *Book) Holds(request Digest) bool { return d.entries[request] != nil }
 
-// Suspect is a request that one more end would show to end workers.
+// Suspect is a request that one more crash would quarantine.
 type Suspect struct {
 	Digest Digest
-	Last   time.Time // its newest end
+	Last   time.Time // its latest crash
 }
 
-// AlmostFound lists, by digest, the requests that one more end would show to end workers,
-// and those of which reports may still come: who has seen one of them go well since its
-// newest end can say so before it is found.
-func (b *Book) AlmostFound() []Suspect {
+// AlmostFound lists the requests that one more crash would quarantine, or that will be
+// quarantined once the report window of a crash has passed, sorted by digest. Processes that
+// saw a run survive since the latest crash can report it before that.
+func (d *Book) AlmostFound() []Suspect {
 	var list []Suspect
-	for request, workers := range b.ends {
-		count := b.count(request, false)
-		count.silent++
-		if b.found[request] != nil || !b.enough(count) {
+	for request, workers := range d.crashesByRequest {
+		count := d.count(request, false)
+		count.unanswered++
+		if d.entries[request] != nil || !d.sufficient(count) {
 			continue
 		}
 		suspect := Suspect{Digest: request}
 		for worker := range workers {
-			suspect.Last = later(suspect.Last, b.losses[worker].at)
+			suspect.Last = later(suspect.Last, d.crashes[worker].at)
 		}
 		list = append(list, suspect)
 	}
@@ -273,48 +275,49 @@
 	return list
 }
 
-// Suspects tells whether anything speaks against a request.
-func (b *Book) Suspects(request Digest) bool {
-	return len(b.ends[request]) > 0 || b.found[request] != nil
+// Suspects reports whether there is any evidence against a request.
+func (d *Book) Suspects(request Digest) bool {
+	return len(d.crashesByRequest[request]) > 0 || d.entries[request] != nil
 }
 
-// Empty tells whether nothing is kept that still counts.
-func (b *Book) Empty(now time.Time) bool {
-	b.expire(now)
-	return len(b.losses) == 0 && len(b.found) == 0
+// Empty reports whether there is no unexpired crash and no quarantined request.
+func (d *Book) Empty(now time.Time) bool {
+	d.expire(now)
+	return len(d.crashes) == 0 && len(d.entries) == 0
 }
 
-// Trial lets a request that was found run once when its time has come, else it tells when
-// to ask again. What was not found may run.
-func (b *Book) Trial(now time.Time, request Digest) (granted bool, wait time.Duration) {
-	finding := b.found[request]
+// Trial grants one run of a quarantined request if its next trial is due, else it returns how
+// long to wait before asking again. A request that is not quarantined is always granted.
+func (d *Book) Trial(now time.Time, request Digest) (granted bool, wait time.Duration) {
+	finding := d.entries[request]
 	if finding == nil {
 		return true, 0
 	}
-	finding.asked = now
-	if wait := finding.nextTrial.Sub(now); wait > 0 || b.settings.Fault == FaultNoTrial {
+	finding.lastSeen = now
+	if wait := finding.nextTrial.Sub(now); wait > 0 || d.settings.Fault == FaultNoTrial {
 		return false, max(wait, time.Second)
 	}
 	finding.Trials++
-	finding.nextTrial = now.Add(b.pause(finding))
+	finding.nextTrial = now.Add(d.trialDelay(finding))
 	return true, 0
 }
 
-// Findings lists what was found, sorted by digest.
-func (b *Book) Findings() []Finding {
-	list := make([]Finding, 0, len(b.found))
-	for _, finding := range b.found {
+// Findings lists the quarantined requests, sorted by digest.
+func (d *Book) Findings() []Finding {
+	list := make([]Finding, 0, len(d.entries))
+	for _, finding := range d.entries {
 		list = append(list, finding.copy())
 	}
 	slices.SortFunc(list, func(x, y Finding) int { return cmp.Compare(x.Digest, y.Digest) })
 	return list
 }
 
-// Unasked lists requests that were found and have not come again for long, sorted.
-func (b *Book) Unasked(now time.Time) []Digest {
+// Unasked lists the quarantined requests that have not arrived again within the idle timeout,
+// sorted.
+func (d *Book) Unasked(now time.Time) []Digest {
 	var list []Digest
-	for request, finding := range b.found {
-		if now.Sub(finding.asked) >= b.settings.Unasked {
+	for request, finding := range d.entries {
+		if now.Sub(finding.lastSeen) >= d.settings.Unasked {
 			list = append(list, request)
 		}
 	}
@@ -322,42 +325,42 @@
 	return list
 }
 
-// expire forgets ends that are too old to count.
-func (b *Book) expire(now time.Time) {
-	for worker, known := range b.losses {
-		if now.Sub(known.at) >= b.settings.Life {
-			b.forget(worker)
+// expire removes crashes that are too old to count.
+func (d *Book) expire(now time.Time) {
+	for worker, known := range d.crashes {
+		if now.Sub(known.at) >= d.settings.Life {
+			d.removeCrash(worker)
 		}
 	}
 }
 
-// makeRoom forgets what is over the bounds: the oldest ends, and the findings that came
-// again the longest ago.
-func (b *Book) makeRoom() {
-	if b.settings.Fault == FaultUnbounded {
+// enforceLimits evicts the oldest crashes and the least recently seen quarantined requests
+// above the limits.
+func (d *Book) enforceLimits() {
+	if d.settings.Fault == FaultUnbounded {
 		return
 	}
-	for len(b.losses) > b.settings.Losses {
-		b.forget(oldest(b.losses, func(known *loss) time.Time { return known.at }))
+	for len(d.crashes) > d.settings.Losses {
+		d.removeCrash(oldest(d.crashes, func(known *crash) time.Time { return known.at }))
 	}
-	for len(b.found) > b.settings.Findings {
-		b.Release(oldest(b.found, func(finding *Finding) time.Time { return finding.asked }))
+	for len(d.entries) > d.settings.Findings {
+		d.Release(oldest(d.entries, func(finding *Finding) time.Time { return finding.lastSeen }))
 	}
 }
 
-// oldest is the entry with the earliest time; of several, the one with the least key.
+// oldest returns the key with the earliest time, and the smallest of several.
 func oldest[K cmp.Ordered, V any](entries map[K]V, at func(V) time.Time) K {
 	return slices.MinFunc(slices.Collect(maps.Keys(entries)), func(x, y K) int {
 		return cmp.Or(at(entries[x]).Compare(at(entries[y])), cmp.Compare(x, y))
 	})
 }
 
-func (b *Book) forget(worker string) {
-	for request := range b.losses[worker].requests {
-		delete(b.ends[request], worker)
-		if len(b.ends[request]) == 0 {
-			delete(b.ends, request)
+func (d *Book) removeCrash(worker string) {
+	for request := range d.crashes[worker].requests {
+		delete(d.crashesByRequest[request], worker)
+		if len(d.crashesByRequest[request]) == 0 {
+			delete(d.crashesByRequest, request)
 		}
 	}
-	delete(b.losses, worker)
+	delete(d.crashes, worker)
 }
--- a/quarantine/settings.go
+++ b/quarantine/settings.go
@@ -2,78 +2,77 @@
 
 import "time"
 
-// Settings of a Book. Zero values take the defaults.
+// Settings configure the detection. Zero values are replaced by the defaults.
 type Settings struct {
-	// Ends is under how many workers' ends a request must have been, with no run between
-	// that a worker survived, to be found.
+	// Ends is the number of worker crashes, with no surviving run in between, after which a
+	// request is quarantined.
 	Ends int
-	// Settle is how long a worker's end waits for the reports of other processes that had
-	// requests there.
+	// Settle is how long the evaluation of a crash waits for reports of other processes that
+	// had requests on the same worker.
 	Settle time.Duration
-	// Life is how long an end counts.
+	// Life is how long a crash counts as evidence.
 	Life time.Duration
-	// Losses, Requests and Findings bound what is kept: ends, requests of one end, and
-	// requests found.
+	// Losses, Requests and Findings limit the number of crashes kept, of requests kept for
+	// one crash, and of quarantined requests.
 	Losses, Requests, Findings int
-	// Trials are the pauses before a request that was found may run once again, the last
-	// one from then on: it may only have shared its workers with another one, and software
-	// of workers changes.
+	// Trials is the backoff schedule of trial runs of a quarantined request; the last delay
+	// repeats. Trials release requests that were quarantined only because they shared workers
+	// with another one, and requests that a newer version of the worker handles.
 	Trials []time.Duration
-	// Unasked is when a request that was found and is not asked for is forgotten.
+	// Unasked is how long a quarantined request is kept after its last arrival.
 	Unasked time.Duration
 
-	Fault Fault // planted in tests
+	Fault Fault // injected by tests
 }
 
-// Fault is a planted defect; tests show with it that their checks can fail.
+// Fault is a defect that tests inject to show that their checks can fail.
 type Fault string
 
-// The planted faults.
+// Faults that tests inject.
 const (
 	FaultNone            Fault = ""
-	FaultIgnoreSurvivals Fault = "ignore-survivals" // a run that a worker survived says nothing
-	FaultNoTrial         Fault = "no-trial"         // what was found is never let go
-	FaultUnbounded       Fault = "unbounded"        // nothing is forgotten for want of room
+	FaultIgnoreSurvivals Fault = "ignore-survivals" // surviving runs are ignored
+	FaultNoTrial         Fault = "no-trial"         // no trial run is granted
+	FaultUnbounded       Fault = "unbounded"        // limits are not enforced
 )
 
 const (
-	// defaultEnds is as many as users accept (the platform's rule counts from the third).
-	defaultEnds = 3
-	// moreAnswered ends are needed where runs had given a part of their answers.
-	moreAnswered = 1
-	// defaultSettle is over the pause of a look at a worker, the way of its report, and a
-	// question in which other processes hear of it and tell of runs that went well.
-	defaultSettle = time.Second
-	// defaultLife covers a request that comes again every few minutes.
-	defaultLife = 10 * time.Minute
-	// A loss takes about 60 bytes a request: 512 x 256 of them 8 MB, seldom reached.
-	defaultLosses   = 512
-	defaultRequests = 256
-	defaultFindings = 1024
-	defaultUnasked  = time.Hour
+	defaultCrashThreshold = 3
+	// answeredExtraCrashes is added to the threshold when some of the runs had begun to respond.
+	answeredExtraCrashes = 1
+	// defaultReportWindow covers the delay of a worker probe, the delivery of its report, and
+	// one exchange in which other processes report surviving runs.
+	defaultReportWindow = time.Second
+	// defaultCrashTTL covers a request that is repeated every few minutes.
+	defaultCrashTTL = 10 * time.Minute
+	// A crash takes about 60 bytes per request, at most 8 MB in all.
+	defaultMaxCrashes  = 512
+	defaultMaxRequests = 256
+	defaultMaxEntries  = 1024
+	defaultIdleTimeout = time.Hour
 )
 
-// defaultTrials: the first is about when workers that ended are back, and frees a request
-// that only shared them; those after it are far apart, so that one that still ends workers
-// ends few.
-var defaultTrials = []time.Duration{2 * time.Second, 5 * time.Minute, 30 * time.Minute, time.Hour}
+// defaultTrialBackoff starts with about the time that crashed workers need to restart, so that
+// requests that only shared a worker are released soon. The later delays limit how many
+// workers a request crashes while it stays quarantined.
+var defaultTrialBackoff = []time.Duration{2 * time.Second, 5 * time.Minute, 30 * time.Minute, time.Hour}
 
 func (s Settings) withDefaults() Settings {
-	setDefault(&s.Ends, defaultEnds)
-	setDefault(&s.Settle, defaultSettle)
-	setDefault(&s.Life, defaultLife)
-	setDefault(&s.Losses, defaultLosses)
-	setDefault(&s.Requests, defaultRequests)
-	setDefault(&s.Findings, defaultFindings)
+	setDefault(&s.Ends, defaultCrashThreshold)
+	setDefault(&s.Settle, defaultReportWindow)
+	setDefault(&s.Life, defaultCrashTTL)
+	setDefault(&s.Losses, defaultMaxCrashes)
+	setDefault(&s.Requests, defaultMaxRequests)
+	setDefault(&s.Findings, defaultMaxEntries)
 	if len(s.Trials) == 0 {
-		s.Trials = defaultTrials
+		s.Trials = defaultTrialBackoff
 	}
-	setDefault(&s.Unasked, defaultUnasked)
+	setDefault(&s.Unasked, defaultIdleTimeout)
 	return s
 }
 
-func setDefault[T int | time.Duration](value *T, standard T) {
+func setDefault[T int | time.Duration](value *T, fallback T) {
 	if *value == 0 {
-		*value = standard
+		*value = fallback
 	}
 }
