--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,7 +1,7 @@
-// Package guard carries package quarantine between processes: each reports the workers
-// that ended with requests of its own to one store, the owner, which publishes the
-// requests that were found with the key-value service. Nothing is kept, told or computed
-// for requests that go well while no worker has ended under requests lately.
+// Package guard distributes package quarantine over processes. Each process reports the
+// workers that crashed with its requests in flight to one store, the owner, which publishes
+// the quarantined requests through the key-value service. While no worker has crashed
+// recently, successful requests cost nothing: nothing is stored, sent or hashed for them.
 package guard
 
 import (
@@ -25,125 +25,126 @@
 	"github.com/dykewing/dykewing/worker"
 )
 
-// Settings of a Guard.
+// Settings configure a Guard.
 type Settings struct {
 	Self    api.NodeID
-	Owners  func() []api.Node        // stores that may gather reports
-	Accepts func(worker string) bool // it is listed and does not leave; else it ends as planned
-	// Current is the incarnation of a worker that is listed; nil: not known here.
+	Owners  func() []api.Node        // stores that may be the owner
+	Accepts func(worker string) bool // worker is listed and not shutting down
+	// Current returns the listed incarnation of a worker; nil if this process does not know.
 	Current  func(worker string) (worker.Incarnation, bool)
-	Blind    func() bool // what others publish can't be learned now
+	Blind    func() bool // updates of the key-value service can't be received
 	KeyValue kv.Service
-	Prefix   string // of the key-value service's keys
+	Prefix   string // of all keys of the key-value service
 	Log      *logrus.Entry
 	Registry Registerer
-	// Granted is called when a request that was found may run once; may be nil.
+	// Granted is called after TakeGrant has obtained a trial run; may be nil.
 	Granted func()
 }
 
-// Guard keeps requests under which workers ended from more workers, in one process. It
-// may be used from anywhere.
+// Guard detects requests that crash workers and keeps them from further workers, in one
+// process. It is safe for concurrent use.
 type Guard struct {
 	self      api.NodeID
 	owners    func() []api.Node
 	accepts   func(worker string) bool
 	current   func(worker string) (worker.Incarnation, bool)
-	blind     func() bool
+	watchDown func() bool
 	granted   func()
 	log       *logrus.Entry
 	metrics   *metrics
 	client    *http.Client
-	published *published
-	owner     *owner // nil: this process is no store
+	published *recordStore
+	owner     *owner // nil unless this process is a store
 	wake      chan struct{}
-	watching  atomic.Bool
+	active    atomic.Bool
 	ctx       context.Context
 	cancel    context.CancelFunc
 
-	mutex  sync.Mutex // guards all below
-	broken map[worker.Incarnation]*broken
-	well   map[quarantine.Digest]time.Time // runs that ended well, while Watching
-	pruned time.Time                       // when the old ones of these were last dropped
-	book   *quarantine.Book                // of this process's own reports
-	told   map[quarantine.Digest]time.Time
-	asks   map[quarantine.Digest]ask
-	grants map[quarantine.Digest]bool
-	out    outbox
-	silent api.NodeID // the store that last did not answer a report
+	mutex             sync.Mutex // guards all below
+	broken            map[worker.Incarnation]*brokenWorker
+	survivals         map[quarantine.Digest]time.Time // last surviving runs; empty while inactive
+	survivalsPrunedAt time.Time                       // last removal of expired survivals
+	detector          *quarantine.Book                // evidence of this process only
+	ownerEntries      map[quarantine.Digest]time.Time
+	trials            map[quarantine.Digest]trialState
+	grantedTrials     map[quarantine.Digest]bool
+	outbox            outbox
+	unresponsive      api.NodeID // the last owner that did not answer a report
 }
 
-// broken is a worker at which answers broke off and that is being looked at.
-type broken struct {
+// brokenWorker is a worker that broke off responses and is being probed.
+type brokenWorker struct {
 	worker   worker.Worker
 	at       time.Time
-	requests map[quarantine.Digest]bool // true: a run there had given a part of its answer
+	requests map[quarantine.Digest]bool // true if a run there had begun to respond
 }
 
 const (
-	// toldLife is how long the owner's word counts without the key-value service's: a
-	// process that can't reach the service hears it every followInterval.
-	toldLife = 5 * time.Second
-	// Connections to owners.
-	connections        = 2
+	// ownerEntryTTL is how long a request that the owner listed is quarantined here without
+	// a published record. Processes that can't reach the key-value service ask every
+	// pollInterval.
+	ownerEntryTTL      = 5 * time.Second
+	connectionsPerHost = 2
 	dialTimeout        = 100 * time.Millisecond
 	connectionLifetime = 30 * time.Second
 	silenceLimit       = time.Second
 )
 
-// New gives a guard; Run it.
+// New returns a Guard; its Run method must be running for it to send and publish reports.
 func New(settings Settings) *Guard {
 	g := &Guard{
-		self: settings.Self, owners: settings.Owners, accepts: settings.Accepts, current: settings.Current, blind: settings.Blind, granted: settings.Granted,
+		self: settings.Self, owners: settings.Owners, accepts: settings.Accepts, current: settings.Current, watchDown: settings.Blind, granted: settings.Granted,
 		log: settings.Log, metrics: newMetrics(settings.Registry), wake: make(chan struct{}, 1),
 		client: transport.NewProbingClient(transport.Options{
-			ConnectionsPerHost: connections, DialTimeout: dialTimeout, IdleLifetime: connectionLifetime, SilenceLimit: silenceLimit,
+			ConnectionsPerHost: connectionsPerHost, DialTimeout: dialTimeout, IdleLifetime: connectionLifetime, SilenceLimit: silenceLimit,
 		}),
-		broken: map[worker.Incarnation]*broken{}, well: map[quarantine.Digest]time.Time{}, book: quarantine.New(quarantine.Settings{}),
-		told: map[quarantine.Digest]time.Time{}, asks: map[quarantine.Digest]ask{}, grants: map[quarantine.Digest]bool{},
+		broken: map[worker.Incarnation]*brokenWorker{}, survivals: map[quarantine.Digest]time.Time{}, detector: quarantine.New(quarantine.Settings{}),
+		ownerEntries: map[quarantine.Digest]time.Time{}, trials: map[quarantine.Digest]trialState{}, grantedTrials: map[quarantine.Digest]bool{},
 	}
-	g.published = newPublished(settings.KeyValue, settings.Prefix, settings.Log, g.publishedChanged)
+	g.published = newRecordStore(settings.KeyValue, settings.Prefix, settings.Log, g.publishedChanged)
 	g.ctx, g.cancel = context.WithCancel(context.Background())
 	return g
 }
 
-// View takes what is published; it is for the prefix Prefix.
+// View returns the receiver of published records, which the catalog must feed with the keys
+// under Prefix.
 func (g *Guard) View() catalog.View { return g.published }
 
-// Run reports until ctx ends.
+// Run sends reports and publishes records until ctx is done. Serve must be called before it.
 func (g *Guard) Run(ctx context.Context) {
 	defer g.client.CloseIdleConnections()
 	defer g.cancel()
 	var running sync.WaitGroup
 	running.Go(func() { g.published.run(ctx) })
-	running.Go(func() { g.tellAll(ctx) })
+	running.Go(func() { g.reportLoop(ctx) })
 	if g.owner != nil {
-		running.Go(func() { g.owner.forgetUnasked(ctx) })
+		running.Go(func() { g.owner.expireIdle(ctx) })
 	}
 	running.Wait()
 }
 
-// Watching tells whether any request is suspected or was found: else there is no need to
-// know what makes a request the same.
-func (g *Guard) Watching() bool { return g.watching.Load() }
+// Watching reports whether any request is suspected or quarantined. While it is false,
+// callers need not compute digests.
+func (g *Guard) Watching() bool { return g.active.Load() }
 
-// watch brings Watching up to date; the mutex is held.
-func (g *Guard) watch(now time.Time) {
-	for digest, until := range g.told {
+// updateActive recomputes whether the guard is active. The mutex must be held.
+func (g *Guard) updateActive(now time.Time) {
+	for digest, until := range g.ownerEntries {
 		if !now.Before(until) {
-			delete(g.told, digest)
+			delete(g.ownerEntries, digest)
 		}
 	}
-	held := max(g.published.count(), len(g.told))
-	g.metrics.held.Set(float64(held))
-	if !g.watching.Load() {
-		clear(g.well)
+	held := max(g.published.count(), len(g.ownerEntries))
+	g.metrics.quarantined.Set(float64(held))
+	if !g.active.Load() {
+		clear(g.survivals)
 	}
-	g.watching.Store(held > 0 || len(g.broken) > 0 || !g.book.Empty(now))
+	g.active.Store(held > 0 || len(g.broken) > 0 || !g.detector.Empty(now))
 }
 
-// Broke notes that the answer to a request broke off at a worker after the request may
-// have begun to run there; answered: a part of an answer to it had come before, from
-// whatever worker. Whether the worker ended is found out in the background.
+// Broke records that a worker broke off the response to a request that may have begun to run
+// there; answered reports whether any worker had begun to respond to the request before.
+// The worker is probed in the background to find out whether it crashed.
 func (g *Guard) Broke(w worker.Worker, request quarantine.Digest, answered bool) {
 	if !g.accepts(w.ID) {
 		return
@@ -152,20 +153,20 @@
 	defer g.mutex.Unlock()
 	known := g.broken[w.Incarnation()]
 	if known == nil {
-		known = &broken{worker: w, at: clock.Now(), requests: map[quarantine.Digest]bool{}}
+		known = &brokenWorker{worker: w, at: clock.Now(), requests: map[quarantine.Digest]bool{}}
 		g.broken[w.Incarnation()] = known
-		g.watch(known.at)
-		go g.look(known)
+		g.updateActive(known.at)
+		go g.probe(known)
 	}
 	known.requests[request] = known.requests[request] || answered
 }
 
-// loss is the worker's end with the requests that this process had there.
-func (b *broken) loss(now time.Time) quarantine.Loss {
+// crash returns the crash of the worker with the requests that this process had there.
+func (b *brokenWorker) crash(now time.Time) quarantine.Loss {
 	loss := quarantine.Loss{Worker: b.worker.Incarnation().String(), Age: now.Sub(b.at)}
 	for _, request := range slices.Sorted(maps.Keys(b.requests)) {
 		switch {
-		case len(loss.Requests)+len(loss.Answered) >= maximumRequests:
+		case len(loss.Requests)+len(loss.Answered) >= maxCrashRequests:
 		case b.requests[request]:
 			loss.Answered = append(loss.Answered, request)
 		default:
@@ -175,38 +176,39 @@
 	return loss
 }
 
-// look finds out whether a worker at which answers broke off has ended, and reports it.
-func (g *Guard) look(known *broken) {
-	ended := !listening(g.ctx, known.worker.Address)
-	if !pause.For(g.ctx, lookPause) {
+// probe finds out whether a worker that broke off responses has crashed, and queues a report
+// if so.
+func (g *Guard) probe(known *brokenWorker) {
+	crashed := !listening(g.ctx, known.worker.Address)
+	if !pause.For(g.ctx, probeInterval) {
 		return
 	}
-	ended = ended || !listening(g.ctx, known.worker.Address) || g.restarted(known.worker)
+	crashed = crashed || !listening(g.ctx, known.worker.Address) || g.restarted(known.worker)
 	now := clock.Now()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	delete(g.broken, known.worker.Incarnation())
-	loss := known.loss(now)
-	if ended && len(known.requests) > 0 {
-		g.book.Lost(now, loss)
-		g.out.lose(now, loss)
-		signal(g.wake)
+	loss := known.crash(now)
+	if crashed && len(known.requests) > 0 {
+		g.detector.Lost(now, loss)
+		g.outbox.addCrash(now, loss)
+		notify(g.wake)
 	}
-	g.watch(now)
-	g.metrics.count(ended)
+	g.updateActive(now)
+	g.metrics.countProbe(crashed)
 	entry := g.log.WithFields(logrus.Fields{
-		"event": "worker_looked_at", "worker": known.worker.ID, "service": known.worker.Service, "ended": ended,
+		"event": "worker_looked_at", "worker": known.worker.ID, "service": known.worker.Service, "ended": crashed,
 		"digests": loss.Requests, "answered": loss.Answered, "age_ms": loss.Age.Milliseconds(),
 	})
-	if !ended {
-		entry.Info("Answers broke off at a worker that is still there.")
+	if !crashed {
+		entry.Info("A worker broke off responses but is still listening.")
 		return
 	}
-	entry.Warn("A worker ended under requests.")
+	entry.Warn("A worker crashed with requests in flight.")
 }
 
-// restarted tells whether a later start of a worker is known: it has ended, though its next
-// start listens at the same address.
+// restarted reports whether a later incarnation of the worker is listed: the probed one has
+// crashed even if its successor listens at the same address.
 func (g *Guard) restarted(w worker.Worker) bool {
 	if g.current == nil {
 		return false
@@ -215,90 +217,90 @@
 	return ok && current.Succeeds(w.Incarnation())
 }
 
-// Survived notes that a run of a request came to an end with its worker still there: what
-// ended under it before was ended by something else.
+// Survived records that a run of a request completed with its worker still alive, which
+// clears the request of all earlier crashes.
 func (g *Guard) Survived(request quarantine.Digest) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	for _, known := range g.broken {
 		delete(known.requests, request)
 	}
-	g.noteWell(clock.Now(), request)
-	_, told := g.told[request]
-	if !g.book.Suspects(request) && !told && !g.published.holds(request) {
+	g.rememberSurvival(clock.Now(), request)
+	_, listed := g.ownerEntries[request]
+	if !g.detector.Suspects(request) && !listed && !g.published.contains(request) {
 		return
 	}
-	g.book.Survived(request)
-	delete(g.told, request)
-	g.out.survive(request)
-	signal(g.wake)
+	g.detector.Survived(request)
+	delete(g.ownerEntries, request)
+	g.outbox.addSurvival(request)
+	notify(g.wake)
 }
 
 const (
-	// wellLife is for how long a run that went well is remembered while Watching: over the
-	// time until its request would be found.
-	wellLife = 5 * time.Second
-	mostWell = 2048
+	// survivalTTL is how long a surviving run is remembered while the guard is active. It is
+	// longer than the time from a crash to the quarantine of its request.
+	survivalTTL  = 5 * time.Second
+	maxSurvivals = 2048
 )
 
-// noteWell remembers a run that went well; the mutex is held.
-func (g *Guard) noteWell(now time.Time, request quarantine.Digest) {
-	if len(g.well) >= mostWell && now.Sub(g.pruned) >= wellLife {
-		g.pruned = now
-		maps.DeleteFunc(g.well, func(_ quarantine.Digest, at time.Time) bool { return now.Sub(at) >= wellLife })
+// rememberSurvival remembers a surviving run. The mutex must be held.
+func (g *Guard) rememberSurvival(now time.Time, request quarantine.Digest) {
+	if len(g.survivals) >= maxSurvivals && now.Sub(g.survivalsPrunedAt) >= survivalTTL {
+		g.survivalsPrunedAt = now
+		maps.DeleteFunc(g.survivals, func(_ quarantine.Digest, at time.Time) bool { return now.Sub(at) >= survivalTTL })
 	}
-	if _, known := g.well[request]; known || len(g.well) < mostWell {
-		g.well[request] = now
+	if _, known := g.survivals[request]; known || len(g.survivals) < maxSurvivals {
+		g.survivals[request] = now
 	}
 }
 
-// Holds tells whether a request was found: workers end under it.
+// Holds reports whether a request is quarantined.
 func (g *Guard) Holds(request quarantine.Digest) bool {
-	if g.published.holds(request) {
+	if g.published.contains(request) {
 		return true
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return clock.Now().Before(g.told[request])
+	return clock.Now().Before(g.ownerEntries[request])
 }
 
-// publish makes a finding of this process known to all.
+// publish publishes a request that this process has quarantined.
 func (g *Guard) publish(finding quarantine.Finding) {
-	g.metrics.found.Inc()
+	g.metrics.detected.Inc()
 	g.log.WithFields(logrus.Fields{"event": "request_found", "digest": finding.Digest, "workers": finding.Workers}).
-		Warn("Workers end under a request; it is not sent to more of them.")
-	g.published.want(finding.Digest, &record{Workers: finding.Workers, Trials: finding.Trials})
+		Warn("A request crashes workers and is quarantined.")
+	g.published.enqueue(finding.Digest, &record{Workers: finding.Workers, Trials: finding.Trials})
 	now := clock.Now()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.told[finding.Digest] = now.Add(toldLife)
-	g.watch(now)
+	g.ownerEntries[finding.Digest] = now.Add(ownerEntryTTL)
+	g.updateActive(now)
 }
 
-// publishedChanged takes what came to stand with the key-value service, or went.
-func (g *Guard) publishedChanged(digest quarantine.Digest, found bool, trials int) {
+// publishedChanged handles a record that was published, updated or removed.
+func (g *Guard) publishedChanged(digest quarantine.Digest, exists bool, trials int) {
 	if g.owner != nil {
-		g.owner.publishedChanged(digest, found, trials)
+		g.owner.publishedChanged(digest, exists, trials)
 	}
 	entry := g.log.WithField("digest", digest)
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if found {
-		entry.WithFields(logrus.Fields{"event": "request_quarantined", "trials": trials}).Info("A request is not sent to workers from now on.")
+	if exists {
+		entry.WithFields(logrus.Fields{"event": "request_quarantined", "trials": trials}).Info("A request is quarantined.")
 	} else {
-		entry.WithField("event", "request_let_go").Info("A request is sent to workers from now on.")
-		g.book.Release(digest)
-		delete(g.told, digest)
-		delete(g.asks, digest)
-		delete(g.grants, digest)
+		entry.WithField("event", "request_let_go").Info("A request is no longer quarantined.")
+		g.detector.Release(digest)
+		delete(g.ownerEntries, digest)
+		delete(g.trials, digest)
+		delete(g.grantedTrials, digest)
 	}
-	g.watch(clock.Now())
+	g.updateActive(clock.Now())
 }
 
-// signal sets a channel that holds one signal.
-func signal(set chan<- struct{}) {
+// notify wakes the receiver of a channel with a buffer of one.
+func notify(wake chan<- struct{}) {
 	select {
-	case set <- struct{}{}:
+	case wake <- struct{}{}:
 	default:
 	}
 }
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -25,23 +25,23 @@
 	"github.com/dykewing/dykewing/worker"
 )
 
-const generousWait = 60 * time.Second
+const testTimeout = 60 * time.Second
 
-// digestOf is a digest for a test's word.
-func digestOf(word string) quarantine.Digest {
-	return quarantine.Identity{Target: word}.Digest()
+// digestOf returns the digest of a request with the given target.
+func digestOf(target string) quarantine.Digest {
+	return quarantine.Identity{Target: target}.Digest()
 }
 
-// service is a key-value service in memory, with the calls that a guard makes; its views
-// are told of each change.
+// service is an in-memory key-value service with the calls that a Guard makes. It passes
+// each change to its views.
 type service struct {
 	kv.Service
 
-	mutex sync.Mutex // guards all below
-	pairs map[string]kv.Pair
-	at    int64
-	down  bool
-	views []*published
+	mutex    sync.Mutex // guards all below
+	pairs    map[string]kv.Pair
+	revision int64
+	down     bool
+	views    []*recordStore
 }
 
 func (s *service) Read(_ context.Context, key string) (*kv.Pair, int64, error) {
@@ -51,9 +51,9 @@
 		return nil, 0, errors.New("down")
 	}
 	if pair, ok := s.pairs[key]; ok {
-		return &pair, s.at, nil
+		return &pair, s.revision, nil
 	}
-	return nil, s.at, nil
+	return nil, s.revision, nil
 }
 
 func (s *service) Swap(_ context.Context, swap kv.Swap) (kv.SwapResult, error) {
@@ -65,39 +65,39 @@
 	if s.pairs[swap.Key].Revision != swap.Expected {
 		return kv.SwapResult{}, nil
 	}
-	s.at++
-	event := kv.Event{Pair: kv.Pair{Key: swap.Key, Value: swap.Value, Revision: s.at}, Deleted: swap.Delete}
+	s.revision++
+	event := kv.Event{Pair: kv.Pair{Key: swap.Key, Value: swap.Value, Revision: s.revision}, Deleted: swap.Delete}
 	if swap.Delete {
 		delete(s.pairs, swap.Key)
 	} else {
 		s.pairs[swap.Key] = event.Pair
 	}
 	for _, view := range s.views {
-		view.Changes(kv.Batch{Events: []kv.Event{event}, Revision: s.at})
+		view.Changes(kv.Batch{Events: []kv.Event{event}, Revision: s.revision})
 	}
-	return kv.SwapResult{Succeeded: true, Revision: s.at}, nil
+	return kv.SwapResult{Succeeded: true, Revision: s.revision}, nil
 }
 
-// fleet is stores that may be the owner and processes that report to them.
+// fleet is a set of stores and of processes that report to them.
 type fleet struct {
-	t       *testing.T
-	service *service
-	nodes   []api.Node
-	servers map[api.NodeID]*http.ServeMux
-	mutex   sync.Mutex // guards blind, silent
-	blind   bool
-	silent  map[api.NodeID]bool
+	t            *testing.T
+	service      *service
+	nodes        []api.Node
+	servers      map[api.NodeID]*http.ServeMux
+	mutex        sync.Mutex // guards watchDown, unresponsive
+	watchDown    bool
+	unresponsive map[api.NodeID]bool
 }
 
 func newFleet(t *testing.T, stores int) *fleet {
-	f := &fleet{t: t, service: &service{pairs: map[string]kv.Pair{}}, servers: map[api.NodeID]*http.ServeMux{}, silent: map[api.NodeID]bool{}}
+	f := &fleet{t: t, service: &service{pairs: map[string]kv.Pair{}}, servers: map[api.NodeID]*http.ServeMux{}, unresponsive: map[api.NodeID]bool{}}
 	for i := range stores {
 		f.startStore(api.NodeID(fmt.Sprint("store-", i)))
 	}
 	return f
 }
 
-// startStore starts a store, or starts it anew.
+// startStore starts or restarts a store.
 func (f *fleet) startStore(id api.NodeID) {
 	mux := http.NewServeMux()
 	g := f.start(id, func(g *Guard) { g.Serve(mux) })
@@ -111,7 +111,7 @@
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f.mutex.Lock()
-		mux, silent := f.servers[id], f.silent[id]
+		mux, silent := f.servers[id], f.unresponsive[id]
 		f.mutex.Unlock()
 		if silent {
 			panic(http.ErrAbortHandler)
@@ -122,7 +122,7 @@
 	f.nodes = append(f.nodes, api.Node{ID: id, Role: api.RoleStore, Address: strings.TrimPrefix(server.URL, "http://")})
 }
 
-// start starts a process's guard.
+// start starts the Guard of a process.
 func (f *fleet) start(id api.NodeID, change func(*Guard)) *Guard {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
@@ -131,7 +131,7 @@
 		Blind: func() bool {
 			f.mutex.Lock()
 			defer f.mutex.Unlock()
-			return f.blind
+			return f.watchDown
 		},
 		KeyValue: f.service, Prefix: "/", Log: logrus.NewEntry(logger), Registry: prometheus.NewRegistry(),
 	})
@@ -165,15 +165,15 @@
 
 func (f *fleet) await(what string, done func() bool) {
 	f.t.Helper()
-	for deadline := time.Now().Add(generousWait); !done(); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); !done(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("waited in vain: %s", what)
+			f.t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// endedWorker is listed at an address where nobody listens.
-func endedWorker(t *testing.T, id string) worker.Worker {
+// crashedWorker returns a worker at an address where nothing listens.
+func crashedWorker(t *testing.T, id string) worker.Worker {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -182,8 +182,8 @@
 	return worker.Worker{ID: id, Address: listener.Addr().String()}
 }
 
-// livingWorker listens, and resets whatever comes.
-func livingWorker(t *testing.T, id string) worker.Worker {
+// resettingWorker returns a worker that listens and resets every connection.
+func resettingWorker(t *testing.T, id string) worker.Worker {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -202,23 +202,22 @@
 	return worker.Worker{ID: id, Address: listener.Addr().String()}
 }
 
-// owner is the store that processes report to.
+// owner returns the store that processes report to.
 func (f *fleet) owner() api.NodeID { return placement.Stores(ownerKey, f.nodes)[0].ID }
 
-func TestEndsThatSeveralProcessesSawAreAddedUp(t *testing.T) {
+func TestCrashesReportedByDifferentProcessesAddUp(t *testing.T) {
 	tests := []struct {
-		name string
-		// between the second and the third end.
-		between func(f *fleet)
+		name    string
+		disrupt func(f *fleet) // between the second and the third crash
 	}{
-		{"all is well", func(*fleet) {}},
-		{"the owner falls silent", func(f *fleet) { f.set(func() { f.silent[f.owner()] = true }) }},
-		{"the owner starts anew", func(f *fleet) { f.startStore(f.owner()) }},
+		{"no failure", func(*fleet) {}},
+		{"the owner stops answering", func(f *fleet) { f.set(func() { f.unresponsive[f.owner()] = true }) }},
+		{"the owner restarts", func(f *fleet) { f.startStore(f.owner()) }},
 		{"the key-value service is down", func(f *fleet) {
 			f.service.mutex.Lock()
 			f.service.down = true
 			f.service.mutex.Unlock()
-			f.set(func() { f.blind = true })
+			f.set(func() { f.watchDown = true })
 		}},
 	}
 	for _, test := range tests {
@@ -229,44 +228,43 @@
 			for i := range 3 {
 				if i == 2 {
 					for _, g := range processes[:2] {
-						f.await("a report", func() bool {
+						f.await("the report", func() bool {
 							g.mutex.Lock()
 							defer g.mutex.Unlock()
-							return g.out.known == 1
+							return g.outbox.acknowledged == 1
 						})
 					}
-					test.between(f)
+					test.disrupt(f)
 				}
-				w := endedWorker(t, fmt.Sprint("w", i))
+				w := crashedWorker(t, fmt.Sprint("w", i))
 				processes[i].Broke(w, request, false)
 				if i < 2 {
 					processes[i].Broke(w, shared, false)
 				}
 			}
 			for _, g := range processes {
-				f.await("a request that is held at "+string(g.self), func() bool { return g.Holds(request) })
+				f.await("the quarantine at "+string(g.self), func() bool { return g.Holds(request) })
 				if g.Holds(shared) {
-					t.Errorf("%s holds a request that shared two workers", g.self)
+					t.Errorf("%s quarantined a request that only shared two workers", g.self)
 				}
 			}
 		})
 	}
 }
 
-// A connection that broke, a planned end and a run that went well say nothing against a
-// request.
-func TestWhatIsNoEndUnderARequest(t *testing.T) {
+// Broken connections, planned shutdowns and surviving runs must not quarantine a request.
+func TestOnlyCrashesQuarantine(t *testing.T) {
 	tests := []struct {
-		name   string
-		worker func(t *testing.T, id string) worker.Worker
-		prefix string
-		well   bool // a run of the request goes well between
-		want   bool
+		name     string
+		worker   func(t *testing.T, id string) worker.Worker
+		prefix   string
+		survives bool // a run of the request survives after the second crash
+		want     bool
 	}{
-		{"three workers ended", endedWorker, "w", false, true},
-		{"three workers reset their answers", livingWorker, "w", false, false},
-		{"three workers left", endedWorker, "leaving", false, false},
-		{"a run went well meanwhile", endedWorker, "w", true, false},
+		{"three workers crashed", crashedWorker, "w", false, true},
+		{"three workers reset connections", resettingWorker, "w", false, false},
+		{"three workers shut down", crashedWorker, "leaving", false, false},
+		{"a run survived in between", crashedWorker, "w", true, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -275,34 +273,34 @@
 			request, other := digestOf("request"), digestOf("other")
 			for i := range 3 {
 				g.Broke(test.worker(t, fmt.Sprint(test.prefix, i)), request, false)
-				f.await("a look", func() bool {
+				f.await("the probe", func() bool {
 					g.mutex.Lock()
 					defer g.mutex.Unlock()
 					return len(g.broken) == 0
 				})
-				if test.well && i == 1 {
+				if test.survives && i == 1 {
 					g.Survived(request)
 				}
 			}
-			// What comes after it has been settled, so that an answer of none is one.
+			// Once a later request is quarantined, the first one has been evaluated too.
 			for i := range 3 {
-				g.Broke(endedWorker(t, fmt.Sprint("later", i)), other, false)
+				g.Broke(crashedWorker(t, fmt.Sprint("later", i)), other, false)
 			}
-			f.await("the other request", func() bool { return g.Holds(other) })
+			f.await("the quarantine of the other request", func() bool { return g.Holds(other) })
 			if got := g.Holds(request); got != test.want {
-				t.Errorf("held: %t", got)
+				t.Errorf("quarantined: %t", got)
 			}
 		})
 	}
 }
 
-func TestARequestThatIsHeldIsLetGo(t *testing.T) {
+func TestQuarantinedRequestIsReleased(t *testing.T) {
 	tests := []struct {
-		name string
-		let  func(f *fleet, g *Guard, request quarantine.Digest)
+		name    string
+		release func(f *fleet, g *Guard, request quarantine.Digest)
 	}{
-		{"a run of it goes well", func(_ *fleet, g *Guard, request quarantine.Digest) { g.Survived(request) }},
-		{"an operator frees it", func(f *fleet, _ *Guard, request quarantine.Digest) {
+		{"a run survives", func(_ *fleet, g *Guard, request quarantine.Digest) { g.Survived(request) }},
+		{"an operator releases it", func(f *fleet, _ *Guard, request quarantine.Digest) {
 			call, err := http.NewRequest(http.MethodDelete, "http://"+f.nodes[0].Address+PathRequests+"/"+string(request), nil)
 			if err != nil {
 				f.t.Fatal(err)
@@ -320,24 +318,24 @@
 			g, other := f.process("front-0"), f.process("front-1")
 			request := digestOf("request")
 			for i := range 3 {
-				g.Broke(endedWorker(t, fmt.Sprint("w", i)), request, false)
+				g.Broke(crashedWorker(t, fmt.Sprint("w", i)), request, false)
 			}
-			f.await("a record", func() bool { return g.published.holds(request) && other.published.holds(request) })
-			test.let(f, g, request)
-			f.await("that it is let go", func() bool { return !g.Holds(request) && !other.Holds(request) })
+			f.await("the published record", func() bool { return g.published.contains(request) && other.published.contains(request) })
+			test.release(f, g, request)
+			f.await("the release", func() bool { return !g.Holds(request) && !other.Holds(request) })
 		})
 	}
 }
 
-// One process at a time may run a request that is held, and only when its time has come.
-func TestATrialIsGrantedOnce(t *testing.T) {
+// A trial run is granted to one process only, and not before it is due.
+func TestTrialIsGrantedOnce(t *testing.T) {
 	f := newFleet(t, 1)
 	g, other := f.process("front-0"), f.process("front-1")
 	request := digestOf("request")
 	f.service.mutex.Lock()
 	value, _ := json.Marshal(record{Workers: []string{"a", "b", "c"}})
 	pair := kv.Pair{Key: "/" + Prefix + string(request), Value: value, Revision: 1}
-	f.service.pairs[pair.Key], f.service.at = pair, 1
+	f.service.pairs[pair.Key], f.service.revision = pair, 1
 	for _, view := range f.service.views {
 		view.Changes(kv.Batch{Events: []kv.Event{{Pair: pair}}, Revision: 1})
 	}
@@ -347,22 +345,22 @@
 		t.Errorf("granted %t, wait %v", granted, wait)
 	}
 	if again, left := g.Ask(t.Context(), request); again || left > wait {
-		t.Errorf("asked again: %t, %v", again, left)
+		t.Errorf("second call: granted %t, wait %v", again, left)
 	}
 	if granted, _ := other.Ask(t.Context(), request); granted {
 		t.Error("granted to another process")
 	}
 }
 
-// A store that has just begun to be asked does not know what another one found.
-func TestWhatTheOwnerDoesNotKnowIsNotTried(t *testing.T) {
+// A new owner may not yet have received what another store published.
+func TestUnknownRequestGetsNoTrial(t *testing.T) {
 	f := newFleet(t, 1)
 	if granted, wait := f.process("front-0").Ask(t.Context(), digestOf("unknown")); granted || wait <= 0 {
 		t.Errorf("granted %t, wait %v", granted, wait)
 	}
 }
 
-func TestAReportThatNoProcessMakesIsRefused(t *testing.T) {
+func TestInvalidReportIsRejected(t *testing.T) {
 	valid := digestOf("x")
 	tests := []struct {
 		name   string
@@ -370,15 +368,15 @@
 	}{
 		{"no worker", Report{Losses: []Loss{{Requests: []quarantine.Digest{valid}}}}},
 		{"a negative age", Report{Losses: []Loss{{Worker: "w", AgeMs: -1}}}},
-		{"no digest", Report{Losses: []Loss{{Worker: "w", Requests: []quarantine.Digest{"x"}}}}},
-		{"a survival of no digest", Report{Survived: []quarantine.Digest{"x"}}},
-		{"too many requests", Report{Losses: []Loss{{Worker: "w", Requests: slices.Repeat([]quarantine.Digest{valid}, maximumRequests+1)}}}},
-		{"too many losses", Report{Losses: slices.Repeat([]Loss{{Worker: "w"}}, maximumLosses+1)}},
+		{"an invalid digest", Report{Losses: []Loss{{Worker: "w", Requests: []quarantine.Digest{"x"}}}}},
+		{"an invalid digest of a survival", Report{Survived: []quarantine.Digest{"x"}}},
+		{"too many requests", Report{Losses: []Loss{{Worker: "w", Requests: slices.Repeat([]quarantine.Digest{valid}, maxCrashRequests+1)}}}},
+		{"too many losses", Report{Losses: slices.Repeat([]Loss{{Worker: "w"}}, maxReportCrashes+1)}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if test.report.check() == nil {
-				t.Error("it is taken")
+				t.Error("the report is accepted")
 			}
 		})
 	}
@@ -387,34 +385,34 @@
 	}
 }
 
-// What a process keeps to tell stays bounded while nobody takes it.
-func TestWhatIsToBeToldIsBounded(t *testing.T) {
+// The outbox must not grow without limit while no owner answers.
+func TestOutboxIsBounded(t *testing.T) {
 	var out outbox
 	now := time.Unix(1_700_000_000, 0)
-	for i := range 10 * keptLosses {
-		out.lose(now, quarantine.Loss{Worker: fmt.Sprint("w", i), Requests: []quarantine.Digest{digestOf(fmt.Sprint(i))}})
-		out.survive(digestOf(fmt.Sprint("s", i)))
+	for i := range 10 * maxStoredCrashes {
+		out.addCrash(now, quarantine.Loss{Worker: fmt.Sprint("w", i), Requests: []quarantine.Digest{digestOf(fmt.Sprint(i))}})
+		out.addSurvival(digestOf(fmt.Sprint("s", i)))
 	}
-	if len(out.losses) > keptLosses || len(out.survived) > maximumSurvived {
-		t.Errorf("%d losses, %d survivals", len(out.losses), len(out.survived))
+	if len(out.crashes) > maxStoredCrashes || len(out.survivals) > maxReportSurvivals {
+		t.Errorf("%d crashes, %d survivals", len(out.crashes), len(out.survivals))
 	}
 	report := out.report(now, "self", "owner")
 	if failure := report.check(); failure != nil {
 		t.Error(failure)
 	}
-	told := 0
+	reported := 0
 	for len(report.Losses) > 0 {
-		told += len(report.Losses)
-		out.heard(now, 1, report)
+		reported += len(report.Losses)
+		out.acknowledge(now, 1, report)
 		report = out.report(now, "self", "owner")
 	}
-	if told != keptLosses {
-		t.Errorf("%d of %d were told", told, keptLosses)
+	if reported != maxStoredCrashes {
+		t.Errorf("%d of %d crashes were reported", reported, maxStoredCrashes)
 	}
-	if again := out.report(now, "self", "another"); len(again.Losses) != maximumLosses {
-		t.Errorf("%d are told to another owner at once", len(again.Losses))
+	if again := out.report(now, "self", "another"); len(again.Losses) != maxReportCrashes {
+		t.Errorf("%d crashes were reported to another owner, want a full report", len(again.Losses))
 	}
-	if old := out.report(now.Add(lossLife), "self", "another"); len(old.Losses) > 0 {
-		t.Errorf("%d that are too old are told", len(old.Losses))
+	if old := out.report(now.Add(crashTTL), "self", "another"); len(old.Losses) > 0 {
+		t.Errorf("%d expired crashes were reported", len(old.Losses))
 	}
 }
--- a/internal/guard/look.go
+++ b/internal/guard/look.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// lookTimeout is for a connection to a worker of another zone.
-	lookTimeout = 300 * time.Millisecond
-	// lookPause lies between the two looks at a worker: one that has just ended may
-	// still take a connection, one that is there does so twice.
-	lookPause = 200 * time.Millisecond
+	// probeTimeout allows for a connection to another zone.
+	probeTimeout = 300 * time.Millisecond
+	// probeInterval is the time between the two probes of a worker: one that has just crashed
+	// may still accept a connection.
+	probeInterval = 200 * time.Millisecond
 )
 
-// listening tells whether a process listens at an address (IP:port). A worker that
-// resets answers, is cut off or has no connection left is not one that ended: only a
-// refused connection says that nobody listens. Without an answer it is thought to listen.
+// listening reports whether a process listens at an address (IP:port). Only a refused
+// connection counts as not listening: a worker that resets connections, is partitioned or
+// has run out of connections has not crashed.
 func listening(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "tcp", address)
--- a/internal/guard/messages.go
+++ b/internal/guard/messages.go
@@ -10,84 +10,86 @@
 
 // Paths of the internal protocol.
 const (
-	PathReports  = "/internal/v1/quarantine/reports" // POST Report, answers Standing; stores
-	PathTrials   = "/internal/v1/quarantine/trials"  // POST Question, answers Trial; stores
-	PathRequests = "/internal/v1/quarantine"         // GET []Request; DELETE with /{digest} lets it go
+	PathReports  = "/internal/v1/quarantine/reports" // POST; takes a Report; stores only
+	PathTrials   = "/internal/v1/quarantine/trials"  // POST; asks for a trial run; stores only
+	PathRequests = "/internal/v1/quarantine"         // GET lists; DELETE with /{digest} releases
 )
 
 const (
-	// Bounds of a Report; a process that has more to tell tells it in several.
-	maximumLosses   = 64
-	maximumSurvived = 256
-	maximumRequests = 256 // of one loss
-	maximumSuspects = 256
-	maximumBytes    = 1 << 20
+	// Limits of one Report; more crashes and survivals are sent in several.
+	maxReportCrashes   = 64
+	maxReportSurvivals = 256
+	maxCrashRequests   = 256 // per crash
+	maxSuspects        = 256
+	maxMessageBytes    = 1 << 20
 )
 
-// Loss is a worker that ended with requests of one process.
+// Loss is the crash of a worker with requests of one process in flight.
 type Loss struct {
 	Worker   string              `json:"worker"`
-	AgeMs    int64               `json:"age_ms"` // since it ended, so that clocks need not agree
+	AgeMs    int64               `json:"age_ms"` // time since the crash, so that clocks need not be synchronized
 	Requests []quarantine.Digest `json:"requests,omitempty"`
-	Answered []quarantine.Digest `json:"answered,omitempty"` // those that had given a part of their answers
+	Answered []quarantine.Digest `json:"answered,omitempty"` // those that had begun to respond
 }
 
-func (l Loss) loss() quarantine.Loss {
-	return quarantine.Loss{Worker: l.Worker, Age: time.Duration(l.AgeMs) * time.Millisecond, Requests: l.Requests, Answered: l.Answered}
+func (c Loss) decode() quarantine.Loss {
+	return quarantine.Loss{Worker: c.Worker, Age: time.Duration(c.AgeMs) * time.Millisecond, Requests: c.Requests, Answered: c.Answered}
 }
 
-// Report is what a process tells the owner.
+// Report is sent by a process to the owner.
 type Report struct {
 	From   api.NodeID `json:"from"`
 	Losses []Loss     `json:"losses,omitempty"`
-	// Survived are suspected requests of which a run ended with its worker still there.
+	// Survived lists suspected requests with a run that completed with its worker still alive.
 	Survived []quarantine.Digest `json:"survived,omitempty"`
 }
 
-// Standing is the owner's answer: all that was found, as far as it knows.
+// Standing is the owner's response to a report.
 type Standing struct {
-	// Epoch is another one after each start of the owner: it knows of no earlier report.
-	Epoch uint64              `json:"epoch"`
+	// Epoch differs after each start of the owner, which loses all earlier reports.
+	Epoch uint64 `json:"epoch"`
+	// Found lists the quarantined requests that the owner knows of.
 	Found []quarantine.Digest `json:"found,omitempty"`
-	// Suspects are about to be found: a run of one that went well since is to be told.
+	// Suspects are about to be quarantined unless a process reports a surviving run.
 	Suspects []Suspect `json:"suspects,omitempty"`
 }
 
-// Suspect is a request that one more end, or no word of a run that went well, shows to end
-// workers.
+// Suspect is a request that is quarantined after one more crash, or unless a surviving run
+// is reported in time.
 type Suspect struct {
 	Digest quarantine.Digest `json:"digest"`
-	AgeMs  int64             `json:"age_ms"` // since its newest end
+	AgeMs  int64             `json:"age_ms"` // time since its latest crash
 }
 
-// Question asks whether a request that was found may run once.
+// Question asks for a trial run of a quarantined request.
 type Question struct {
 	Digest quarantine.Digest `json:"digest"`
 }
 
-// Trial answers a Question; WaitMs is when to ask again.
+// Trial is the response to a request for a trial run. If it is not granted, WaitMs is the
+// time after which to ask again.
 type Trial struct {
 	Granted bool  `json:"granted"`
 	WaitMs  int64 `json:"wait_ms,omitempty"`
 }
 
-// Request is a request that is not sent to workers, as operators see it.
+// Request is a quarantined request as listed for operators.
 type Request struct {
 	Digest  quarantine.Digest `json:"digest"`
-	Workers []string          `json:"workers"` // that ended under it
-	Trials  int               `json:"trials"`  // runs that it was let go for since
+	Workers []string          `json:"workers"` // crashed while running it
+	Trials  int               `json:"trials"`  // trial runs granted so far
 }
 
-// check refuses a report that no process of the system makes.
+// check validates a report.
 func (r Report) check() *api.Error {
 	const step = "read report of ended workers"
-	if len(r.Losses) > maximumLosses || len(r.Survived) > maximumSurvived {
+	if len(r.Losses) > maxReportCrashes || len(r.Survived) > maxReportSurvivals {
 		return api.NewError(step, string(r.From), api.CodeBadRequest, api.OutcomeNotRun, "%d losses, %d survivals", len(r.Losses), len(r.Survived))
 	}
 	digests := r.Survived
 	for _, loss := range r.Losses {
 		requests := slices.Concat(loss.Requests, loss.Answered)
-		if loss.Worker == "" || loss.AgeMs < 0 || len(requests) > maximumRequests {
+		if loss.Worker == "" || loss.AgeMs < 0 || len(requests) > maxCrashRequests {
 			return api.NewError(step, string(r.From), api.CodeBadRequest, api.OutcomeNotRun, "worker %q, age %d ms, %d requests", loss.Worker, loss.AgeMs, len(requests))
 		}
 		digests = slices.Concat(digests, requests)
--- a/internal/guard/metrics.go
+++ b/internal/guard/metrics.go
@@ -2,40 +2,40 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Registerer takes the metrics.
+// Registerer registers the metrics of a Guard.
 type Registerer = prometheus.Registerer
 
-// metrics have no series a request.
+// metrics must not have labels with a value per request.
 type metrics struct {
-	looks  *prometheus.CounterVec
-	found  prometheus.Counter
-	held   prometheus.Gauge
-	silent prometheus.Counter
+	probes      *prometheus.CounterVec
+	detected    prometheus.Counter
+	quarantined prometheus.Gauge
+	unanswered  prometheus.Counter
 }
 
 func newMetrics(registry Registerer) *metrics {
 	m := &metrics{
-		looks: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "dykewing_guard_workers_looked_at_total", Help: "Workers at which answers broke off, by whether they had ended.",
+		probes: prometheus.NewCounterVec(prometheus.CounterOpts{
+			Name: "dykewing_guard_workers_looked_at_total", Help: "Workers that were probed after they broke off responses, by whether they had crashed.",
 		}, []string{"ended"}),
 	}
-	m.found = prometheus.NewCounter(prometheus.CounterOpts{
-		Name: "dykewing_guard_requests_found_total", Help: "Requests under which workers end, as this process found.",
+	m.detected = prometheus.NewCounter(prometheus.CounterOpts{
+		Name: "dykewing_guard_requests_found_total", Help: "Requests that this process quarantined since they crash workers.",
 	})
-	m.held = prometheus.NewGauge(prometheus.GaugeOpts{
-		Name: "dykewing_guard_requests_held", Help: "Requests that this process does not send to workers, since workers ended under them.",
+	m.quarantined = prometheus.NewGauge(prometheus.GaugeOpts{
+		Name: "dykewing_guard_requests_held", Help: "Requests that are quarantined at this process.",
 	})
-	m.silent = prometheus.NewCounter(prometheus.CounterOpts{
-		Name: "dykewing_guard_owner_silences_total", Help: "Reports of ended workers that a store did not answer.",
+	m.unanswered = prometheus.NewCounter(prometheus.CounterOpts{
+		Name: "dykewing_guard_owner_silences_total", Help: "Reports of crashed workers that a store did not answer.",
 	})
-	registry.MustRegister(m.looks, m.found, m.held, m.silent)
+	registry.MustRegister(m.probes, m.detected, m.quarantined, m.unanswered)
 	return m
 }
 
-func (m *metrics) count(ended bool) {
-	if ended {
-		m.looks.WithLabelValues("true").Inc()
+func (m *metrics) countProbe(crashed bool) {
+	if crashed {
+		m.probes.WithLabelValues("true").Inc()
 		return
 	}
-	m.looks.WithLabelValues("false").Inc()
+	m.probes.WithLabelValues("false").Inc()
 }
--- a/internal/guard/owner.go
+++ b/internal/guard/owner.go
@@ -17,36 +17,37 @@
 	"github.com/dykewing/dykewing/quarantine"
 )
 
-// ownerKey names all that the owner keeps: one store knows of all ended workers.
+// ownerKey is the placement key of the owner: one store collects all crash reports.
 const ownerKey = "quarantine"
 
-// unaskedInterval is between looks for requests that don't come any more.
-const unaskedInterval = time.Minute
+// idleInterval is the time between scans for idle quarantined requests.
+const idleInterval = time.Minute
 
-// owner gathers the reports of all processes at a store and publishes what is found.
+// owner collects the reports of all processes at a store and publishes the requests that
+// it quarantines.
 type owner struct {
 	guard *Guard
 	epoch uint64
 
-	mutex sync.Mutex // guards all below
-	book  *quarantine.Book
-	timer *time.Timer // of the next look for what the ends fit
+	mutex    sync.Mutex // guards all below
+	detector *quarantine.Book
+	timer    *time.Timer // of the next evaluation
 }
 
 func newOwner(g *Guard) *owner {
-	return &owner{guard: g, epoch: rand.Uint64(), book: quarantine.New(quarantine.Settings{})}
+	return &owner{guard: g, epoch: rand.Uint64(), detector: quarantine.New(quarantine.Settings{})}
 }
 
-// Serve makes this process one that may be the owner.
+// Serve registers the owner's handlers, which makes this process a possible owner.
 func (g *Guard) Serve(mux *http.ServeMux) {
 	g.owner = newOwner(g)
 	mux.HandleFunc("POST "+PathReports, g.owner.serveReport)
-	mux.HandleFunc("POST "+PathTrials, g.owner.serveQuestion)
+	mux.HandleFunc("POST "+PathTrials, g.owner.serveTrial)
 }
 
 func (o *owner) serveReport(w http.ResponseWriter, r *http.Request) {
 	var report Report
-	if failure := transport.ReadJSON(w, r, "read report of ended workers", maximumBytes, &report); failure != nil {
+	if failure := transport.ReadJSON(w, r, "read report of ended workers", maxMessageBytes, &report); failure != nil {
 		transport.WriteError(w, failure)
 		return
 	}
@@ -54,66 +55,66 @@
 		transport.WriteError(w, failure)
 		return
 	}
-	transport.WriteJSON(w, http.StatusOK, o.take(clock.Now(), report))
+	transport.WriteJSON(w, http.StatusOK, o.applyReport(clock.Now(), report))
 }
 
-// take notes a report.
-func (o *owner) take(now time.Time, report Report) Standing {
+// applyReport records a report and returns the response.
+func (o *owner) applyReport(now time.Time, report Report) Standing {
 	o.mutex.Lock()
 	for _, loss := range report.Losses {
-		o.book.Lost(now, loss.loss())
+		o.detector.Lost(now, loss.decode())
 	}
 	var released []quarantine.Digest
 	for _, digest := range report.Survived {
-		if o.book.Survived(digest) {
+		if o.detector.Survived(digest) {
 			released = append(released, digest)
 		}
 	}
-	standing := Standing{Epoch: o.epoch}
-	for _, finding := range o.book.Findings() {
-		standing.Found = append(standing.Found, finding.Digest)
+	response := Standing{Epoch: o.epoch}
+	for _, finding := range o.detector.Findings() {
+		response.Found = append(response.Found, finding.Digest)
 	}
-	for _, suspect := range o.book.AlmostFound() {
-		if len(standing.Suspects) < maximumSuspects {
-			standing.Suspects = append(standing.Suspects, Suspect{Digest: suspect.Digest, AgeMs: now.Sub(suspect.Last).Milliseconds()})
+	for _, suspect := range o.detector.AlmostFound() {
+		if len(response.Suspects) < maxSuspects {
+			response.Suspects = append(response.Suspects, Suspect{Digest: suspect.Digest, AgeMs: now.Sub(suspect.Last).Milliseconds()})
 		}
 	}
 	if len(report.Losses) > 0 {
-		o.settleIn(0)
+		o.scheduleEvaluation(0)
 	}
 	o.mutex.Unlock()
 	for _, digest := range released {
-		o.guard.log.WithFields(logrus.Fields{"event": "request_released", "digest": digest, "why": "a worker survived it", "peer": report.From}).Info("A request is sent to workers again.")
-		o.guard.published.want(digest, nil)
+		o.guard.log.WithFields(logrus.Fields{"event": "request_released", "digest": digest, "why": "a worker survived it", "peer": report.From}).Info("A request is released from quarantine.")
+		o.guard.published.enqueue(digest, nil)
 	}
-	return standing
+	return response
 }
 
-// settleIn looks for what the ends fit after a time; the mutex is held.
-func (o *owner) settleIn(after time.Duration) {
+// scheduleEvaluation schedules the next evaluation of crashes. The mutex must be held.
+func (o *owner) scheduleEvaluation(after time.Duration) {
 	if o.timer == nil {
-		o.timer = time.AfterFunc(after, o.settle)
+		o.timer = time.AfterFunc(after, o.evaluate)
 		return
 	}
 	o.timer.Reset(after)
 }
 
-func (o *owner) settle() {
+func (o *owner) evaluate() {
 	now := clock.Now()
 	o.mutex.Lock()
-	found, next := o.book.Settle(now)
+	findings, next := o.detector.Settle(now)
 	if !next.IsZero() {
-		o.settleIn(next.Sub(now))
+		o.scheduleEvaluation(next.Sub(now))
 	}
 	o.mutex.Unlock()
-	for _, finding := range found {
+	for _, finding := range findings {
 		o.guard.publish(finding)
 	}
 }
 
-func (o *owner) serveQuestion(w http.ResponseWriter, r *http.Request) {
+func (o *owner) serveTrial(w http.ResponseWriter, r *http.Request) {
 	var question Question
-	if failure := transport.ReadJSON(w, r, "read question for a trial", maximumBytes, &question); failure != nil {
+	if failure := transport.ReadJSON(w, r, "read question for a trial", maxMessageBytes, &question); failure != nil {
 		transport.WriteError(w, failure)
 		return
 	}
@@ -121,66 +122,66 @@
 		transport.WriteError(w, api.NewError("read question for a trial", "", api.CodeBadRequest, api.OutcomeNotRun, "digest %q", question.Digest))
 		return
 	}
-	transport.WriteJSON(w, http.StatusOK, o.try(clock.Now(), question.Digest))
+	transport.WriteJSON(w, http.StatusOK, o.grantTrial(clock.Now(), question.Digest))
 }
 
-// unknownWait is when to ask again about a request that is not known here. It was let go,
-// which all processes are about to learn, or another store found it.
+// unknownWait is the time after which to ask again about a request that is unknown here: it
+// was released, which all processes are about to learn, or another store quarantined it.
 const unknownWait = time.Second
 
-// try lets a request run once if its time has come. Invariant: one that is not known here
-// is granted no run: each process would be, while this store has not heard of it yet.
-func (o *owner) try(now time.Time, digest quarantine.Digest) Trial {
+// grantTrial grants a trial run if one is due. It denies runs of unknown requests: a store
+// that has not yet received the published record would grant one to every process.
+func (o *owner) grantTrial(now time.Time, digest quarantine.Digest) Trial {
 	o.mutex.Lock()
-	if !o.book.Holds(digest) {
+	if !o.detector.Holds(digest) {
 		o.mutex.Unlock()
 		return Trial{WaitMs: unknownWait.Milliseconds()}
 	}
-	granted, wait := o.book.Trial(now, digest)
+	granted, wait := o.detector.Trial(now, digest)
 	var finding quarantine.Finding
-	for _, each := range o.book.Findings() {
+	for _, each := range o.detector.Findings() {
 		if each.Digest == digest {
 			finding = each
 		}
 	}
 	o.mutex.Unlock()
 	if granted {
-		o.guard.log.WithFields(logrus.Fields{"event": "request_tried", "digest": digest, "trials": finding.Trials}).Info("A request under which workers ended may run once.")
-		o.guard.published.want(digest, &record{Workers: finding.Workers, Trials: finding.Trials})
+		o.guard.log.WithFields(logrus.Fields{"event": "request_tried", "digest": digest, "trials": finding.Trials}).Info("A trial run of a quarantined request is granted.")
+		o.guard.published.enqueue(digest, &record{Workers: finding.Workers, Trials: finding.Trials})
 	}
 	return Trial{Granted: granted, WaitMs: wait.Milliseconds()}
 }
 
-// publishedChanged takes what other processes, or an earlier life of this one, found, tried
-// or let go.
-func (o *owner) publishedChanged(digest quarantine.Digest, found bool, trials int) {
+// publishedChanged applies a record that was published, updated or removed, by any process.
+func (o *owner) publishedChanged(digest quarantine.Digest, exists bool, trials int) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if found {
-		o.book.Adopt(clock.Now(), digest, trials)
+	if exists {
+		o.detector.Adopt(clock.Now(), digest, trials)
 		return
 	}
-	o.book.Release(digest)
+	o.detector.Release(digest)
 }
 
-// forgetUnasked lets go what has not come again for long, until ctx ends.
-func (o *owner) forgetUnasked(ctx context.Context) {
-	for pause.For(ctx, unaskedInterval) {
-		if !o.first() {
+// expireIdle releases requests that have not arrived again within the idle timeout, until
+// ctx is done.
+func (o *owner) expireIdle(ctx context.Context) {
+	for pause.For(ctx, idleInterval) {
+		if !o.isPrimary() {
 			continue
 		}
 		o.mutex.Lock()
-		unasked := o.book.Unasked(clock.Now())
+		unasked := o.detector.Unasked(clock.Now())
 		o.mutex.Unlock()
 		for _, digest := range unasked {
-			o.guard.log.WithFields(logrus.Fields{"event": "request_released", "digest": digest, "why": "it did not come again"}).Info("A request is sent to workers again.")
-			o.guard.published.want(digest, nil)
+			o.guard.log.WithFields(logrus.Fields{"event": "request_released", "digest": digest, "why": "it did not come again"}).Info("A request is released from quarantine.")
+			o.guard.published.enqueue(digest, nil)
 		}
 	}
 }
 
-// first tells whether the processes ask this one.
-func (o *owner) first() bool {
+// isPrimary reports whether processes send their reports to this store first.
+func (o *owner) isPrimary() bool {
 	owners := placement.Stores(ownerKey, o.guard.owners())
 	return len(owners) > 0 && owners[0].ID == o.guard.self
 }
--- a/internal/guard/published.go
+++ b/internal/guard/published.go
@@ -18,43 +18,42 @@
 	"github.com/dykewing/dykewing/quarantine"
 )
 
-// Prefix is where requests that were found stand, under the key-value service's prefix.
-// Every process learns them there on the way of the configuration, also one that starts
-// later.
+// Prefix of the keys of quarantined requests, below the prefix of the key-value service.
+// Every process receives them through the same watch as the configuration.
 const Prefix = "quarantine/"
 
-// publishPause is between tries to write what the service did not take.
-const publishPause = time.Second
+// publishRetryInterval is the delay before a failed write is retried.
+const publishRetryInterval = time.Second
 
-// record is the value of a key; the digest is the key's.
+// record is the value of a key; the key ends with the digest.
 type record struct {
 	Workers []string `json:"workers"`
 	Trials  int      `json:"trials"`
 }
 
-// published is what stands with the service, and what is to stand there; it is a
-// catalog.View.
-type published struct {
+// recordStore mirrors the published records and writes changes to the key-value service. It
+// implements catalog.View.
+type recordStore struct {
 	service kv.Service
-	prefix  string // with Prefix
+	prefix  string // includes Prefix
 	log     *logrus.Entry
-	changed func(digest quarantine.Digest, found bool, trials int) // without a lock
+	changed func(digest quarantine.Digest, exists bool, trials int) // called without the mutex
 
 	mutex   sync.Mutex // guards all below
 	records map[quarantine.Digest]record
-	wanted  map[quarantine.Digest]*record // nil: to be removed
+	pending map[quarantine.Digest]*record // unwritten changes; nil removes the record
 	wake    chan struct{}
 }
 
-func newPublished(service kv.Service, prefix string, log *logrus.Entry, changed func(quarantine.Digest, bool, int)) *published {
-	return &published{
+func newRecordStore(service kv.Service, prefix string, log *logrus.Entry, changed func(quarantine.Digest, bool, int)) *recordStore {
+	return &recordStore{
 		service: service, prefix: prefix + Prefix, log: log, changed: changed,
-		records: map[quarantine.Digest]record{}, wanted: map[quarantine.Digest]*record{}, wake: make(chan struct{}, 1),
+		records: map[quarantine.Digest]record{}, pending: map[quarantine.Digest]*record{}, wake: make(chan struct{}, 1),
 	}
 }
 
-// Whole takes all records.
-func (p *published) Whole(result kv.RangeResult) {
+// Whole replaces all records.
+func (p *recordStore) Whole(result kv.RangeResult) {
 	listed := map[quarantine.Digest]bool{}
 	for _, pair := range result.Pairs {
 		listed[p.digest(pair.Key)] = true
@@ -62,42 +61,42 @@
 	}
 	for _, digest := range p.digests() {
 		if !listed[digest] {
-			p.drop(digest)
+			p.remove(digest)
 		}
 	}
 }
 
-// Changes takes records that came or went.
-func (p *published) Changes(batch kv.Batch) {
+// Changes applies changes of records.
+func (p *recordStore) Changes(batch kv.Batch) {
 	for _, event := range batch.Events {
 		if event.Deleted {
-			p.drop(p.digest(event.Pair.Key))
+			p.remove(p.digest(event.Pair.Key))
 		} else {
 			p.put(event.Pair)
 		}
 	}
 }
 
-func (p *published) digest(key string) quarantine.Digest {
+func (p *recordStore) digest(key string) quarantine.Digest {
 	return quarantine.Digest(strings.TrimPrefix(key, p.prefix))
 }
 
-func (p *published) put(pair kv.Pair) {
-	digest, read := p.digest(pair.Key), record{}
-	if err := json.Unmarshal(pair.Value, &read); err != nil || !digest.Valid() {
-		p.log.WithFields(logrus.Fields{"event": "quarantine_refused", "key": pair.Key}).WithError(err).Error("A record of a request could not be read.")
+func (p *recordStore) put(pair kv.Pair) {
+	digest, value := p.digest(pair.Key), record{}
+	if err := json.Unmarshal(pair.Value, &value); err != nil || !digest.Valid() {
+		p.log.WithFields(logrus.Fields{"event": "quarantine_refused", "key": pair.Key}).WithError(err).Error("The record of a quarantined request is malformed; it is ignored.")
 		return
 	}
 	p.mutex.Lock()
 	before, known := p.records[digest]
-	p.records[digest] = read
+	p.records[digest] = value
 	p.mutex.Unlock()
-	if !known || read.Trials > before.Trials {
-		p.changed(digest, true, read.Trials)
+	if !known || value.Trials > before.Trials {
+		p.changed(digest, true, value.Trials)
 	}
 }
 
-func (p *published) drop(digest quarantine.Digest) {
+func (p *recordStore) remove(digest quarantine.Digest) {
 	p.mutex.Lock()
 	_, known := p.records[digest]
 	delete(p.records, digest)
@@ -107,47 +106,49 @@
 	}
 }
 
-func (p *published) digests() []quarantine.Digest {
+func (p *recordStore) digests() []quarantine.Digest {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return slices.Sorted(maps.Keys(p.records))
 }
 
-// holds tells whether a request stands there, as far as is known here.
-func (p *published) holds(digest quarantine.Digest) bool {
+// contains reports whether a record of the request is published, as far as this process has
+// received.
+func (p *recordStore) contains(digest quarantine.Digest) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	_, ok := p.records[digest]
 	return ok
 }
 
-func (p *published) count() int {
+func (p *recordStore) count() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return len(p.records)
 }
 
-// list gives all records.
-func (p *published) list() []Request {
+// list returns all records, unsorted.
+func (p *recordStore) list() []Request {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	list := make([]Request, 0, len(p.records))
-	for digest, read := range p.records {
-		list = append(list, Request{Digest: digest, Workers: read.Workers, Trials: read.Trials})
+	for digest, value := range p.records {
+		list = append(list, Request{Digest: digest, Workers: value.Workers, Trials: value.Trials})
 	}
 	return list
 }
 
-// want has a record written, or removed where it is nil, as soon as the service takes it.
-func (p *published) want(digest quarantine.Digest, wanted *record) {
+// enqueue schedules the write of a record, or its removal if value is nil. Failed writes are
+// retried.
+func (p *recordStore) enqueue(digest quarantine.Digest, value *record) {
 	p.mutex.Lock()
-	p.wanted[digest] = wanted
+	p.pending[digest] = value
 	p.mutex.Unlock()
-	signal(p.wake)
+	notify(p.wake)
 }
 
-// run writes what is wanted until ctx ends.
-func (p *published) run(ctx context.Context) {
+// run writes pending changes until ctx is done.
+func (p *recordStore) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-p.wake:
@@ -155,56 +156,56 @@
 			return
 		}
 		for !p.writeAll(ctx) {
-			if !pause.For(ctx, publishPause) {
+			if !pause.For(ctx, publishRetryInterval) {
 				return
 			}
 		}
 	}
 }
 
-// writeAll tells whether nothing is wanted any more.
-func (p *published) writeAll(ctx context.Context) bool {
+// writeAll tries to write all pending changes once and reports whether all succeeded.
+func (p *recordStore) writeAll(ctx context.Context) bool {
 	p.mutex.Lock()
-	wanted := maps.Clone(p.wanted)
+	pending := maps.Clone(p.pending)
 	p.mutex.Unlock()
 	done := true
-	for digest, value := range wanted {
+	for digest, value := range pending {
 		if err := p.write(ctx, digest, value); err != nil {
-			p.log.WithFields(logrus.Fields{"event": "quarantine_not_written", "digest": digest}).WithError(err).Warn("What was found could not be written; it is tried again.")
+			p.log.WithFields(logrus.Fields{"event": "quarantine_not_written", "digest": digest}).WithError(err).Warn("The record of a quarantined request could not be written; the write is retried.")
 			done = false
 			continue
 		}
 		p.mutex.Lock()
-		if p.wanted[digest] == value {
-			delete(p.wanted, digest)
+		if p.pending[digest] == value {
+			delete(p.pending, digest)
 		}
 		p.mutex.Unlock()
 	}
 	return done
 }
 
-// errStanding says that another process changed a record meanwhile.
-var errStanding = errors.New("the record was changed meanwhile")
+// errConflict is returned if another process changed a record since it was read.
+var errConflict = errors.New("record changed concurrently")
 
-// write brings one key to its value, or away.
-func (p *published) write(ctx context.Context, digest quarantine.Digest, value *record) error {
+// write sets the record of a digest by compare-and-swap, or removes it if value is nil.
+func (p *recordStore) write(ctx context.Context, digest quarantine.Digest, value *record) error {
 	key := p.prefix + string(digest)
-	standing, _, err := p.service.Read(ctx, key)
+	current, _, err := p.service.Read(ctx, key)
 	if err != nil {
 		return fmt.Errorf("read %s: %w", key, err)
 	}
 	swap := kv.Swap{Key: key, Delete: value == nil}
-	if standing != nil {
-		swap.Expected = standing.Revision
+	if current != nil {
+		swap.Expected = current.Revision
 	}
-	if value == nil && standing == nil {
+	if value == nil && current == nil {
 		return nil
 	}
 	if value != nil {
 		if swap.Value, err = json.Marshal(value); err != nil {
 			return err
 		}
-		if standing != nil && string(standing.Value) == string(swap.Value) {
+		if current != nil && string(current.Value) == string(swap.Value) {
 			return nil
 		}
 	}
@@ -213,7 +214,7 @@
 		return fmt.Errorf("write %s: %w", key, err)
 	}
 	if !result.Succeeded {
-		return fmt.Errorf("write %s: %w", key, errStanding)
+		return fmt.Errorf("write %s: %w", key, errConflict)
 	}
 	return nil
 }
--- a/internal/guard/requests.go
+++ b/internal/guard/requests.go
@@ -13,8 +13,8 @@
 	"github.com/dykewing/dykewing/quarantine"
 )
 
-// ServeRequests lets operators list the requests that are not sent to workers, and let
-// them go.
+// ServeRequests registers the handlers with which operators list quarantined requests and
+// release them.
 func (g *Guard) ServeRequests(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+PathRequests, g.serveList)
 	mux.HandleFunc("DELETE "+PathRequests+"/{digest}", g.serveRelease)
@@ -24,14 +24,15 @@
 	transport.WriteJSON(w, http.StatusOK, g.list())
 }
 
-// list is what is published, and what only the owner has told so far, sorted by digest.
+// list returns the published requests and those that so far only the owner has listed,
+// sorted by digest.
 func (g *Guard) list() []Request {
 	list := g.published.list()
 	now := clock.Now()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	for digest, until := range g.told {
-		if now.Before(until) && !g.published.holds(digest) {
+	for digest, until := range g.ownerEntries {
+		if now.Before(until) && !g.published.contains(digest) {
 			list = append(list, Request{Digest: digest})
 		}
 	}
@@ -39,18 +40,19 @@
 	return list
 }
 
-// serveRelease removes a request's record; all processes let it go once they hear of that.
+// serveRelease removes the record of a request; every process releases the request when it
+// receives the removal.
 func (g *Guard) serveRelease(w http.ResponseWriter, r *http.Request) {
 	const step = "let a request go"
 	digest := quarantine.Digest(r.PathValue("digest"))
-	if !digest.Valid() || !g.published.holds(digest) {
-		transport.WriteError(w, api.NewError(step, "", api.CodeNotFound, api.OutcomeNotRun, "no request %q is held", digest))
+	if !digest.Valid() || !g.published.contains(digest) {
+		transport.WriteError(w, api.NewError(step, "", api.CodeNotFound, api.OutcomeNotRun, "request %q is not quarantined", digest))
 		return
 	}
 	if err := g.published.write(r.Context(), digest, nil); err != nil {
 		transport.WriteError(w, api.NewError(step, "", api.CodeNoContact, api.OutcomeUnknown, "%w", err))
 		return
 	}
-	g.log.WithFields(logrus.Fields{"event": "request_released", "digest": digest, "why": "an operator asked for it"}).Info("A request is sent to workers again.")
+	g.log.WithFields(logrus.Fields{"event": "request_released", "digest": digest, "why": "an operator asked for it"}).Info("A request is released from quarantine.")
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/guard/restart_test.go
+++ b/internal/guard/restart_test.go
@@ -8,17 +8,17 @@
 	"github.com/dykewing/dykewing/worker"
 )
 
-// A supervisor starts a worker again at once, under its id and at its address: a look found
-// it listening, and its three ends under one request were no evidence.
-func TestAWorkerThatStartedAgainHasEnded(t *testing.T) {
+// Guards against missing the crash of a worker that a supervisor restarts at once at the same
+// address, where a probe finds the next incarnation listening.
+func TestRestartedWorkerCountsAsCrashed(t *testing.T) {
 	tests := []struct {
 		name string
-		next func(born int64) int64 // the start in force after a break at the start of born
+		next func(born int64) int64 // listed start time after the incarnation of born broke off
 		want bool
 	}{
-		{"it starts again each time", func(born int64) int64 { return born + 1 }, true},
-		{"it runs on", func(born int64) int64 { return born }, false},
-		{"its starts are not told", func(int64) int64 { return 0 }, false},
+		{"restarted each time", func(born int64) int64 { return born + 1 }, true},
+		{"not restarted", func(born int64) int64 { return born }, false},
+		{"start time unknown", func(int64) int64 { return 0 }, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -27,7 +27,7 @@
 			g := f.start("front-0", func(g *Guard) {
 				g.current = func(string) (worker.Incarnation, bool) { return inForce, true }
 			})
-			w := livingWorker(t, "w")
+			w := resettingWorker(t, "w")
 			request, other := digestOf("request"), digestOf("other")
 			for i := range int64(3) {
 				w.Born = time.UnixMilli(100 + i)
@@ -35,18 +35,18 @@
 				inForce.Born = time.UnixMilli(test.next(100 + i))
 				g.mutex.Unlock()
 				g.Broke(w, request, false)
-				f.await("a look", func() bool {
+				f.await("the probe", func() bool {
 					g.mutex.Lock()
 					defer g.mutex.Unlock()
 					return len(g.broken) == 0
 				})
 			}
 			for i := range 3 {
-				g.Broke(endedWorker(t, fmt.Sprint("later", i)), other, false)
+				g.Broke(crashedWorker(t, fmt.Sprint("later", i)), other, false)
 			}
-			f.await("the other request", func() bool { return g.Holds(other) })
+			f.await("the quarantine of the other request", func() bool { return g.Holds(other) })
 			if got := g.Holds(request); got != test.want {
-				t.Errorf("held: %t", got)
+				t.Errorf("quarantined: %t", got)
 			}
 		})
 	}
--- a/internal/guard/tell.go
+++ b/internal/guard/tell.go
@@ -16,272 +16,276 @@
 )
 
 const (
-	// tellInterval is between looks at what is to be told, and to whom.
-	tellInterval = time.Second
-	// followInterval is between questions for what was found while what others publish
-	// can't be learned: half of the time within which all have to know it.
-	followInterval = 2 * time.Second
-	// tellTimeout is many round trips between regions.
-	tellTimeout = 300 * time.Millisecond
-	// ownersTried of one report, before it waits for the next look.
-	ownersTried = 3
-	// keptLosses are told again to another owner, for the time for which they count.
-	keptLosses = 256
-	lossLife   = 10 * time.Minute
-	// recentLoss is for how long after an end a request that comes again at once does so.
-	recentLoss = 30 * time.Second
-	// freshLoss is for how long after an end the owner is about to find under which request
-	// it was. It is asked each freshInterval, some times in the second for which it waits,
-	// so that runs that went well are told before; its word comes sooner than what it
-	// publishes.
-	freshLoss     = 3 * time.Second
-	freshInterval = 300 * time.Millisecond
+	// reportInterval is the time between checks for reports to send.
+	reportInterval = time.Second
+	// pollInterval is the time between polls of the owner while published records can't be
+	// received: half of the time within which all processes have to know them.
+	pollInterval = 2 * time.Second
+	// reportTimeout covers several round trips between regions.
+	reportTimeout = 300 * time.Millisecond
+	// maxOwnersTried is the number of stores tried in turn for one report.
+	maxOwnersTried = 3
+	// maxStoredCrashes is the number of crashes kept for up to crashTTL, to be reported again to a
+	// new owner.
+	maxStoredCrashes = 256
+	crashTTL         = 10 * time.Minute
+	// recentCrash is the time after a crash within which immediate retries of its requests
+	// are expected.
+	recentCrash = 30 * time.Second
+	// freshCrash is the time after a crash within which the owner evaluates it. It is polled
+	// every freshPollInterval, several times within its report window, so that surviving runs
+	// of suspects are reported in time. Its response also arrives before published records.
+	freshCrash        = 3 * time.Second
+	freshPollInterval = 300 * time.Millisecond
 )
 
-// outbox is what a process has to tell the owner; its guard's mutex guards it.
+// outbox holds the crashes and survivals that a process reports to the owner. It is guarded
+// by the mutex of its Guard.
 type outbox struct {
-	losses   []ownLoss // the oldest first; kept for another owner
-	survived []quarantine.Digest
-	owner    api.NodeID // that knows the first of losses
-	epoch    uint64     // of its life
-	known    int        // how many of losses it knows
-	heardAt  time.Time  // its last word
+	crashes      []outboxCrash // oldest first; acknowledged ones are kept for a new owner
+	survivals    []quarantine.Digest
+	owner        api.NodeID // last reported to
+	epoch        uint64     // of the owner's last response
+	acknowledged int        // number of leading crashes that the owner has acknowledged
+	respondedAt  time.Time  // time of the owner's last response
 }
 
-// ownLoss is an ended worker with requests of this process.
-type ownLoss struct {
+// outboxCrash is the crash of a worker with requests of this process in flight.
+type outboxCrash struct {
 	quarantine.Loss
 	at time.Time
 }
 
-func (o *outbox) lose(now time.Time, loss quarantine.Loss) {
-	o.losses = append(o.losses, ownLoss{Loss: loss, at: now.Add(-loss.Age)})
-	o.drop(len(o.losses) - keptLosses)
+func (o *outbox) addCrash(now time.Time, loss quarantine.Loss) {
+	o.crashes = append(o.crashes, outboxCrash{Loss: loss, at: now.Add(-loss.Age)})
+	o.dropOldest(len(o.crashes) - maxStoredCrashes)
 }
 
-// age is that of the newest loss; the longest time without one.
+// age returns the age of the newest crash, and the longest duration if there is none.
 func (o *outbox) age(now time.Time) time.Duration {
-	if len(o.losses) == 0 {
+	if len(o.crashes) == 0 {
 		return math.MaxInt64
 	}
-	return now.Sub(o.losses[len(o.losses)-1].at)
+	return now.Sub(o.crashes[len(o.crashes)-1].at)
 }
 
-// drop forgets the oldest losses.
-func (o *outbox) drop(count int) {
+// dropOldest removes the count oldest crashes.
+func (o *outbox) dropOldest(count int) {
 	if count > 0 {
-		o.losses = slices.Delete(o.losses, 0, count)
-		o.known = max(o.known-count, 0)
+		o.crashes = slices.Delete(o.crashes, 0, count)
+		o.acknowledged = max(o.acknowledged-count, 0)
 	}
 }
 
-// survive notes that a request's run went well: earlier losses say nothing of it.
-func (o *outbox) survive(request quarantine.Digest) {
+// addSurvival records a surviving run of a request and clears it of earlier crashes.
+func (o *outbox) addSurvival(request quarantine.Digest) {
 	same := func(d quarantine.Digest) bool { return d == request }
-	for i := range o.losses {
-		o.losses[i].Requests = slices.DeleteFunc(slices.Clone(o.losses[i].Requests), same)
-		o.losses[i].Answered = slices.DeleteFunc(slices.Clone(o.losses[i].Answered), same)
+	for i := range o.crashes {
+		o.crashes[i].Requests = slices.DeleteFunc(slices.Clone(o.crashes[i].Requests), same)
+		o.crashes[i].Answered = slices.DeleteFunc(slices.Clone(o.crashes[i].Answered), same)
 	}
-	if !slices.Contains(o.survived, request) && len(o.survived) < maximumSurvived {
-		o.survived = append(o.survived, request)
+	if !slices.Contains(o.survivals, request) && len(o.survivals) < maxReportSurvivals {
+		o.survivals = append(o.survivals, request)
 	}
 }
 
-// report is what an owner does not know yet.
+// report returns the crashes and survivals that the owner has not acknowledged.
 func (o *outbox) report(now time.Time, self, owner api.NodeID) (report Report) {
-	old := slices.IndexFunc(o.losses, func(loss ownLoss) bool { return now.Sub(loss.at) < lossLife })
+	old := slices.IndexFunc(o.crashes, func(loss outboxCrash) bool { return now.Sub(loss.at) < crashTTL })
 	if old < 0 {
-		old = len(o.losses)
+		old = len(o.crashes)
 	}
-	o.drop(old)
+	o.dropOldest(old)
 	if o.owner != owner {
-		o.owner, o.known, o.heardAt = owner, 0, time.Time{}
+		o.owner, o.acknowledged, o.respondedAt = owner, 0, time.Time{}
 	}
-	report = Report{From: self, Survived: slices.Clone(o.survived)}
-	for _, loss := range o.losses[o.known:min(o.known+maximumLosses, len(o.losses))] {
+	report = Report{From: self, Survived: slices.Clone(o.survivals)}
+	for _, loss := range o.crashes[o.acknowledged:min(o.acknowledged+maxReportCrashes, len(o.crashes))] {
 		report.Losses = append(report.Losses, Loss{Worker: loss.Worker, AgeMs: now.Sub(loss.at).Milliseconds(), Requests: loss.Requests, Answered: loss.Answered})
 	}
 	return report
 }
 
-// heard notes what an owner has taken. After a start it knows nothing of what it was told
-// before.
-func (o *outbox) heard(now time.Time, epoch uint64, report Report) {
-	o.heardAt = now
-	if o.epoch != epoch && o.known > 0 {
-		o.epoch, o.known = epoch, 0
+// acknowledge records that the owner has received a report. A new epoch means that the owner
+// has restarted and lost all earlier reports, which are then sent again.
+func (o *outbox) acknowledge(now time.Time, epoch uint64, report Report) {
+	o.respondedAt = now
+	if o.epoch != epoch && o.acknowledged > 0 {
+		o.epoch, o.acknowledged = epoch, 0
 		return
 	}
 	o.epoch = epoch
-	o.known += len(report.Losses)
-	o.survived = slices.DeleteFunc(o.survived, func(d quarantine.Digest) bool { return slices.Contains(report.Survived, d) })
+	o.acknowledged += len(report.Losses)
+	o.survivals = slices.DeleteFunc(o.survivals, func(d quarantine.Digest) bool { return slices.Contains(report.Survived, d) })
 }
 
-// tellAll tells the owner what is to be told until ctx ends.
-func (g *Guard) tellAll(ctx context.Context) {
+// reportLoop reports to the owner until ctx is done.
+func (g *Guard) reportLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		timer := time.NewTimer(g.lookAgainIn(clock.Now()))
+		timer := time.NewTimer(g.nextReportIn(clock.Now()))
 		select {
 		case <-g.wake:
 		case <-timer.C:
 		case <-ctx.Done():
 		}
 		timer.Stop()
-		if g.due(clock.Now()) && ctx.Err() == nil {
-			g.tell(ctx)
+		if g.reportDue(clock.Now()) && ctx.Err() == nil {
+			g.reportToOwner(ctx)
 		}
 	}
 }
 
-// lookAgainIn is how long nothing is told unless it is new.
-func (g *Guard) lookAgainIn(now time.Time) time.Duration {
+// nextReportIn returns the time until the next report unless there is news.
+func (g *Guard) nextReportIn(now time.Time) time.Duration {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.out.age(now) < freshLoss {
-		return freshInterval
+	if g.outbox.age(now) < freshCrash {
+		return freshPollInterval
 	}
-	return tellInterval
+	return reportInterval
 }
 
-// due tells whether there is something to tell or to ask.
-func (g *Guard) due(now time.Time) bool {
+// reportDue reports whether the owner has to be called.
+func (g *Guard) reportDue(now time.Time) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.watching.Load() {
-		g.watch(now)
+	if g.active.Load() {
+		g.updateActive(now)
 	}
-	return len(g.out.losses) > 0 || len(g.out.survived) > 0 || g.follows(now)
+	return len(g.outbox.crashes) > 0 || len(g.outbox.survivals) > 0 || g.pollDue(now)
 }
 
-// follows tells whether the owner is to be heard though there is nothing new to tell:
-// while what others publish can't be learned, and while an owner that starts anew would
-// have to be told of ends again. The mutex is held.
-func (g *Guard) follows(now time.Time) bool {
-	since := now.Sub(g.out.heardAt)
-	switch age := g.out.age(now); {
-	case age < freshLoss:
-		return since >= freshInterval
-	case age < recentLoss || g.blind():
-		return since >= followInterval
+// pollDue reports whether the owner has to be polled even without news: while published
+// records can't be received, and while crashes are so recent that they would have to be
+// reported again to a restarted owner. The mutex must be held.
+func (g *Guard) pollDue(now time.Time) bool {
+	since := now.Sub(g.outbox.respondedAt)
+	switch age := g.outbox.age(now); {
+	case age < freshCrash:
+		return since >= freshPollInterval
+	case age < recentCrash || g.watchDown():
+		return since >= pollInterval
 	}
 	return false
 }
 
-// tell tells the owner, or the next store in its place where it is silent. Where nobody
-// answers, what this process has seen itself decides.
-func (g *Guard) tell(ctx context.Context) {
+// reportToOwner reports to the owner, or to the next stores in placement order if it does
+// not answer. If none answers, this process decides by its own evidence.
+func (g *Guard) reportToOwner(ctx context.Context) {
 	owners := placement.Stores(ownerKey, g.owners())
-	for _, owner := range owners[:min(len(owners), ownersTried)] {
-		if ctx.Err() != nil || g.tellTo(ctx, owner) {
+	for _, owner := range owners[:min(len(owners), maxOwnersTried)] {
+		if ctx.Err() != nil || g.reportTo(ctx, owner) {
 			return
 		}
 	}
 	g.mutex.Lock()
-	found, _ := g.book.Settle(clock.Now())
+	findings, _ := g.detector.Settle(clock.Now())
 	g.mutex.Unlock()
-	for _, finding := range found {
+	for _, finding := range findings {
 		g.publish(finding)
 	}
 }
 
-// tellTo tells one store all that it does not know, and tells whether it answered. What
-// it knew is told again after it has started anew.
-func (g *Guard) tellTo(ctx context.Context, owner api.Node) bool {
+// reportTo sends reports to one store until it has acknowledged everything, and reports
+// whether it answered.
+func (g *Guard) reportTo(ctx context.Context, owner api.Node) bool {
 	for {
 		now := clock.Now()
 		g.mutex.Lock()
-		report := g.out.report(now, g.self, owner.ID)
-		told := len(report.Losses) == 0 && len(report.Survived) == 0 && !g.follows(now)
+		report := g.outbox.report(now, g.self, owner.ID)
+		acknowledged := len(report.Losses) == 0 && len(report.Survived) == 0 && !g.pollDue(now)
 		g.mutex.Unlock()
-		if told {
+		if acknowledged {
 			return true
 		}
-		standing, err := g.send(ctx, owner, report)
-		g.noteOwner(owner, report, err)
+		response, err := g.sendReport(ctx, owner, report)
+		g.trackOwner(owner, report, err)
 		if err != nil {
 			return false
 		}
-		g.hear(report, standing)
+		g.applyResponse(report, response)
 	}
 }
 
-func (g *Guard) send(ctx context.Context, owner api.Node, report Report) (standing Standing, err error) {
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+func (g *Guard) sendReport(ctx context.Context, owner api.Node, report Report) (response Standing, err error) {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	err = transport.Call(ctx, g.client, "report ended workers", owner.Address, PathReports, report, &standing)
-	return standing, err
+	err = transport.Call(ctx, g.client, "report ended workers", owner.Address, PathReports, report, &response)
+	return response, err
 }
 
-// noteOwner logs when a store begins to be silent, and when it answers again.
-func (g *Guard) noteOwner(owner api.Node, report Report, err error) {
+// trackOwner logs when a store stops answering, and when it answers again.
+func (g *Guard) trackOwner(owner api.Node, report Report, err error) {
 	g.mutex.Lock()
-	before := g.silent == owner.ID
+	before := g.unresponsive == owner.ID
 	switch {
 	case err != nil:
-		g.metrics.silent.Inc()
-		g.silent = owner.ID
+		g.metrics.unanswered.Inc()
+		g.unresponsive = owner.ID
 	case before:
-		g.silent = ""
+		g.unresponsive = ""
 	}
 	g.mutex.Unlock()
 	entry := g.log.WithFields(logrus.Fields{"peer": owner.ID, "losses": len(report.Losses), "survived": len(report.Survived)})
 	if err != nil && !before {
-		entry.WithField("event", "quarantine_owner_silent").WithError(err).Warn("The store that gathers ended workers did not answer; the next one is told.")
+		entry.WithField("event", "quarantine_owner_silent").WithError(err).Warn("The store that collects crash reports did not answer; the next one is tried.")
 	}
 	if err == nil && before {
-		entry.WithField("event", "quarantine_owner_answers").Info("The store that gathers ended workers answers again.")
+		entry.WithField("event", "quarantine_owner_answers").Info("The store that collects crash reports answers again.")
 	}
 }
 
-// hear takes the owner's answer.
-func (g *Guard) hear(report Report, standing Standing) {
+// applyResponse handles the owner's response to a report.
+func (g *Guard) applyResponse(report Report, response Standing) {
 	now := clock.Now()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.out.heard(now, standing.Epoch, report)
-	for _, digest := range standing.Found {
-		g.told[digest] = now.Add(toldLife)
+	g.outbox.acknowledge(now, response.Epoch, report)
+	for _, digest := range response.Found {
+		g.ownerEntries[digest] = now.Add(ownerEntryTTL)
 	}
-	for _, suspect := range standing.Suspects {
-		ended := now.Add(-time.Duration(suspect.AgeMs) * time.Millisecond)
-		if at, ok := g.well[suspect.Digest]; ok && at.After(ended) {
-			g.book.Survived(suspect.Digest)
-			g.out.survive(suspect.Digest)
+	for _, suspect := range response.Suspects {
+		crashedAt := now.Add(-time.Duration(suspect.AgeMs) * time.Millisecond)
+		if at, ok := g.survivals[suspect.Digest]; ok && at.After(crashedAt) {
+			g.detector.Survived(suspect.Digest)
+			g.outbox.addSurvival(suspect.Digest)
 		}
 	}
-	g.watch(now)
+	g.updateActive(now)
 }
 
-// ask is what is known of the next run of a request that was found.
-type ask struct {
-	until time.Time // nobody is asked before
-	trial time.Time // when it may run, as far as is known
+// trialState is what is known of the next trial run of a quarantined request.
+type trialState struct {
+	until time.Time // the owner is not asked before
+	trial time.Time // expected time of the next trial
 }
 
 const (
-	// askPause is at least between two questions for one request, askAgain at most: by
-	// then the request may have been let go elsewhere.
-	askPause = 500 * time.Millisecond
-	askAgain = 10 * time.Second
-	// trialTimeout is what a caller waits for the owner's word.
+	// minTrialInterval and maxTrialInterval bound the time between two trial requests for one
+	// quarantined request. The maximum limits how late a release elsewhere is noticed.
+	minTrialInterval = 500 * time.Millisecond
+	maxTrialInterval = 10 * time.Second
+	// trialTimeout bounds how long a caller waits for the owner.
 	trialTimeout = 100 * time.Millisecond
 )
 
-// Ask tells whether a request that was found may run once now, else when it may.
+// Ask asks the owner for a trial run of a quarantined request. If it is not granted, wait is
+// the time after which the caller should try again. It waits for the owner for at most
+// 100 ms.
 func (g *Guard) Ask(ctx context.Context, request quarantine.Digest) (granted bool, wait time.Duration) {
 	now := clock.Now()
 	g.mutex.Lock()
-	known := g.asks[request]
+	known := g.trials[request]
 	if now.Before(known.until) {
 		g.mutex.Unlock()
-		return false, max(known.trial.Sub(now), askPause)
+		return false, max(known.trial.Sub(now), minTrialInterval)
 	}
-	g.asks[request] = ask{until: now.Add(askPause), trial: now.Add(askPause)}
+	g.trials[request] = trialState{until: now.Add(minTrialInterval), trial: now.Add(minTrialInterval)}
 	g.mutex.Unlock()
-	trial, err := g.question(ctx, request)
+	trial, err := g.sendTrialRequest(ctx, request)
 	if err != nil {
-		g.log.WithFields(logrus.Fields{"event": "quarantine_owner_silent", "digest": request}).WithError(err).Warn("No store says whether a request may run once.")
-		return false, askPause
+		g.log.WithFields(logrus.Fields{"event": "quarantine_owner_silent", "digest": request}).WithError(err).Warn("The owner did not answer a request for a trial run.")
+		return false, minTrialInterval
 	}
 	if trial.Granted {
 		return true, 0
@@ -289,11 +293,11 @@
 	wait = time.Duration(trial.WaitMs) * time.Millisecond
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.asks[request] = ask{until: now.Add(min(max(wait, askPause), askAgain)), trial: now.Add(wait)}
+	g.trials[request] = trialState{until: now.Add(min(max(wait, minTrialInterval), maxTrialInterval)), trial: now.Add(wait)}
 	return false, wait
 }
 
-func (g *Guard) question(ctx context.Context, request quarantine.Digest) (trial Trial, err error) {
+func (g *Guard) sendTrialRequest(ctx context.Context, request quarantine.Digest) (trial Trial, err error) {
 	owners := placement.Stores(ownerKey, g.owners())
 	if len(owners) == 0 {
 		return trial, api.NewError("ask for a trial", "", api.CodeNoContact, api.OutcomeNotRun, "no store is known")
@@ -304,16 +308,17 @@
 	return trial, err
 }
 
-// TakeGrant is Ask for who can't wait: the owner is asked in the background, and Granted is
-// called once the request may run.
+// TakeGrant consumes a trial run that was granted before and reports whether there was one.
+// Otherwise it asks the owner in the background, without blocking; the callback in the
+// settings is called once a run is granted.
 func (g *Guard) TakeGrant(request quarantine.Digest) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.grants[request] {
-		delete(g.grants, request)
+	if g.grantedTrials[request] {
+		delete(g.grantedTrials, request)
 		return true
 	}
-	if clock.Now().Before(g.asks[request].until) {
+	if clock.Now().Before(g.trials[request].until) {
 		return false
 	}
 	go func() {
@@ -321,7 +326,7 @@
 			return
 		}
 		g.mutex.Lock()
-		g.grants[request] = true
+		g.grantedTrials[request] = true
 		g.mutex.Unlock()
 		if g.granted != nil {
 			g.granted()
