--- a/quota/benchmark_test.go
+++ b/quota/benchmark_test.go
@@ -10,9 +10,8 @@
 	"github.com/dykewing/dykewing/sim"
 )
 
-// BenchmarkReportAndGrant is one report of a router that is home of workers of
-// 15 rows with ceilings, its grant by an owner that knows 670 holders, and the
-// bytes of both.
+// BenchmarkReportAndGrant measures one report of a router with 15 rows that have ceilings and
+// its grant by an owner with 670 holders, and reports the size of both messages.
 func BenchmarkReportAndGrant(b *testing.B) {
 	const routers, rows = 670, 15
 	now := sim.Epoch
--- a/quota/holder.go
+++ b/quota/holder.go
@@ -8,20 +8,20 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// batchReserve: batch leaves one part in so many of a share free.
-const batchReserve = 8
+// batchReserveDivisor is the divisor of the part of a share that batch requests leave free.
+const batchReserveDivisor = 8
 
-// HolderMessage is what a Holder is stepped with.
+// HolderMessage is an input of a Holder's Step.
 type HolderMessage interface{ holderMessage() }
 
-// Tick lets a holder report when an interval has passed; send it several times
-// an interval.
+// Tick lets a holder send the reports that are due. Send it several times per report
+// interval.
 type Tick struct{}
 
-// Ceilings replaces the bounds of the table in force.
+// Ceilings replaces the ceilings of all rows.
 type Ceilings struct{ Rows map[api.RowKey]Ceiling }
 
-// Granted carries the answer of the group's owner.
+// Granted delivers a grant of the group's owner.
 type Granted struct {
 	Group api.GroupID
 	Grant Grant
@@ -31,11 +31,11 @@
 func (Ceilings) holderMessage() {}
 func (Granted) holderMessage()  {}
 
-// HolderAction is what a Holder asks for.
+// HolderAction is an output of a Holder's Step.
 type HolderAction interface{ holderAction() }
 
-// SendReport sends the report to the owner that leads the group; loss is
-// allowed.
+// SendReport asks the caller to send the report to the leader of the group; it may be
+// lost.
 type SendReport struct {
 	Group  api.GroupID
 	Report Report
@@ -43,7 +43,7 @@
 
 func (SendReport) holderAction() {}
 
-// HolderSettings of a Holder.
+// HolderSettings configure a Holder.
 type HolderSettings struct {
 	Settings
 	Router   api.NodeID
@@ -51,57 +51,59 @@
 	GroupOf  func(api.RowKey) api.GroupID
 }
 
-// Holder admits requests at one router within the shares that it holds.
+// Holder admits requests at one router within the shares that it holds. It is a state
+// machine without I/O or a clock, and is not safe for concurrent use.
 type Holder struct {
-	settings HolderSettings
-	rows     map[api.RowKey]*holding
-	groups   map[api.GroupID]*reporting
-	sequence uint64
-	sent     []sentReport // of the last Lifetime, oldest first
-	started  bool         // ceilings were set before
+	settings    HolderSettings
+	rows        map[api.RowKey]*rowHolding
+	groups      map[api.GroupID]*groupState
+	sequence    uint64
+	sentReports []sentReport // within the share TTL, oldest first
+	started     bool         // ceilings have been set
 }
 
-type reporting struct {
-	next     time.Time // of a report in steady use
-	early    time.Time // no report before
-	epoch    uint64    // newest seen
-	reported bool      // something was reported, so that an empty report is due
+// groupState is the state of the reports to one group.
+type groupState struct {
+	nextReport     time.Time // next regular report
+	earliestReport time.Time // earliest time of the next report
+	epoch          uint64    // newest epoch seen
+	reported       bool      // the last report had rows, so an empty one must follow
 }
 
 type sentReport struct {
 	sequence uint64
 	at       time.Time
-	keys     []api.RowKey // the report's rows
+	keys     []api.RowKey // rows of the report
 }
 
-// holding is what the holder knows of one row.
-type holding struct {
-	ceiling Ceiling
-	inUse   int
-	peak    int       // highest need since the last report
-	denied  int       // refusals since the last report
-	arrived int       // admissions asked for since the last report
-	demand  time.Time // last admission asked for
-	asked   uint64    // sequence of the last report with the row
-	wanted  int       // of the last report
-	applied uint64    // sequence of the grant that is applied
-	share   int
-	expires time.Time // of share
-	tokens  []tokens  // oldest first
+// rowHolding is the state of one row at a holder.
+type rowHolding struct {
+	ceiling      Ceiling
+	inFlight     int
+	peakDemand   int // highest demand since the last report
+	rejected     int // rejections since the last report
+	arrivals     int // since the last report
+	lastArrival  time.Time
+	lastReported uint64 // sequence of the last report with the row
+	wanted       int    // concurrency wanted in the last report
+	applied      uint64 // sequence of the grant in force
+	share        int
+	expires      time.Time    // of share
+	tokens       []tokenBatch // oldest first
 }
 
-type tokens struct {
+type tokenBatch struct {
 	count   int
 	expires time.Time
 }
 
-// NewHolder holds nothing.
+// NewHolder returns a Holder without ceilings or shares.
 func NewHolder(settings HolderSettings) *Holder {
-	return &Holder{settings: settings, rows: map[api.RowKey]*holding{}, groups: map[api.GroupID]*reporting{}}
+	return &Holder{settings: settings, rows: map[api.RowKey]*rowHolding{}, groups: map[api.GroupID]*groupState{}}
 }
 
-// Acquire admits one request of the row, or says when to come back: Check and
-// Take in one.
+// Acquire combines Check for an online request and Take. It reports whether the request
+// is admitted, and if not, the delay after which to retry.
 func (h *Holder) Acquire(now time.Time, key api.RowKey) (bool, time.Duration) {
 	ok, retryAfter := h.Check(now, key, api.ClassOnline)
 	if ok {
@@ -110,86 +112,85 @@
 	return ok, retryAfter
 }
 
-// Check tells at once whether a request of the row may be admitted now, or when
-// to come back; the need is reported to the owner either way. Batch leaves a
-// part of the share free, so that online requests find it. A row without a
-// ceiling always may.
+// Check reports whether a request of the row may be admitted now, and if not, the delay
+// after which to retry. Either way the demand is reported to the owner. Batch requests
+// leave a part of the share free for online requests. A row without a ceiling always
+// admits.
 func (h *Holder) Check(now time.Time, key api.RowKey, class api.Class) (bool, time.Duration) {
 	row := h.row(key)
-	row.arrived++
-	row.demand = now
+	row.arrivals++
+	row.lastArrival = now
 	if !row.ceiling.Bounded() || row.admits(now, class) {
 		return true, 0
 	}
-	row.denied++
-	row.peak = max(row.peak, row.inUse+row.denied)
-	h.askSoon(key, row, now)
+	row.rejected++
+	row.peakDemand = max(row.peakDemand, row.inFlight+row.rejected)
+	h.reportSoon(key, row, now)
 	return false, h.retryAfter(row)
 }
 
-// Take admits a request that was checked in the same step. It is ended by
-// Release.
+// Take admits a request right after a successful Check. Each Take needs a Release.
 func (h *Holder) Take(now time.Time, key api.RowKey) {
 	row := h.row(key)
 	if row.ceiling.Rate > 0 {
-		row.expire(now)
-		row.take()
+		row.expireTokens(now)
+		row.takeToken()
 	}
-	row.inUse++
-	row.peak = max(row.peak, row.inUse)
+	row.inFlight++
+	row.peakDemand = max(row.peakDemand, row.inFlight)
 }
 
-// Release ends an admitted request.
+// Release records the end of an admitted request.
 func (h *Holder) Release(key api.RowKey) {
 	row := h.row(key)
-	row.inUse--
+	row.inFlight--
 }
 
-// InUse counts the row's requests that run.
-func (h *Holder) InUse(key api.RowKey) int { return h.row(key).inUse }
+// InUse returns the number of requests of the row in flight.
+func (h *Holder) InUse(key api.RowKey) int { return h.row(key).inFlight }
 
-// Room is how many more batch requests of the row would be admitted now. To
-// ask is to need one: batch work is only looked for where there is room.
+// Room returns how many more batch requests of the row would be admitted now. If there
+// are none, the call counts as demand for one, since batch work is only scheduled where
+// there is capacity.
 func (h *Holder) Room(now time.Time, key api.RowKey) int {
 	row, ok := h.rows[key]
 	if !ok || !row.ceiling.Bounded() {
 		return math.MaxInt
 	}
-	room := max(row.room(now, api.ClassBatch), 0)
+	room := max(row.available(now, api.ClassBatch), 0)
 	if room == 0 {
-		row.demand = now
-		row.peak = max(row.peak, row.inUse+1)
-		row.arrived = max(row.arrived, 1)
+		row.lastArrival = now
+		row.peakDemand = max(row.peakDemand, row.inFlight+1)
+		row.arrivals = max(row.arrivals, 1)
 	}
 	return room
 }
 
-// ShareInUse tells whether the row's share of the concurrency is what keeps the
-// next online request out.
+// ShareInUse reports whether the row's share of the concurrency ceiling is used up.
 func (h *Holder) ShareInUse(now time.Time, key api.RowKey) bool {
 	row := h.row(key)
-	return row.ceiling.Concurrency > 0 && row.inUse > 0 && row.inUse >= row.shareAt(now)
+	return row.ceiling.Concurrency > 0 && row.inFlight > 0 && row.inFlight >= row.shareAt(now)
 }
 
-func (h *Holder) row(key api.RowKey) *holding {
+func (h *Holder) row(key api.RowKey) *rowHolding {
 	row, ok := h.rows[key]
 	if !ok {
-		row = &holding{}
+		row = &rowHolding{}
 		h.rows[key] = row
 	}
 	return row
 }
 
-// askSoon brings the next report forward when nothing is held.
-func (h *Holder) askSoon(key api.RowKey, row *holding, now time.Time) {
-	if row.shareAt(now) == 0 && row.denied == 1 {
-		h.group(h.settings.GroupOf(key)).next = time.Time{}
+// reportSoon makes the next report due at once if the holder has no share.
+func (h *Holder) reportSoon(key api.RowKey, row *rowHolding, now time.Time) {
+	if row.shareAt(now) == 0 && row.rejected == 1 {
+		h.group(h.settings.GroupOf(key)).nextReport = time.Time{}
 	}
 }
 
-// retryAfter is one interval, by when the share may have grown; with a rate it
-// is at least the time until the ceiling lets one more through.
-func (h *Holder) retryAfter(row *holding) time.Duration {
+// retryAfter returns one report interval, after which the share may have grown. With a
+// rate ceiling it is at least the time between two admissions.
+func (h *Holder) retryAfter(row *rowHolding) time.Duration {
 	wait := h.settings.Interval
 	if row.ceiling.Rate > 0 {
 		wait = max(wait, time.Duration(float64(time.Second)/row.ceiling.Rate))
@@ -197,43 +198,43 @@
 	return wait
 }
 
-func (r *holding) admits(now time.Time, class api.Class) bool { return r.room(now, class) > 0 }
+func (r *rowHolding) admits(now time.Time, class api.Class) bool { return r.available(now, class) > 0 }
 
-// room is how many more requests the share and the tokens allow.
-func (r *holding) room(now time.Time, class api.Class) int {
+// available returns how many more requests the share and the tokens allow.
+func (r *rowHolding) available(now time.Time, class api.Class) int {
 	room := math.MaxInt
 	if r.ceiling.Concurrency > 0 {
 		share := r.shareAt(now)
-		room = share - reserve(share, class) - r.inUse
+		room = share - reserve(share, class) - r.inFlight
 	}
 	if r.ceiling.Rate > 0 {
-		r.expire(now)
-		left := r.left()
+		r.expireTokens(now)
+		left := r.tokensLeft()
 		room = min(room, left-reserve(left, class))
 	}
 	return room
 }
 
-// reserve is the part that batch leaves free.
+// reserve returns the part of a share that batch requests leave free.
 func reserve(share int, class api.Class) int {
 	if class != api.ClassBatch || share <= 1 {
 		return 0
 	}
-	return max(share/batchReserve, 1)
+	return max(share/batchReserveDivisor, 1)
 }
 
-func (r *holding) shareAt(now time.Time) int {
+func (r *rowHolding) shareAt(now time.Time) int {
 	if !now.Before(r.expires) {
 		return 0
 	}
 	return r.share
 }
 
-func (r *holding) expire(now time.Time) {
-	r.tokens = slices.DeleteFunc(r.tokens, func(t tokens) bool { return t.count == 0 || !now.Before(t.expires) })
+func (r *rowHolding) expireTokens(now time.Time) {
+	r.tokens = slices.DeleteFunc(r.tokens, func(t tokenBatch) bool { return t.count == 0 || !now.Before(t.expires) })
 }
 
-func (r *holding) left() int {
+func (r *rowHolding) tokensLeft() int {
 	total := 0
 	for _, t := range r.tokens {
 		total += t.count
@@ -241,7 +242,7 @@
 	return total
 }
 
-func (r *holding) take() {
+func (r *rowHolding) takeToken() {
 	for i := range r.tokens {
 		if r.tokens[i].count > 0 {
 			r.tokens[i].count--
@@ -250,7 +251,7 @@
 	}
 }
 
-// Step takes one message.
+// Step handles one message and returns the actions that the caller has to carry out.
 func (h *Holder) Step(now time.Time, message HolderMessage) []HolderAction {
 	switch message := message.(type) {
 	case Tick:
@@ -268,10 +269,10 @@
 	for key, ceiling := range rows {
 		row := h.row(key)
 		if h.started && !row.ceiling.Bounded() {
-			// It is in force at once, so a share is asked for at once.
-			row.demand = now
+			// The ceiling applies at once, so a share is requested at once.
+			row.lastArrival = now
 			group := h.group(h.settings.GroupOf(key))
-			group.next, group.early = time.Time{}, time.Time{}
+			group.nextReport, group.earliestReport = time.Time{}, time.Time{}
 		}
 		row.ceiling = ceiling
 	}
@@ -281,17 +282,17 @@
 			continue
 		}
 		row.ceiling = Ceiling{}
-		// What was applied is remembered for as long as an older grant can come.
-		if row.inUse == 0 && row.applied < h.oldestOpen() {
+		// The sequence in force is kept as long as an older grant may still arrive.
+		if row.inFlight == 0 && row.applied < h.oldestOpen() {
 			delete(h.rows, key)
 		}
 	}
 }
 
-func (h *Holder) group(id api.GroupID) *reporting {
+func (h *Holder) group(id api.GroupID) *groupState {
 	group, ok := h.groups[id]
 	if !ok {
-		group = &reporting{}
+		group = &groupState{}
 		h.groups[id] = group
 	}
 	return group
--- a/quota/holder_report.go
+++ b/quota/holder_report.go
@@ -9,7 +9,7 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// report makes the reports that are due, by group.
+// report returns the reports that are due, in order of their groups.
 func (h *Holder) report(now time.Time) []HolderAction {
 	h.forgetSent(now)
 	due, urgent := map[api.GroupID][]api.RowKey{}, map[api.GroupID]bool{}
@@ -20,11 +20,11 @@
 		id := h.settings.GroupOf(key)
 		group := h.group(id)
 		due[id] = append(due[id], key)
-		urgent[id] = urgent[id] || !group.next.After(now) || row.urgent(now)
+		urgent[id] = urgent[id] || !group.nextReport.After(now) || row.urgent(now)
 	}
 	var actions []HolderAction
 	for _, id := range slices.Sorted(maps.Keys(due)) {
-		if !urgent[id] || h.group(id).early.After(now) {
+		if !urgent[id] || h.group(id).earliestReport.After(now) {
 			continue
 		}
 		slices.SortFunc(due[id], func(a, b api.RowKey) int { return cmp.Compare(a.String(), b.String()) })
@@ -33,7 +33,7 @@
 	return actions
 }
 
-// reportGroup reports the rows in use; the last report of a group is empty.
+// reportGroup reports the rows in use. Once there are none, one empty report is sent.
 func (h *Holder) reportGroup(now time.Time, id api.GroupID, keys []api.RowKey) []HolderAction {
 	group := h.group(id)
 	report := Report{
@@ -44,21 +44,21 @@
 	for _, key := range keys {
 		row := h.rows[key]
 		entry := h.rowReport(now, key, row)
-		if entry.empty() && row.asked <= report.Ended {
+		if entry.empty() && row.lastReported <= report.Ended {
 			continue
 		}
-		row.asked = h.sequence + 1
+		row.lastReported = h.sequence + 1
 		report.Rows = append(report.Rows, entry)
 		reported = append(reported, key)
 	}
 	if len(report.Rows) == 0 && !group.reported {
 		return nil
 	}
-	group.next, group.early = now.Add(h.settings.Interval), now.Add(h.settings.ShortInterval)
+	group.nextReport, group.earliestReport = now.Add(h.settings.Interval), now.Add(h.settings.ShortInterval)
 	group.reported = len(report.Rows) > 0
 	h.sequence++
 	report.Sequence = h.sequence
-	h.sent = append(h.sent, sentReport{sequence: h.sequence, at: now, keys: reported})
+	h.sentReports = append(h.sentReports, sentReport{sequence: h.sequence, at: now, keys: reported})
 	return []HolderAction{SendReport{Group: id, Report: report}}
 }
 
@@ -66,54 +66,55 @@
 	if h.settings.Fault == FaultExpireFromReceipt {
 		return
 	}
-	h.sent = slices.DeleteFunc(h.sent, func(s sentReport) bool { return now.Sub(s.at) >= h.settings.Lifetime })
+	h.sentReports = slices.DeleteFunc(h.sentReports, func(s sentReport) bool { return now.Sub(s.at) >= h.settings.Lifetime })
 }
 
-// urgent rows are reported early: something was refused or soon will be, or the
-// need has fallen by half, so that others can have what is not used.
-func (r *holding) urgent(now time.Time) bool {
-	const worthReleasing = 4
-	if r.denied > 0 {
+// urgent reports whether a row should be reported early: requests were rejected or soon
+// will be, or demand has halved and the unused share should be released.
+func (r *rowHolding) urgent(now time.Time) bool {
+	const minRelease = 4
+	if r.rejected > 0 {
 		return true
 	}
 	if r.ceiling.Rate > 0 {
-		r.expire(now)
-		if r.arrived > r.left() {
+		r.expireTokens(now)
+		if r.arrivals > r.tokensLeft() {
 			return true
 		}
 	}
 	if r.ceiling.Concurrency == 0 {
 		return false
 	}
-	released := r.wanted - r.inUse
-	return r.peak > r.shareAt(now) || (released >= worthReleasing && 2*released >= r.wanted)
+	released := r.wanted - r.inFlight
+	return r.peakDemand > r.shareAt(now) || (released >= minRelease && 2*released >= r.wanted)
 }
 
-// empty rows need no report: nothing runs, none is wanted, nothing is held.
+// empty reports whether a row need not be reported: nothing is in flight, wanted or
+// held.
 func (r RowReport) empty() bool { return r.Want == 0 && r.InUse == 0 && r.Tokens == 0 && r.Share == 0 }
 
-func (h *Holder) rowReport(now time.Time, key api.RowKey, row *holding) RowReport {
-	row.expire(now)
-	report := RowReport{Key: Key(key), InUse: row.inUse, Ended: h.ended(now, row)}
+func (h *Holder) rowReport(now time.Time, key api.RowKey, row *rowHolding) RowReport {
+	row.expireTokens(now)
+	report := RowReport{Key: Key(key), InUse: row.inFlight, Ended: h.ended(now, row)}
 	report.Share = row.shareAt(now)
 	if row.ceiling.Concurrency > 0 {
-		report.Want = row.peak
-		if !row.demand.IsZero() && now.Sub(row.demand) < h.settings.IdleAfter {
-			report.Want = max(row.peak, 1)
+		report.Want = row.peakDemand
+		if !row.lastArrival.IsZero() && now.Sub(row.lastArrival) < h.settings.IdleAfter {
+			report.Want = max(row.peakDemand, 1)
 		}
 	}
 	if row.ceiling.Rate > 0 {
 		const intervalsAhead = 2
-		report.Tokens = max(intervalsAhead*row.arrived-row.left(), 0)
+		report.Tokens = max(intervalsAhead*row.arrivals-row.tokensLeft(), 0)
 	}
-	row.peak, row.denied, row.arrived = row.inUse, 0, 0
+	row.peakDemand, row.rejected, row.arrivals = row.inFlight, 0, 0
 	row.wanted = report.Want
 	return report
 }
 
-// ended is the newest sequence whose grant can allow nothing more: replaced,
-// expired, or sent so long ago that its answer would come expired.
-func (h *Holder) ended(now time.Time, row *holding) uint64 {
+// ended returns the newest sequence whose grant admits nothing any more: it was replaced,
+// has expired, or would arrive expired.
+func (h *Holder) ended(now time.Time, row *rowHolding) uint64 {
 	ended := row.applied
 	if row.applied > 0 && now.Before(row.expires) {
 		return ended - 1
@@ -121,24 +122,24 @@
 	return max(ended, h.oldestOpen()-1)
 }
 
-// oldestOpen is the oldest sequence whose answer would still be applied.
+// oldestOpen returns the oldest sequence whose grant would still be applied.
 func (h *Holder) oldestOpen() uint64 {
-	if len(h.sent) > 0 {
-		return h.sent[0].sequence
+	if len(h.sentReports) > 0 {
+		return h.sentReports[0].sequence
 	}
 	return h.sequence + 1
 }
 
-// apply takes shares that are newer than those applied. A share ends one
-// Lifetime after its report was sent, however late the answer comes.
+// apply applies the shares of a grant that are newer than those in force. The TTL of a
+// share starts when its report was sent, however late the grant arrives.
 func (h *Holder) apply(now time.Time, id api.GroupID, grant Grant) {
 	group := h.group(id)
 	if grant.Epoch < group.epoch {
 		return
 	}
 	if grant.Epoch > group.epoch {
-		// A new owner gives shares only to holders that have seen its epoch.
-		group.epoch, group.next, group.early = grant.Epoch, time.Time{}, time.Time{}
+		// A new owner grants shares only to holders that have seen its epoch.
+		group.epoch, group.nextReport, group.earliestReport = grant.Epoch, time.Time{}, time.Time{}
 	}
 	sent, ok := h.sentReport(grant.Sequence)
 	if !ok || grant.Instance != h.settings.Instance || len(grant.Shares) != len(sent.keys) {
@@ -158,19 +159,19 @@
 			continue
 		}
 		if share.Concurrency < row.shareAt(now) {
-			// What this router gives up is waited for elsewhere.
-			group.next = time.Time{}
+			// Other routers wait for what this one gives up.
+			group.nextReport = time.Time{}
 		}
 		row.applied = grant.Sequence
 		row.share, row.expires = share.Concurrency, expires
 		if share.Tokens > 0 {
-			row.tokens = append(row.tokens, tokens{count: share.Tokens, expires: expires})
+			row.tokens = append(row.tokens, tokenBatch{count: share.Tokens, expires: expires})
 		}
 	}
 }
 
 func (h *Holder) sentReport(sequence uint64) (sentReport, bool) {
-	for _, sent := range h.sent {
+	for _, sent := range h.sentReports {
 		if sent.sequence == sequence {
 			return sent, true
 		}
--- a/quota/holder_test.go
+++ b/quota/holder_test.go
@@ -30,18 +30,17 @@
 	}
 }
 
-// TestStartedRouterHasNoShare: without a share a ceiling closes.
-func TestStartedRouterHasNoShare(t *testing.T) {
+// A router without a share admits nothing.
+func TestNewRouterHasNoShare(t *testing.T) {
 	ceilings := map[api.RowKey]Ceiling{rowKey: {Concurrency: 5}}
 	if ok, retryAfter := testHolder(sim.Epoch, ceilings).Acquire(sim.Epoch, rowKey); ok || retryAfter <= 0 {
-		t.Errorf("admitted %v, come back after %v", ok, retryAfter)
+		t.Errorf("admitted %v, retry after %v", ok, retryAfter)
 	}
 }
 
-// TestANewCeilingIsInForceAtOnce: requests that ran before it go on, none is
-// admitted before the first share, and that is asked for by the next tick, also
-// when the group's last report has only just gone.
-func TestANewCeilingIsInForceAtOnce(t *testing.T) {
+// Requests in flight before a new ceiling continue, none is admitted before the first share,
+// and the next tick requests a share even right after another report of the group.
+func TestNewCeilingAppliesAtOnce(t *testing.T) {
 	now := sim.Epoch
 	other := api.RowKey{Service: "other", Place: "east"}
 	ceilings := map[api.RowKey]Ceiling{other: {Concurrency: 5}}
@@ -56,7 +55,7 @@
 	ceilings = map[api.RowKey]Ceiling{other: {Concurrency: 5}, rowKey: {Concurrency: 5}}
 	holder.Step(now, Ceilings{Rows: ceilings})
 	if ok, retryAfter := holder.Acquire(now, rowKey); ok || retryAfter <= 0 {
-		t.Errorf("admitted %v before the first share, come back after %v", ok, retryAfter)
+		t.Errorf("admitted %v before the first share, retry after %v", ok, retryAfter)
 	}
 	actions := holder.Step(now.Add(time.Millisecond), Tick{})
 	if len(actions) != 1 {
@@ -68,7 +67,7 @@
 		if row.Key == Key(rowKey) {
 			shares[i].Concurrency = 4
 			if row.InUse != 3 || row.Want < 4 {
-				t.Errorf("reported %+v, with 3 in use and one refused", row)
+				t.Errorf("reported %+v with 3 in flight and one rejected", row)
 			}
 		}
 	}
@@ -81,7 +80,7 @@
 	}
 }
 
-func TestBatchLeavesRoomInTheShare(t *testing.T) {
+func TestBatchLeavesPartOfShareFree(t *testing.T) {
 	now := sim.Epoch
 	holder := testHolder(now, map[api.RowKey]Ceiling{rowKey: {Concurrency: 8}})
 	holder.Acquire(now, rowKey)
--- a/quota/owner.go
+++ b/quota/owner.go
@@ -8,36 +8,36 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// OwnerMessage is what an Owner is stepped with.
+// OwnerMessage is an input of an Owner's Step.
 type OwnerMessage interface{ ownerMessage() }
 
-// Led says that this replica leads its group in the term Epoch and has applied
-// all that earlier leaders committed; Holders are the registered ones.
+// Led reports that this replica has become the leader of its group in term Epoch and has
+// applied all entries of earlier leaders. Holders are the registered holders.
 type Led struct {
 	Epoch   uint64
 	Holders []api.NodeID
 }
 
-// Deposed says that this replica no longer leads.
+// Deposed reports that this replica is no longer the leader.
 type Deposed struct{}
 
-// Bounds replaces the ceilings of the table in force.
+// Bounds replaces the ceilings of all rows.
 type Bounds struct{ Rows map[api.RowKey]Ceiling }
 
-// Reported carries a holder's report; Token comes back in Answer.
+// Reported delivers a holder's report. The action that answers it carries the same Token.
 type Reported struct {
 	Token  uint64
 	Report Report
 }
 
-// ConfirmedLeader says that a round with a quorum, begun after the reports up
-// to Token had arrived, found this replica leading in Epoch.
+// ConfirmedLeader reports that a quorum has confirmed this replica as the leader of Epoch,
+// in a round that began after the reports up to Token had arrived.
 type ConfirmedLeader struct {
 	Token uint64
 	Epoch uint64
 }
 
-// Registered says that the holder's registration was committed in Epoch.
+// Registered reports that the registration of a holder was committed in Epoch.
 type Registered struct {
 	Epoch  uint64
 	Router api.NodeID
@@ -50,18 +50,19 @@
 func (ConfirmedLeader) ownerMessage() {}
 func (Registered) ownerMessage()      {}
 
-// OwnerAction is what an Owner asks for.
+// OwnerAction is an output of an Owner's Step.
 type OwnerAction interface{ ownerAction() }
 
-// Confirm asks for a round with a quorum that begins now.
+// Confirm asks the caller to confirm the leadership with a quorum, in a round that begins
+// now.
 type Confirm struct{ Token uint64 }
 
-// Register asks to commit that the holder may hold shares, so that a later
-// leader knows whom to ask.
+// Register asks the caller to commit the registration of a holder, so that later leaders
+// know which holders may have shares.
 type Register struct{ Router api.NodeID }
 
-// Answer gives the grant to the holder that reported with Token. Refused: this
-// replica does not lead.
+// Answer asks the caller to send the grant to the holder that reported with Token. Refused
+// is set if this replica is not the leader.
 type Answer struct {
 	Token   uint64
 	Grant   Grant
@@ -72,41 +73,42 @@
 func (Register) ownerAction() {}
 func (Answer) ownerAction()   {}
 
-// Owner grants the shares of all rows of one group while its replica leads.
+// Owner grants shares of the rows of one group while its replica is the leader. It is a
+// state machine without I/O or a clock, and is not safe for concurrent use.
 type Owner struct {
-	settings Settings
-	leading  bool
-	epoch    uint64
-	until    time.Time // silent holders' requests count until then
-	bounds   map[api.RowKey]Ceiling
-	holders  map[api.NodeID]*holderState
-	silent   int // holders that were not heard
-	rows     map[api.RowKey]*rowState
-	pending  []Reported // wait for their confirmation, oldest first
+	settings     Settings
+	leading      bool
+	epoch        uint64
+	unheardUntil time.Time // until then requests of holders not heard from may run
+	ceilings     map[api.RowKey]Ceiling
+	holders      map[api.NodeID]*holderState
+	unheard      int // registered holders not heard from in this epoch
+	rows         map[api.RowKey]*rowState
+	pending      []Reported // reports waiting for confirmation, oldest first
 }
 
-// holderState is what is known of one registered holder.
+// holderState is the state of one registered holder.
 type holderState struct {
-	instance uint64
-	sequence uint64
-	heard    bool // reported in this epoch without a share of an older one
-	last     time.Time
+	instance   uint64
+	sequence   uint64
+	heard      bool // has seen this epoch
+	lastReport time.Time
 }
 
-// NewOwner does not lead.
+// NewOwner returns an Owner that is not the leader.
 func NewOwner(settings Settings) *Owner {
-	return &Owner{settings: settings, bounds: map[api.RowKey]Ceiling{}}
+	return &Owner{settings: settings, ceilings: map[api.RowKey]Ceiling{}}
 }
 
-// Step takes one message.
+// Step handles one message and returns the actions that the caller has to carry out.
 func (o *Owner) Step(now time.Time, message OwnerMessage) []OwnerAction {
 	switch message := message.(type) {
 	case Led:
-		return o.lead(now, message)
+		return o.becomeLeader(now, message)
 	case Deposed:
-		return o.depose()
+		return o.stepDown()
 	case Bounds:
-		o.bounds = message.Rows
+		o.ceilings = message.Rows
 	case Reported:
 		return o.receive(now, message)
 	case ConfirmedLeader:
@@ -117,30 +119,30 @@
 	return nil
 }
 
-// lead begins an epoch that knows nothing of the shares of earlier ones but the
-// holders that may have them. A holder that is heard tells what it has, and
-// applies no grant of an earlier epoch any more. One that stays silent may have
-// been granted a share until the election: the quorum that elected this replica
-// meets every quorum that confirmed an earlier owner. That share ends one
-// Lifetime later, and the last request under it MaximumRun after that.
-func (o *Owner) lead(now time.Time, led Led) []OwnerAction {
-	actions := o.depose()
+// becomeLeader starts an epoch. Of earlier epochs it knows only which holders may have shares. A
+// holder that reports states its shares and applies no grant of an earlier epoch any more.
+// One that does not report may have been granted a share up to the election, since the
+// quorum that elected this replica intersects every quorum that confirmed an earlier owner.
+// That share expires one TTL later, and the last request admitted under it ends within the
+// maximum run time after that.
+func (o *Owner) becomeLeader(now time.Time, led Led) []OwnerAction {
+	actions := o.stepDown()
 	wait := o.settings.Lifetime + o.settings.Margin
 	if o.settings.Fault == FaultNoWait {
 		wait = 0
 	}
 	o.leading, o.epoch = true, led.Epoch
-	o.until = now.Add(wait + o.settings.MaximumRun)
+	o.unheardUntil = now.Add(wait + o.settings.MaximumRun)
 	o.holders = map[api.NodeID]*holderState{}
 	o.rows = map[api.RowKey]*rowState{}
 	for _, router := range led.Holders {
-		o.holders[router] = &holderState{last: now}
+		o.holders[router] = &holderState{lastReport: now}
 	}
-	o.silent = len(o.holders)
+	o.unheard = len(o.holders)
 	return actions
 }
 
-func (o *Owner) depose() []OwnerAction {
+func (o *Owner) stepDown() []OwnerAction {
 	o.leading = false
 	var actions []OwnerAction
 	for _, waiting := range o.pending {
@@ -171,15 +173,15 @@
 	return Grant{Epoch: o.epoch, Instance: report.Instance, Sequence: report.Sequence}
 }
 
-// registered adds a holder that no earlier owner has granted to.
+// registered adds a holder that has no grants of earlier owners.
 func (o *Owner) registered(now time.Time, message Registered) {
 	if !o.leading || message.Epoch != o.epoch || o.holders[message.Router] != nil {
 		return
 	}
-	o.holders[message.Router] = &holderState{heard: true, last: now}
+	o.holders[message.Router] = &holderState{heard: true, lastReport: now}
 }
 
-// confirmed answers the reports that had arrived when the round began.
+// confirmed answers the reports that had arrived when the confirmed round began.
 func (o *Owner) confirmed(now time.Time, confirmed ConfirmedLeader) []OwnerAction {
 	if !o.leading || confirmed.Epoch != o.epoch {
 		return nil
@@ -193,14 +195,14 @@
 	return actions
 }
 
-// grant takes a report in and gives the shares that it leads to.
+// grant applies a report and returns the resulting shares.
 func (o *Owner) grant(now time.Time, report Report) Grant {
 	grant := o.emptyGrant(report)
-	if !o.take(now, report) || !o.holders[report.Router].heard {
+	if !o.applyReport(now, report) || !o.holders[report.Router].heard {
 		return grant
 	}
 	for _, row := range report.Rows {
-		ceiling := o.bounds[api.RowKey(row.Key)]
+		ceiling := o.ceilings[api.RowKey(row.Key)]
 		share := Share{Unknown: !ceiling.Bounded()}
 		if ceiling.Concurrency > 0 {
 			share.Concurrency = o.concurrency(now, report, row, ceiling.Concurrency)
@@ -213,17 +215,17 @@
 	return grant
 }
 
-// take notes what the holder reports; false when a newer report was taken.
-func (o *Owner) take(now time.Time, report Report) bool {
+// applyReport records a holder's report, and returns false if it is stale.
+func (o *Owner) applyReport(now time.Time, report Report) bool {
 	holder := o.holders[report.Router]
 	if report.Instance < holder.instance || (report.Instance == holder.instance && report.Sequence <= holder.sequence) {
 		return false
 	}
 	if report.Instance > holder.instance {
-		o.forget(report.Router, holder)
+		o.removeInstance(report.Router, holder)
 	}
-	holder.instance, holder.sequence, holder.last = report.Instance, report.Sequence, now
-	o.hear(now, holder, report)
+	holder.instance, holder.sequence, holder.lastReport = report.Instance, report.Sequence, now
+	o.markHeard(now, holder, report)
 	reported := map[api.RowKey]RowReport{}
 	for _, row := range report.Rows {
 		key := api.RowKey(row.Key)
@@ -239,11 +241,11 @@
 		if !ok {
 			entry.Ended = report.Ended
 		}
-		share.take(now, entry)
+		share.applyReport(now, entry)
 		if o.settings.Fault == FaultForgetInUse {
-			share.inUse = 0
+			share.inFlight = 0
 		}
-		row.account(now, share, o.settings)
+		row.updateTotal(now, share, o.settings)
 		if !ok && len(share.grants) == 0 {
 			row.remove(report.Router)
 		}
@@ -251,9 +253,9 @@
 	return true
 }
 
-// forget drops what an earlier process of the router held: its requests ended
-// with its connections.
-func (o *Owner) forget(router api.NodeID, holder *holderState) {
+// removeInstance removes the shares of an earlier process of the router: its requests
+// ended with its connections.
+func (o *Owner) removeInstance(router api.NodeID, holder *holderState) {
 	if holder.instance == 0 {
 		return
 	}
@@ -262,15 +264,15 @@
 	}
 }
 
-// hear counts the holder as known once it has seen this epoch: what it has in
-// use, or may still take in use under a share of an earlier epoch, is then all
-// that it can have without this owner.
-func (o *Owner) hear(now time.Time, holder *holderState, report Report) {
+// markHeard marks the holder as heard from once it has seen this epoch. Its requests in
+// flight, and its share of an earlier epoch, are then all that it can use without grants of
+// this owner.
+func (o *Owner) markHeard(now time.Time, holder *holderState, report Report) {
 	if holder.heard || report.Epoch != o.epoch {
 		return
 	}
 	holder.heard = true
-	o.silent--
+	o.unheard--
 	for _, row := range report.Rows {
 		state := o.row(now, api.RowKey(row.Key))
 		state.accounted += max(row.InUse, row.Share)
@@ -284,26 +286,26 @@
 	}
 }
 
-// Silent lists the holders to remove from the registered ones: nothing of
-// theirs can run any more. Sorted.
+// Silent lists the registered holders that have not reported for so long that none of their
+// requests can still run, sorted. The caller should commit their removal.
 func (o *Owner) Silent(now time.Time) []api.NodeID {
-	var silent []api.NodeID
+	var expired []api.NodeID
 	if !o.leading {
 		return nil
 	}
 	for router, holder := range o.holders {
-		if now.Sub(holder.last) > 2*(o.settings.Lifetime+o.settings.Margin)+o.settings.MaximumRun {
-			silent = append(silent, router)
+		if now.Sub(holder.lastReport) > 2*(o.settings.Lifetime+o.settings.Margin)+o.settings.MaximumRun {
+			expired = append(expired, router)
 		}
 	}
-	slices.SortFunc(silent, func(a, b api.NodeID) int { return cmp.Compare(a, b) })
-	return silent
+	slices.SortFunc(expired, func(a, b api.NodeID) int { return cmp.Compare(a, b) })
+	return expired
 }
 
-// Forget drops a holder whose removal was committed.
+// Forget removes a holder after its removal was committed.
 func (o *Owner) Forget(router api.NodeID) {
 	if holder, ok := o.holders[router]; ok && !holder.heard {
-		o.silent--
+		o.unheard--
 	}
 	delete(o.holders, router)
 	for _, row := range o.rows {
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,15 +1,15 @@
-// Package quota keeps the ceilings of the table's rows across all routers. An
-// Owner, one for each store group, grants shares of the ceilings that expire; a
-// Holder, one for each router, admits only within the shares that it holds.
+// Package quota enforces the ceilings of the table's rows across all routers. An
+// Owner, one per store group, grants shares of the ceilings as leases that expire; a
+// Holder, one per router, admits requests only within the shares that it holds.
 //
 // Invariants:
-//   - the requests in use at all holders together never pass a row's ceiling of
-//     concurrency, also while owners change, pause or are cut off;
-//   - the requests admitted in any window w are at most rate × (w + Lifetime)
+//   - the requests in flight at all holders together never exceed the concurrency
+//     ceiling of a row, also while owners change, pause or are partitioned;
+//   - the requests admitted in any window w are at most rate × (w + TTL of a share)
 //     plus one burst.
 //
-// They rest on a quorum and on clocks that run at nearly the same rate (within
-// Margin in one Lifetime); what the clocks show does not matter.
+// They rely on a quorum and on clocks whose rates differ by at most the drift margin
+// per share TTL; absolute clock readings do not matter.
 package quota
 
 import (
@@ -20,28 +20,28 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Settings are the same at all owners and holders.
+// Settings have to be the same at all owners and holders.
 type Settings struct {
-	// Lifetime is how long a share lasts from when its request was sent.
+	// Lifetime is the TTL of a share, counted from when its report was sent.
 	Lifetime time.Duration
-	// Margin is what an owner waits beyond Lifetime: the drift of clock rates.
+	// Margin is how much longer an owner waits for a share to expire, to allow for clock
+	// drift.
 	Margin time.Duration
-	// Interval is the time between a holder's reports in steady use, and
-	// ShortInterval the least time between two when a share is too small, or much
-	// larger than what is needed any more.
+	// Interval is the time between a holder's reports under steady demand, and
+	// ShortInterval the minimum while a share is too small or much larger than needed.
 	Interval      time.Duration
 	ShortInterval time.Duration
-	// IdleAfter is how long after its last request a row at a holder still asks
-	// for a share of one, so that rare requests find one.
+	// IdleAfter is how long after its last request a row still requests a share of one,
+	// so that infrequent requests are admitted at once.
 	IdleAfter time.Duration
-	// MaximumRun bounds a request: the holder cuts it after that time, so a
-	// silent holder's requests count no longer than this beyond their share.
+	// MaximumRun is the longest run of a request, which the holder enforces. Requests of
+	// an unresponsive holder count at most this long beyond the expiry of its share.
 	MaximumRun time.Duration
-	// Fault plants a defect, so that the checks can be shown to fail.
+	// Fault is injected by tests.
 	Fault Fault
 }
 
-// DefaultSettings move unused shares within a second.
+// DefaultSettings returns settings that reassign unused shares within a second.
 func DefaultSettings() Settings {
 	return Settings{
 		Lifetime: 5 * time.Second, Margin: 500 * time.Millisecond,
@@ -50,10 +50,10 @@
 	}
 }
 
-// Fault is a planted defect; tests only.
+// Fault is a defect that tests inject to show that their checks can fail.
 type Fault string
 
-// The planted defects.
+// Faults that tests inject.
 const (
 	FaultNone              Fault = ""
 	FaultNoConfirm         Fault = "grant-without-confirm"
@@ -63,28 +63,27 @@
 	FaultForgetHolders     Fault = "forget-holders"
 )
 
-// Ceiling is a row's bound over all routers; 0 is no bound.
+// Ceiling is the limit of a row over all routers; a zero field is no limit.
 type Ceiling struct {
 	Concurrency int
-	Rate        float64 // requests a second
+	Rate        float64 // requests per second
 }
 
-// CeilingOf reads the bound of a row.
+// CeilingOf returns the ceiling of a row of the table.
 func CeilingOf(row api.Row) Ceiling {
 	return Ceiling{Concurrency: row.CeilingConcurrency, Rate: row.CeilingRate}
 }
 
-// Bounded is true when either bound is set.
+// Bounded reports whether any limit is set.
 func (c Ceiling) Bounded() bool { return c.Concurrency > 0 || c.Rate > 0 }
 
-// Key is a row's key that is service/place in JSON: these messages are the most
-// frequent ones that name rows.
+// Key is the key of a row, encoded in JSON as the compact text service/place.
 type Key api.RowKey
 
-// MarshalText gives service/place.
+// MarshalText encodes the key as service/place.
 func (k Key) MarshalText() ([]byte, error) { return []byte(api.RowKey(k).String()), nil }
 
-// UnmarshalText reads service/place.
+// UnmarshalText decodes service/place.
 func (k *Key) UnmarshalText(text []byte) error {
 	service, place, ok := strings.Cut(string(text), "/")
 	if !ok {
@@ -94,68 +93,68 @@
 	return nil
 }
 
-// Report is what a holder tells the owner of a group about all rows of the
-// group that have a ceiling. A row that is not in it has nothing in use.
+// Report is a holder's report to the owner of a group about the group's rows with a
+// ceiling. A row that is not included has no requests in flight.
 type Report struct {
 	Router   api.NodeID `json:"router"`
 	Instance uint64     `json:"instance"` // grows with each start of the router
 	Sequence uint64     `json:"sequence"` // grows with each report
-	// Ended: grants that answer this or an earlier sequence come too late to
-	// allow anything, for any row.
+	// Ended is the last sequence whose grant would arrive expired, for every row.
 	Ended uint64 `json:"ended,omitempty"`
-	// Epoch is the newest that the holder has seen of the group; it applies no
+	// Epoch is the newest epoch of the group that the holder has seen; it applies no
 	// grant of an older one.
 	Epoch uint64      `json:"epoch,omitempty"`
 	Rows  []RowReport `json:"rows,omitempty"`
 }
 
-// RowReport is a holder's need of one row.
+// RowReport is a holder's use of one row and its demand.
 type RowReport struct {
 	Key    Key `json:"k"`
-	Want   int `json:"w,omitempty"` // requests at once that it could use
-	InUse  int `json:"u,omitempty"` // requests that run now
+	Want   int `json:"w,omitempty"` // concurrent requests wanted
+	InUse  int `json:"u,omitempty"` // requests in flight
 	Tokens int `json:"t,omitempty"` // admissions wanted under the rate
-	// Ended: as in the report, with those that a newer grant has replaced.
+	// Ended is like that of the report, but also covers grants that a newer one has
+	// replaced.
 	Ended uint64 `json:"d,omitempty"`
-	// Share is the concurrency that is held now; it answered Ended+1.
+	// Share is the concurrency held now, granted in response to sequence Ended+1.
 	Share int `json:"s,omitempty"`
 }
 
-// Grant answers a Report. Shares are those of the report's rows, in the same
-// order; without any, all that the holder has stays as it is.
+// Grant is the response to a Report. Shares are in the order of the report's rows; if
+// there are none, the holder's shares do not change.
 type Grant struct {
-	Epoch    uint64  `json:"epoch"`    // the owner's term
+	Epoch    uint64  `json:"epoch"`    // term of the owner
 	Instance uint64  `json:"instance"` // of the report
 	Sequence uint64  `json:"sequence"` // of the report
 	Shares   []Share `json:"shares,omitempty"`
 }
 
-// Share is a part of a row's ceiling, granted to one router until it expires.
+// Share is the part of a row's ceiling that is leased to one router.
 type Share struct {
 	Concurrency int `json:"c,omitempty"`
 	Tokens      int `json:"t,omitempty"` // admissions added under the rate
-	// Unknown: the owner's table has no ceiling for the row (yet); nothing is
-	// granted and nothing is taken away.
+	// Unknown is set if the owner's table has no ceiling for the row yet; the holder's
+	// share does not change.
 	Unknown bool `json:"n,omitempty"`
 }
 
-// maximumRows bounds a report.
-const maximumRows = 10_000
+// maxRows limits the rows of a report.
+const maxRows = 10_000
 
-// Validate refuses a report that no holder makes; owners are stepped only with
-// valid ones.
+// Validate checks the fields of a report. An Owner must be stepped only with valid
+// reports.
 func (r Report) Validate() error {
-	if r.Router == "" || len(r.Rows) > maximumRows {
-		return fmt.Errorf("report of router %q with %d rows", r.Router, len(r.Rows))
+	if r.Router == "" || len(r.Rows) > maxRows {
+		return fmt.Errorf("invalid report of router %q with %d rows", r.Router, len(r.Rows))
 	}
 	seen := make(map[Key]bool, len(r.Rows))
 	for _, row := range r.Rows {
 		if seen[row.Key] {
-			return fmt.Errorf("row %s stands twice", api.RowKey(row.Key))
+			return fmt.Errorf("row %s is listed twice", api.RowKey(row.Key))
 		}
 		seen[row.Key] = true
 		if min(row.Want, row.InUse, row.Tokens, row.Share) < 0 || max(row.Want, row.InUse, row.Tokens, row.Share) > api.MaximumSlots {
-			return fmt.Errorf("row %s: a number is out of range", api.RowKey(row.Key))
+			return fmt.Errorf("row %s: value out of range", api.RowKey(row.Key))
 		}
 	}
 	return nil
