--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -37,7 +37,8 @@
 	Prefix   string // of all keys of the key-value service
 	Log      *logrus.Entry
 	Registry Registerer
-	// Granted is called after TakeGrant has obtained a trial run; may be nil.
+	// Granted is called when a trial run that was requested in the background is granted; may
+	// be nil.
 	Granted func()
 }
 
@@ -62,10 +63,10 @@
 
 	mutex             sync.Mutex // guards all below
 	broken            map[worker.Incarnation]*brokenWorker
-	survivals         map[quarantine.Digest]time.Time // last surviving runs; empty while inactive
+	survivals         map[quarantine.Digest]time.Time // last surviving runs, recorded while active
 	survivalsPrunedAt time.Time                       // last removal of expired survivals
 	detector          *quarantine.Book                // evidence of this process only
-	ownerEntries      map[quarantine.Digest]time.Time
+	ownerEntries      map[quarantine.Digest]time.Time // expiry of the requests that the owner listed
 	trials            map[quarantine.Digest]trialState
 	grantedTrials     map[quarantine.Digest]bool
 	outbox            outbox
@@ -110,7 +111,8 @@
 // under Prefix.
 func (g *Guard) View() catalog.View { return g.published }
 
-// Run sends reports and publishes records until ctx is done. Serve must be called before it.
+// Run sends reports and publishes records until ctx is done. Handlers have to be registered
+// before.
 func (g *Guard) Run(ctx context.Context) {
 	defer g.client.CloseIdleConnections()
 	defer g.cancel()
@@ -163,17 +165,17 @@
 
 // crash returns the crash of the worker with the requests that this process had there.
 func (b *brokenWorker) crash(now time.Time) quarantine.Loss {
-	loss := quarantine.Loss{Worker: b.worker.Incarnation().String(), Age: now.Sub(b.at)}
+	crash := quarantine.Loss{Worker: b.worker.Incarnation().String(), Age: now.Sub(b.at)}
 	for _, request := range slices.Sorted(maps.Keys(b.requests)) {
 		switch {
-		case len(loss.Requests)+len(loss.Answered) >= maxCrashRequests:
+		case len(crash.Requests)+len(crash.Answered) >= maxCrashRequests:
 		case b.requests[request]:
-			loss.Answered = append(loss.Answered, request)
+			crash.Answered = append(crash.Answered, request)
 		default:
-			loss.Requests = append(loss.Requests, request)
+			crash.Requests = append(crash.Requests, request)
 		}
 	}
-	return loss
+	return crash
 }
 
 // probe finds out whether a worker that broke off responses has crashed, and queues a report
@@ -188,17 +190,17 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	delete(g.broken, known.worker.Incarnation())
-	loss := known.crash(now)
+	crash := known.crash(now)
 	if crashed && len(known.requests) > 0 {
-		g.detector.Lost(now, loss)
-		g.outbox.addCrash(now, loss)
+		g.detector.Lost(now, crash)
+		g.outbox.addCrash(now, crash)
 		notify(g.wake)
 	}
 	g.updateActive(now)
 	g.metrics.countProbe(crashed)
 	entry := g.log.WithFields(logrus.Fields{
 		"event": "worker_looked_at", "worker": known.worker.ID, "service": known.worker.Service, "ended": crashed,
-		"digests": loss.Requests, "answered": loss.Answered, "age_ms": loss.Age.Milliseconds(),
+		"digests": crash.Requests, "answered": crash.Answered, "age_ms": crash.Age.Milliseconds(),
 	})
 	if !crashed {
 		entry.Info("A worker broke off responses but is still listening.")
@@ -265,15 +267,15 @@
 }
 
 // publish publishes a request that this process has quarantined.
-func (g *Guard) publish(finding quarantine.Finding) {
+func (g *Guard) publish(entry quarantine.Finding) {
 	g.metrics.detected.Inc()
-	g.log.WithFields(logrus.Fields{"event": "request_found", "digest": finding.Digest, "workers": finding.Workers}).
+	g.log.WithFields(logrus.Fields{"event": "request_found", "digest": entry.Digest, "workers": entry.Workers}).
 		Warn("A request crashes workers and is quarantined.")
-	g.published.enqueue(finding.Digest, &record{Workers: finding.Workers, Trials: finding.Trials})
+	g.published.enqueue(entry.Digest, &record{Workers: entry.Workers, Trials: entry.Trials})
 	now := clock.Now()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.ownerEntries[finding.Digest] = now.Add(ownerEntryTTL)
+	g.ownerEntries[entry.Digest] = now.Add(ownerEntryTTL)
 	g.updateActive(now)
 }
 
--- a/internal/guard/messages.go
+++ b/internal/guard/messages.go
@@ -40,7 +40,7 @@
 type Report struct {
 	From   api.NodeID `json:"from"`
 	Losses []Loss     `json:"losses,omitempty"`
-	// Survived lists suspected requests with a run that completed with its worker still alive.
+	// Suspected requests with a run that completed with its worker still alive.
 	Survived []quarantine.Digest `json:"survived,omitempty"`
 }
 
@@ -87,10 +87,10 @@
 		return api.NewError(step, string(r.From), api.CodeBadRequest, api.OutcomeNotRun, "%d losses, %d survivals", len(r.Losses), len(r.Survived))
 	}
 	digests := r.Survived
-	for _, loss := range r.Losses {
-		requests := slices.Concat(loss.Requests, loss.Answered)
-		if loss.Worker == "" || loss.AgeMs < 0 || len(requests) > maxCrashRequests {
-			return api.NewError(step, string(r.From), api.CodeBadRequest, api.OutcomeNotRun, "worker %q, age %d ms, %d requests", loss.Worker, loss.AgeMs, len(requests))
+	for _, crash := range r.Losses {
+		requests := slices.Concat(crash.Requests, crash.Answered)
+		if crash.Worker == "" || crash.AgeMs < 0 || len(requests) > maxCrashRequests {
+			return api.NewError(step, string(r.From), api.CodeBadRequest, api.OutcomeNotRun, "worker %q, age %d ms, %d requests", crash.Worker, crash.AgeMs, len(requests))
 		}
 		digests = slices.Concat(digests, requests)
 	}
--- a/internal/guard/owner.go
+++ b/internal/guard/owner.go
@@ -61,8 +61,8 @@
 // applyReport records a report and returns the response.
 func (o *owner) applyReport(now time.Time, report Report) Standing {
 	o.mutex.Lock()
-	for _, loss := range report.Losses {
-		o.detector.Lost(now, loss.decode())
+	for _, crash := range report.Losses {
+		o.detector.Lost(now, crash.decode())
 	}
 	var released []quarantine.Digest
 	for _, digest := range report.Survived {
@@ -71,8 +71,8 @@
 		}
 	}
 	response := Standing{Epoch: o.epoch}
-	for _, finding := range o.detector.Findings() {
-		response.Found = append(response.Found, finding.Digest)
+	for _, entry := range o.detector.Findings() {
+		response.Found = append(response.Found, entry.Digest)
 	}
 	for _, suspect := range o.detector.AlmostFound() {
 		if len(response.Suspects) < maxSuspects {
@@ -102,27 +102,27 @@
 func (o *owner) evaluate() {
 	now := clock.Now()
 	o.mutex.Lock()
-	findings, next := o.detector.Settle(now)
+	entries, next := o.detector.Settle(now)
 	if !next.IsZero() {
 		o.scheduleEvaluation(next.Sub(now))
 	}
 	o.mutex.Unlock()
-	for _, finding := range findings {
-		o.guard.publish(finding)
+	for _, entry := range entries {
+		o.guard.publish(entry)
 	}
 }
 
 func (o *owner) serveTrial(w http.ResponseWriter, r *http.Request) {
-	var question Question
-	if failure := transport.ReadJSON(w, r, "read question for a trial", maxMessageBytes, &question); failure != nil {
+	var request Question
+	if failure := transport.ReadJSON(w, r, "read question for a trial", maxMessageBytes, &request); failure != nil {
 		transport.WriteError(w, failure)
 		return
 	}
-	if !question.Digest.Valid() {
-		transport.WriteError(w, api.NewError("read question for a trial", "", api.CodeBadRequest, api.OutcomeNotRun, "digest %q", question.Digest))
+	if !request.Digest.Valid() {
+		transport.WriteError(w, api.NewError("read question for a trial", "", api.CodeBadRequest, api.OutcomeNotRun, "digest %q", request.Digest))
 		return
 	}
-	transport.WriteJSON(w, http.StatusOK, o.grantTrial(clock.Now(), question.Digest))
+	transport.WriteJSON(w, http.StatusOK, o.grantTrial(clock.Now(), request.Digest))
 }
 
 // unknownWait is the time after which to ask again about a request that is unknown here: it
@@ -138,16 +138,16 @@
 		return Trial{WaitMs: unknownWait.Milliseconds()}
 	}
 	granted, wait := o.detector.Trial(now, digest)
-	var finding quarantine.Finding
+	var entry quarantine.Finding
 	for _, each := range o.detector.Findings() {
 		if each.Digest == digest {
-			finding = each
+			entry = each
 		}
 	}
 	o.mutex.Unlock()
 	if granted {
-		o.guard.log.WithFields(logrus.Fields{"event": "request_tried", "digest": digest, "trials": finding.Trials}).Info("A trial run of a quarantined request is granted.")
-		o.guard.published.enqueue(digest, &record{Workers: finding.Workers, Trials: finding.Trials})
+		o.guard.log.WithFields(logrus.Fields{"event": "request_tried", "digest": digest, "trials": entry.Trials}).Info("A trial run of a quarantined request is granted.")
+		o.guard.published.enqueue(digest, &record{Workers: entry.Workers, Trials: entry.Trials})
 	}
 	return Trial{Granted: granted, WaitMs: wait.Milliseconds()}
 }
--- a/internal/guard/tell.go
+++ b/internal/guard/tell.go
@@ -56,8 +56,8 @@
 	at time.Time
 }
 
-func (o *outbox) addCrash(now time.Time, loss quarantine.Loss) {
-	o.crashes = append(o.crashes, outboxCrash{Loss: loss, at: now.Add(-loss.Age)})
+func (o *outbox) addCrash(now time.Time, crash quarantine.Loss) {
+	o.crashes = append(o.crashes, outboxCrash{Loss: crash, at: now.Add(-crash.Age)})
 	o.dropOldest(len(o.crashes) - maxStoredCrashes)
 }
 
@@ -91,7 +91,7 @@
 
 // report returns the crashes and survivals that the owner has not acknowledged.
 func (o *outbox) report(now time.Time, self, owner api.NodeID) (report Report) {
-	old := slices.IndexFunc(o.crashes, func(loss outboxCrash) bool { return now.Sub(loss.at) < crashTTL })
+	old := slices.IndexFunc(o.crashes, func(crash outboxCrash) bool { return now.Sub(crash.at) < crashTTL })
 	if old < 0 {
 		old = len(o.crashes)
 	}
@@ -100,8 +100,8 @@
 		o.owner, o.acknowledged, o.respondedAt = owner, 0, time.Time{}
 	}
 	report = Report{From: self, Survived: slices.Clone(o.survivals)}
-	for _, loss := range o.crashes[o.acknowledged:min(o.acknowledged+maxReportCrashes, len(o.crashes))] {
-		report.Losses = append(report.Losses, Loss{Worker: loss.Worker, AgeMs: now.Sub(loss.at).Milliseconds(), Requests: loss.Requests, Answered: loss.Answered})
+	for _, crash := range o.crashes[o.acknowledged:min(o.acknowledged+maxReportCrashes, len(o.crashes))] {
+		report.Losses = append(report.Losses, Loss{Worker: crash.Worker, AgeMs: now.Sub(crash.at).Milliseconds(), Requests: crash.Requests, Answered: crash.Answered})
 	}
 	return report
 }
@@ -179,10 +179,10 @@
 		}
 	}
 	g.mutex.Lock()
-	findings, _ := g.detector.Settle(clock.Now())
+	entries, _ := g.detector.Settle(clock.Now())
 	g.mutex.Unlock()
-	for _, finding := range findings {
-		g.publish(finding)
+	for _, entry := range entries {
+		g.publish(entry)
 	}
 }
 
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -177,10 +177,10 @@
 	}
 	for _, owner := range candidates {
 		if l.holder.Usable(now, string(owner.ID)) {
-			ask := l.holder.Ask(now, string(owner.ID), tenant, q.tenant.Limit, q.version, len(q.waiters))
+			request := l.holder.Ask(now, string(owner.ID), tenant, q.tenant.Limit, q.version, len(q.waiters))
 			l.sequence++
-			ask.Holder, ask.Sequence = string(l.self), l.sequence
-			return owner, ask, true
+			request.Holder, request.Sequence = string(l.self), l.sequence
+			return owner, request, true
 		}
 	}
 	return api.Node{}, ratelimit.Ask{}, false
--- a/internal/limiter/owner.go
+++ b/internal/limiter/owner.go
@@ -35,27 +35,27 @@
 
 // ServeHTTP handles token requests.
 func (o *Owner) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	var ask ratelimit.Ask
-	if failure := transport.ReadJSON(w, r, "read question for tokens", maxRequestBytes, &ask); failure != nil {
+	var request ratelimit.Ask
+	if failure := transport.ReadJSON(w, r, "read question for tokens", maxRequestBytes, &request); failure != nil {
 		transport.WriteError(w, failure)
 		return
 	}
-	if failure := check(ask); failure != nil {
+	if failure := check(request); failure != nil {
 		transport.WriteError(w, failure)
 		return
 	}
-	backup := o.isBackup(ask.Tenant)
+	backup := o.isBackup(request.Tenant)
 	o.mutex.Lock()
-	grant := o.owner.Step(clock.Now(), ask, backup)
+	grant := o.owner.Step(clock.Now(), request, backup)
 	o.mutex.Unlock()
 	transport.WriteJSON(w, http.StatusOK, grant)
 }
 
 // check validates a token request.
-func check(ask ratelimit.Ask) *api.Error {
-	if ask.Tenant == "" || ask.Tokens < 0 || ask.Elsewhere < 0 || !ask.Limit.Bounded() || ask.Limit.Burst < 0 {
+func check(request ratelimit.Ask) *api.Error {
+	if request.Tenant == "" || request.Tokens < 0 || request.Elsewhere < 0 || !request.Limit.Bounded() || request.Limit.Burst < 0 {
 		return api.NewError("read question for tokens", "", api.CodeBadRequest, api.OutcomeNotRun,
-			"tenant %q, %d tokens, %d elsewhere, limit %g and %g", ask.Tenant, ask.Tokens, ask.Elsewhere, ask.Limit.Rate, ask.Limit.Burst)
+			"tenant %q, %d tokens, %d elsewhere, limit %g and %g", request.Tenant, request.Tokens, request.Elsewhere, request.Limit.Rate, request.Limit.Burst)
 	}
 	return nil
 }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -22,13 +22,13 @@
 // safe for concurrent use.
 type Book struct {
 	settings         Settings
-	crashes          map[string]*crash          // by worker
+	crashes          map[string]*crashRecord    // by worker
 	crashesByRequest map[Digest]map[string]bool // by request and worker; true if no run had begun to respond
 	entries          map[Digest]*Finding
 }
 
 // crash is the crash of one worker.
-type crash struct {
+type crashRecord struct {
 	at        time.Time       // as first reported
 	requests  map[Digest]bool // true if no run there had begun to respond
 	evaluated bool            // the report window has passed
@@ -45,7 +45,7 @@
 }
 
 func New(settings Settings) *Book {
-	return &Book{settings: settings.withDefaults(), crashes: map[string]*crash{}, crashesByRequest: map[Digest]map[string]bool{}, entries: map[Digest]*Finding{}}
+	return &Book{settings: settings.withDefaults(), crashes: map[string]*crashRecord{}, crashesByRequest: map[Digest]map[string]bool{}, entries: map[Digest]*Finding{}}
 }
 
 // Loss is the crash of a worker as reported by one process.
@@ -65,7 +65,7 @@
 	}
 	known := d.crashes[report.Worker]
 	if known == nil {
-		known = &crash{at: now.Add(-max(report.Age, 0)), requests: map[Digest]bool{}}
+		known = &crashRecord{at: now.Add(-max(report.Age, 0)), requests: map[Digest]bool{}}
 		d.crashes[report.Worker] = known
 	}
 	for _, request := range report.Requests {
@@ -94,12 +94,12 @@
 	if again {
 		return
 	}
-	finding := d.entries[request]
-	if finding == nil {
+	entry := d.entries[request]
+	if entry == nil {
 		return
 	}
-	finding.Workers = insertSorted(finding.Workers, worker)
-	finding.nextTrial = later(finding.nextTrial, now.Add(d.trialDelay(finding)))
+	entry.Workers = insertSorted(entry.Workers, worker)
+	entry.nextTrial = later(entry.nextTrial, now.Add(d.trialDelay(entry)))
 }
 
 func insertSorted(sorted []string, worker string) []string {
@@ -158,7 +158,7 @@
 		maps.Copy(candidates, known.requests)
 	}
 	requests := slices.Sorted(maps.Keys(candidates))
-	// Requests with strong evidence go first, since they explain crashes of the others.
+	// Strong evidence goes first, since such requests explain crashes of the others.
 	for _, meets := range []func(evidence) bool{d.strong, d.sufficient} {
 		for _, request := range requests {
 			if d.entries[request] == nil && meets(d.count(request, true)) {
@@ -192,7 +192,7 @@
 }
 
 // explained reports whether a quarantined request had an unanswered run on the worker.
-func (d *Book) explained(known *crash) bool {
+func (d *Book) explained(known *crashRecord) bool {
 	for request, unanswered := range known.requests {
 		if unanswered && d.entries[request] != nil {
 			return true
@@ -209,11 +209,11 @@
 
 // quarantine adds a request to the quarantined ones.
 func (d *Book) quarantine(now time.Time, request Digest) Finding {
-	finding := &Finding{Digest: request, Workers: slices.Sorted(maps.Keys(d.crashesByRequest[request])), lastSeen: now}
-	finding.nextTrial = now.Add(d.trialDelay(finding))
-	d.entries[request] = finding
+	entry := &Finding{Digest: request, Workers: slices.Sorted(maps.Keys(d.crashesByRequest[request])), lastSeen: now}
+	entry.nextTrial = now.Add(d.trialDelay(entry))
+	d.entries[request] = entry
 	d.enforceLimits()
-	return finding.copy()
+	return entry.copy()
 }
 
 // copy returns a deep copy for callers: later crashes are inserted into the original's list
@@ -225,8 +225,8 @@
 }
 
 // trialDelay returns the delay before the next trial run.
-func (d *Book) trialDelay(finding *Finding) time.Duration {
-	return d.settings.Trials[min(finding.Trials, len(d.settings.Trials)-1)]
+func (d *Book) trialDelay(entry *Finding) time.Duration {
+	return d.settings.Trials[min(entry.Trials, len(d.settings.Trials)-1)]
 }
 
 // Adopt merges a quarantined request that another process published, with the number of
@@ -239,9 +239,9 @@
 		}
 		return
 	}
-	finding := &Finding{Digest: request, Trials: trials, lastSeen: now}
-	finding.nextTrial = now.Add(d.trialDelay(finding))
-	d.entries[request] = finding
+	entry := &Finding{Digest: request, Trials: trials, lastSeen: now}
+	entry.nextTrial = now.Add(d.trialDelay(entry))
+	d.entries[request] = entry
 	d.enforceLimits()
 }
 
@@ -289,24 +289,24 @@
 // Trial grants one run of a quarantined request if its next trial is due, else it returns how
 // long to wait before asking again. A request that is not quarantined is always granted.
 func (d *Book) Trial(now time.Time, request Digest) (granted bool, wait time.Duration) {
-	finding := d.entries[request]
-	if finding == nil {
+	entry := d.entries[request]
+	if entry == nil {
 		return true, 0
 	}
-	finding.lastSeen = now
-	if wait := finding.nextTrial.Sub(now); wait > 0 || d.settings.Fault == FaultNoTrial {
+	entry.lastSeen = now
+	if wait := entry.nextTrial.Sub(now); wait > 0 || d.settings.Fault == FaultNoTrial {
 		return false, max(wait, time.Second)
 	}
-	finding.Trials++
-	finding.nextTrial = now.Add(d.trialDelay(finding))
+	entry.Trials++
+	entry.nextTrial = now.Add(d.trialDelay(entry))
 	return true, 0
 }
 
 // Findings lists the quarantined requests, sorted by digest.
 func (d *Book) Findings() []Finding {
 	list := make([]Finding, 0, len(d.entries))
-	for _, finding := range d.entries {
-		list = append(list, finding.copy())
+	for _, entry := range d.entries {
+		list = append(list, entry.copy())
 	}
 	slices.SortFunc(list, func(x, y Finding) int { return cmp.Compare(x.Digest, y.Digest) })
 	return list
@@ -316,8 +316,8 @@
 // sorted.
 func (d *Book) Unasked(now time.Time) []Digest {
 	var list []Digest
-	for request, finding := range d.entries {
-		if now.Sub(finding.lastSeen) >= d.settings.Unasked {
+	for request, entry := range d.entries {
+		if now.Sub(entry.lastSeen) >= d.settings.Unasked {
 			list = append(list, request)
 		}
 	}
@@ -341,10 +341,10 @@
 		return
 	}
 	for len(d.crashes) > d.settings.Losses {
-		d.removeCrash(oldest(d.crashes, func(known *crash) time.Time { return known.at }))
+		d.removeCrash(oldest(d.crashes, func(known *crashRecord) time.Time { return known.at }))
 	}
 	for len(d.entries) > d.settings.Findings {
-		d.Release(oldest(d.entries, func(finding *Finding) time.Time { return finding.lastSeen }))
+		d.Release(oldest(d.entries, func(entry *Finding) time.Time { return entry.lastSeen }))
 	}
 }
 
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -12,7 +12,7 @@
 var start = time.Unix(1_700_000_000, 0)
 
 // crashReport is the crash of one worker as a process reports it.
-type crashReport struct {
+type testCrash struct {
 	worker   string
 	requests []Digest
 	answered []Digest
@@ -20,14 +20,14 @@
 
 // quarantined reports the crashes, each evaluated before the next, and returns the requests that
 // were quarantined.
-func quarantined(d *Book, ends ...crashReport) (list []Digest) {
+func quarantined(d *Book, ends ...testCrash) (list []Digest) {
 	now := start
 	for _, end := range ends {
 		d.Lost(now, Loss{Worker: end.worker, Requests: end.requests, Answered: end.answered})
 		now = now.Add(defaultReportWindow)
-		findings, _ := d.Settle(now)
-		for _, finding := range findings {
-			list = append(list, finding.Digest)
+		entries, _ := d.Settle(now)
+		for _, entry := range entries {
+			list = append(list, entry.Digest)
 		}
 	}
 	return list
@@ -36,22 +36,22 @@
 func TestQuarantineDecision(t *testing.T) {
 	tests := []struct {
 		name string
-		ends []crashReport
+		ends []testCrash
 		want []Digest
 	}{
-		{"two crashes", []crashReport{{worker: "a", requests: []Digest{"x"}}, {worker: "b", requests: []Digest{"x"}}}, nil},
-		{"three crashes", []crashReport{{worker: "a", requests: []Digest{"x"}}, {worker: "b", requests: []Digest{"x"}}, {worker: "c", requests: []Digest{"x"}}}, []Digest{"x"}},
-		{"one worker reported three times", []crashReport{{worker: "a", requests: []Digest{"x"}}, {worker: "a", requests: []Digest{"x"}}, {worker: "a", requests: []Digest{"x"}}}, nil},
-		{"other requests share the workers", []crashReport{{worker: "a", requests: []Digest{"x", "y"}}, {worker: "b", requests: []Digest{"x", "z"}}, {worker: "c", requests: []Digest{"y", "x", "z"}}}, []Digest{"x"}},
-		{"two requests with the same evidence", []crashReport{{worker: "a", requests: []Digest{"x", "y"}}, {worker: "b", requests: []Digest{"x", "y"}}, {worker: "c", requests: []Digest{"x", "y"}}}, []Digest{"x", "y"}},
-		{"three crashes of runs that had begun to respond", []crashReport{{worker: "a", answered: []Digest{"x"}}, {worker: "b", answered: []Digest{"x"}}, {worker: "c", answered: []Digest{"x"}}}, nil},
-		{"four crashes, two of runs that had begun to respond", []crashReport{{worker: "a", answered: []Digest{"x"}}, {worker: "b", requests: []Digest{"x"}}, {worker: "c", requests: []Digest{"x"}}, {worker: "d", answered: []Digest{"x"}}}, []Digest{"x"}},
-		{"another request explains the crashes", []crashReport{
+		{"two crashes", []testCrash{{worker: "a", requests: []Digest{"x"}}, {worker: "b", requests: []Digest{"x"}}}, nil},
+		{"three crashes", []testCrash{{worker: "a", requests: []Digest{"x"}}, {worker: "b", requests: []Digest{"x"}}, {worker: "c", requests: []Digest{"x"}}}, []Digest{"x"}},
+		{"one worker reported three times", []testCrash{{worker: "a", requests: []Digest{"x"}}, {worker: "a", requests: []Digest{"x"}}, {worker: "a", requests: []Digest{"x"}}}, nil},
+		{"other requests share the workers", []testCrash{{worker: "a", requests: []Digest{"x", "y"}}, {worker: "b", requests: []Digest{"x", "z"}}, {worker: "c", requests: []Digest{"y", "x", "z"}}}, []Digest{"x"}},
+		{"two requests with the same evidence", []testCrash{{worker: "a", requests: []Digest{"x", "y"}}, {worker: "b", requests: []Digest{"x", "y"}}, {worker: "c", requests: []Digest{"x", "y"}}}, []Digest{"x", "y"}},
+		{"three crashes of runs that had begun to respond", []testCrash{{worker: "a", answered: []Digest{"x"}}, {worker: "b", answered: []Digest{"x"}}, {worker: "c", answered: []Digest{"x"}}}, nil},
+		{"four crashes, two of runs that had begun to respond", []testCrash{{worker: "a", answered: []Digest{"x"}}, {worker: "b", requests: []Digest{"x"}}, {worker: "c", requests: []Digest{"x"}}, {worker: "d", answered: []Digest{"x"}}}, []Digest{"x"}},
+		{"another request explains the crashes", []testCrash{
 			{worker: "a", requests: []Digest{"y"}, answered: []Digest{"x"}}, {worker: "b", requests: []Digest{"y"}, answered: []Digest{"x"}},
 			{worker: "c", requests: []Digest{"y"}, answered: []Digest{"x"}}, {worker: "d", requests: []Digest{"y"}, answered: []Digest{"x"}},
 			{worker: "e", requests: []Digest{"y"}, answered: []Digest{"x"}}}, []Digest{"y"}},
-		{"one of two runs on a worker had begun to respond", []crashReport{{worker: "a", requests: []Digest{"x"}, answered: []Digest{"x"}}, {worker: "b", requests: []Digest{"x"}}, {worker: "c", requests: []Digest{"x"}}}, nil},
-		{"two crashing requests in turn", []crashReport{
+		{"one of two runs on a worker had begun to respond", []testCrash{{worker: "a", requests: []Digest{"x"}, answered: []Digest{"x"}}, {worker: "b", requests: []Digest{"x"}}, {worker: "c", requests: []Digest{"x"}}}, nil},
+		{"two crashing requests in turn", []testCrash{
 			{worker: "a", requests: []Digest{"x"}}, {worker: "b", requests: []Digest{"x"}}, {worker: "c", requests: []Digest{"x"}}, {worker: "d", requests: []Digest{"y"}}, {worker: "e", requests: []Digest{"y"}}, {worker: "f", requests: []Digest{"y"}},
 		}, []Digest{"x", "y"}},
 	}
@@ -71,15 +71,15 @@
 	for i, worker := range []string{"a", "b", "c"} {
 		now := start.Add(time.Duration(i) * time.Second)
 		d.Lost(now, Loss{Worker: worker, Requests: []Digest{"shared"}})
-		if findings, next := d.Settle(now); len(findings) > 0 || !next.Equal(now.Add(defaultReportWindow)) {
-			t.Fatalf("%v, next at %v", findings, next)
+		if entries, next := d.Settle(now); len(entries) > 0 || !next.Equal(now.Add(defaultReportWindow)) {
+			t.Fatalf("%v, next at %v", entries, next)
 		}
 		d.Lost(now.Add(defaultReportWindow/2), Loss{Worker: worker, Requests: []Digest{"ends it"}})
 		d.Survived("shared")
 	}
-	findings, _ := d.Settle(start.Add(time.Minute))
-	if len(findings) != 1 || findings[0].Digest != "ends it" {
-		t.Errorf("quarantined %+v, want the request that crashes workers", findings)
+	entries, _ := d.Settle(start.Add(time.Minute))
+	if len(entries) != 1 || entries[0].Digest != "ends it" {
+		t.Errorf("quarantined %+v, want the request that crashes workers", entries)
 	}
 }
 
@@ -102,23 +102,23 @@
 	d.Lost(start, Loss{Worker: "b", Requests: []Digest{"x"}})
 	d.Survived("x")
 	d.Lost(start, Loss{Worker: "c", Requests: []Digest{"x"}})
-	if findings, _ := d.Settle(start.Add(time.Minute)); len(findings) > 0 {
-		t.Errorf("quarantined %+v after a surviving run", findings)
+	if entries, _ := d.Settle(start.Add(time.Minute)); len(entries) > 0 {
+		t.Errorf("quarantined %+v after a surviving run", entries)
 	}
 }
 
 func TestReleasedRequestNeedsNewCrashes(t *testing.T) {
 	d := New(Settings{})
-	if got := quarantined(d, crashReport{worker: "a", requests: []Digest{"x"}}, crashReport{worker: "b", requests: []Digest{"x"}}, crashReport{worker: "c", requests: []Digest{"x"}}); len(got) != 1 {
+	if got := quarantined(d, testCrash{worker: "a", requests: []Digest{"x"}}, testCrash{worker: "b", requests: []Digest{"x"}}, testCrash{worker: "c", requests: []Digest{"x"}}); len(got) != 1 {
 		t.Fatalf("quarantined %v after three crashes", got)
 	}
 	if !d.Survived("x") || d.Holds("x") {
 		t.Error("not released")
 	}
-	if got := quarantined(d, crashReport{worker: "d", requests: []Digest{"x"}}, crashReport{worker: "e", requests: []Digest{"x"}}); len(got) != 0 {
+	if got := quarantined(d, testCrash{worker: "d", requests: []Digest{"x"}}, testCrash{worker: "e", requests: []Digest{"x"}}); len(got) != 0 {
 		t.Errorf("quarantined %v after two new crashes", got)
 	}
-	if got := quarantined(d, crashReport{worker: "f", requests: []Digest{"x"}}); len(got) != 1 {
+	if got := quarantined(d, testCrash{worker: "f", requests: []Digest{"x"}}); len(got) != 1 {
 		t.Errorf("quarantined %v after three new crashes", got)
 	}
 }
@@ -154,7 +154,7 @@
 	}
 }
 
-// Guards against a data race: returned findings must not share their list of workers with
+// Guards against a data race: returned entries must not share their list of workers with
 // the detector, which inserts later crashes in place.
 func TestReturnedFindingsAreCopies(t *testing.T) {
 	tests := []struct {
@@ -162,8 +162,8 @@
 		get  func(d *Book) Finding
 	}{
 		{"from an evaluation", func(d *Book) Finding {
-			findings, _ := d.Settle(start.Add(time.Minute))
-			return findings[0]
+			entries, _ := d.Settle(start.Add(time.Minute))
+			return entries[0]
 		}},
 		{"from the list", func(d *Book) Finding {
 			d.Settle(start.Add(time.Minute))
@@ -176,10 +176,10 @@
 			for _, worker := range []string{"b", "c", "d"} {
 				d.Lost(start, Loss{Worker: worker, Requests: []Digest{"x"}})
 			}
-			finding := test.get(d)
+			entry := test.get(d)
 			d.Lost(start.Add(time.Minute), Loss{Worker: "a", Requests: []Digest{"x"}})
-			if want := []string{"b", "c", "d"}; !slices.Equal(finding.Workers, want) {
-				t.Errorf("the returned workers changed to %v, were %v", finding.Workers, want)
+			if want := []string{"b", "c", "d"}; !slices.Equal(entry.Workers, want) {
+				t.Errorf("the returned workers changed to %v, were %v", entry.Workers, want)
 			}
 			if now, want := d.Findings()[0].Workers, []string{"a", "b", "c", "d"}; !slices.Equal(now, want) {
 				t.Errorf("the detector has workers %v, want %v", now, want)
--- a/quarantine/settings.go
+++ b/quarantine/settings.go
@@ -7,13 +7,13 @@
 	// Ends is the number of worker crashes, with no surviving run in between, after which a
 	// request is quarantined.
 	Ends int
-	// Settle is how long the evaluation of a crash waits for reports of other processes that
-	// had requests on the same worker.
+	// The time that the evaluation of a crash waits for reports of other processes that had
+	// requests on the same worker.
 	Settle time.Duration
 	// Life is how long a crash counts as evidence.
 	Life time.Duration
-	// Losses, Requests and Findings limit the number of crashes kept, of requests kept for
-	// one crash, and of quarantined requests.
+	// These limit the number of crashes kept, of requests kept for one crash, and of
+	// quarantined requests.
 	Losses, Requests, Findings int
 	// Trials is the backoff schedule of trial runs of a quarantined request; the last delay
 	// repeats. Trials release requests that were quarantined only because they shared workers
--- a/quota/owner.go
+++ b/quota/owner.go
@@ -61,8 +61,8 @@
 // know which holders may have shares.
 type Register struct{ Router api.NodeID }
 
-// Answer asks the caller to send the grant to the holder that reported with Token. Refused
-// is set if this replica is not the leader.
+// Answer asks the caller to send the grant to the holder that reported with Token, or to
+// refuse the report since this replica is not the leader.
 type Answer struct {
 	Token   uint64
 	Grant   Grant
--- a/ratelimit/answered_test.go
+++ b/ratelimit/answered_test.go
@@ -11,9 +11,9 @@
 func TestDuplicateRequestCountsOnce(t *testing.T) {
 	start := time.Unix(1_700_000_000, 0)
 	limit := route.Limit{Rate: 10, Burst: 10}
-	ask := Ask{Tenant: "t", Limit: limit, Version: 1, Tokens: 2, Elsewhere: 1, Holder: "f", Sequence: 7}
+	request := Ask{Tenant: "t", Limit: limit, Version: 1, Tokens: 2, Elsewhere: 1, Holder: "f", Sequence: 7}
 	other := func(change func(*Ask)) Ask {
-		changed := ask
+		changed := request
 		change(&changed)
 		return changed
 	}
@@ -24,12 +24,12 @@
 		after   time.Duration
 		charged bool // the second request takes tokens
 	}{
-		{"duplicate", FaultNone, ask, 40 * time.Millisecond, false},
+		{"duplicate", FaultNone, request, 40 * time.Millisecond, false},
 		{"next request", FaultNone, other(func(a *Ask) { a.Sequence++ }), 0, true},
 		{"request of another holder", FaultNone, other(func(a *Ask) { a.Holder = "g" }), 0, true},
 		{"request without a holder", FaultNone, other(func(a *Ask) { a.Holder = "" }), 0, true},
-		{"duplicate after the window", FaultNone, ask, duplicateWindow + time.Millisecond, true},
-		{"duplicate with the injected fault", FaultCopiesCount, ask, 40 * time.Millisecond, true},
+		{"duplicate after the window", FaultNone, request, duplicateWindow + time.Millisecond, true},
+		{"duplicate with the injected fault", FaultCopiesCount, request, 40 * time.Millisecond, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -37,7 +37,7 @@
 			o.fault = test.fault
 			o.Step(start, Ask{Tenant: "t", Limit: limit, Version: 1}, false)
 			now := start.Add(3 * time.Second)
-			first := o.Step(now, ask, false)
+			first := o.Step(now, request, false)
 			before := o.buckets["t"].level
 			second := o.Step(now.Add(test.after), test.second, false)
 			taken := before - o.buckets["t"].level + limit.Rate*test.after.Seconds()
--- a/ratelimit/holder.go
+++ b/ratelimit/holder.go
@@ -101,17 +101,17 @@
 
 // Granted applies the owner's response to a request for the given number of waiting requests
 // and returns how many of them are admitted.
-func (h *Holder) Granted(now time.Time, owner string, ask Ask, grant Grant, waiting int) (admitted int) {
-	t := h.tenant(now, ask.Tenant)
+func (h *Holder) Granted(now time.Time, owner string, request Ask, grant Grant, waiting int) (admitted int) {
+	t := h.tenant(now, request.Tenant)
 	delete(h.skipUntil, owner)
-	t.acknowledgeSpent(owner, ask.Elsewhere)
+	t.acknowledgeSpent(owner, request.Elsewhere)
 	t.level, t.levelAt = grant.Level, now
 	admitted = min(grant.Tokens, waiting)
 	t.tokens, t.tokensUntil = grant.Tokens-admitted, now.Add(tokenTTL)
 	if grant.RetryAfter > 0 {
 		t.rejectUntil = now.Add(min(grant.RetryAfter, maxRejectionTime))
 		t.nextRetryAt = now.Add(grant.RetryAfter)
-		t.spacing = time.Duration(float64(time.Second) / max(ask.Limit.Rate, 1))
+		t.spacing = time.Duration(float64(time.Second) / max(request.Limit.Rate, 1))
 	}
 	for other := range t.spentElsewhere {
 		if other != owner {
--- a/ratelimit/owner.go
+++ b/ratelimit/owner.go
@@ -67,35 +67,35 @@
 // Step answers a request for tokens; backup reports whether this process knows of a live
 // primary owner of the tenant. A duplicate of a recent request gets the same grant and takes
 // no tokens.
-func (o *Owner) Step(now time.Time, ask Ask, backup bool) Grant {
+func (o *Owner) Step(now time.Time, request Ask, backup bool) Grant {
 	o.sweep(now)
-	id := requestID{holder: ask.Holder, tenant: ask.Tenant, sequence: ask.Sequence}
-	identified := ask.Holder != "" && o.fault != FaultCopiesCount
+	id := requestID{holder: request.Holder, tenant: request.Tenant, sequence: request.Sequence}
+	identified := request.Holder != "" && o.fault != FaultCopiesCount
 	if identified {
 		if grant, known := o.recentGrants.lookup(now, id); known {
 			return grant
 		}
 	}
-	grant := o.grant(now, ask, backup)
+	grant := o.grant(now, request, backup)
 	if identified {
 		o.recentGrants.add(now, id, grant)
 	}
 	return grant
 }
 
-func (o *Owner) grant(now time.Time, ask Ask, backup bool) Grant {
-	b := o.bucket(now, ask)
+func (o *Owner) grant(now time.Time, request Ask, backup bool) Grant {
+	b := o.bucket(now, request)
 	share := 1.0
 	if backup {
 		share = backupShare
 	}
 	b.refill(now, share, o.capacity(b.limit))
 	if o.fault != FaultElsewhereFree {
-		b.level -= float64(max(ask.Elsewhere, 0))
+		b.level -= float64(max(request.Elsewhere, 0))
 	}
-	grant := Grant{Tokens: max(min(ask.Tokens, int(math.Floor(b.level))), 0)}
+	grant := Grant{Tokens: max(min(request.Tokens, int(math.Floor(b.level))), 0)}
 	b.level -= float64(grant.Tokens)
-	if refused := ask.Tokens - grant.Tokens; grant.Tokens == 0 && refused > 0 {
+	if refused := request.Tokens - grant.Tokens; grant.Tokens == 0 && refused > 0 {
 		b.promised += float64(refused)
 		grant.RetryAfter = time.Duration((b.promised - b.level) / (share * b.limit.Rate) * float64(time.Second))
 	}
@@ -103,17 +103,17 @@
 	return grant
 }
 
-func (o *Owner) bucket(now time.Time, ask Ask) *bucket {
-	b := o.buckets[ask.Tenant]
+func (o *Owner) bucket(now time.Time, request Ask) *bucket {
+	b := o.buckets[request.Tenant]
 	if b == nil {
-		b = &bucket{limit: ask.Limit, version: ask.Version, at: now, level: max(slackFraction*o.tolerance.slack(ask.Limit), 1)}
+		b = &bucket{limit: request.Limit, version: request.Version, at: now, level: max(slackFraction*o.tolerance.slack(request.Limit), 1)}
 		if o.fault == FaultNewOwnerBursts {
-			b.level = o.capacity(ask.Limit)
+			b.level = o.capacity(request.Limit)
 		}
-		o.buckets[ask.Tenant] = b
+		o.buckets[request.Tenant] = b
 	}
-	if ask.Version > b.version {
-		b.limit, b.version = ask.Limit, ask.Version
+	if request.Version > b.version {
+		b.limit, b.version = request.Limit, request.Version
 	}
 	return b
 }
--- a/ratelimit/simulation_test.go
+++ b/ratelimit/simulation_test.go
@@ -136,14 +136,14 @@
 			continue
 		}
 		reached, answered := p.reachable(now, index, i, random)
-		ask := h.Ask(at, name, "t", p.limit, 1, 1)
+		request := h.Ask(at, name, "t", p.limit, 1, 1)
 		var grant Grant
 		if reached {
 			backup := slices.ContainsFunc(owners[:i], func(other *Owner) bool { return p.believedAlive(now, slices.Index(owners, other)) })
-			grant = owners[i].Step(at, ask, backup)
+			grant = owners[i].Step(at, request, backup)
 		}
 		if answered {
-			return h.Granted(at, name, ask, grant, 1) == 1
+			return h.Granted(at, name, request, grant, 1) == 1
 		}
 		h.Silent(at, name, "t")
 	}
