--- a/internal/guard/metrics.go
+++ b/internal/guard/metrics.go
@@ -16,17 +16,17 @@
 func newMetrics(registry Registerer) *metrics {
 	m := &metrics{
 		probes: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "dykewing_guard_workers_looked_at_total", Help: "Workers that were probed after they broke off responses, by whether they had crashed.",
+			Name: "dykewing_guard_workers_looked_at_total", Help: "Workers at which answers broke off, by whether they had ended.",
 		}, []string{"ended"}),
 	}
 	m.detected = prometheus.NewCounter(prometheus.CounterOpts{
-		Name: "dykewing_guard_requests_found_total", Help: "Requests that this process quarantined since they crash workers.",
+		Name: "dykewing_guard_requests_found_total", Help: "Requests under which workers end, as this process found.",
 	})
 	m.quarantined = prometheus.NewGauge(prometheus.GaugeOpts{
-		Name: "dykewing_guard_requests_held", Help: "Requests that are quarantined at this process.",
+		Name: "dykewing_guard_requests_held", Help: "Requests that this process does not send to workers, since workers ended under them.",
 	})
 	m.unanswered = prometheus.NewCounter(prometheus.CounterOpts{
-		Name: "dykewing_guard_owner_silences_total", Help: "Reports of crashed workers that a store did not answer.",
+		Name: "dykewing_guard_owner_silences_total", Help: "Reports of ended workers that a store did not answer.",
 	})
 	registry.MustRegister(m.probes, m.detected, m.quarantined, m.unanswered)
 	return m
--- a/internal/limiter/metrics.go
+++ b/internal/limiter/metrics.go
@@ -15,10 +15,10 @@
 	m := &metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "dykewing_frontend_limited_requests_total",
-			Help: "Requests of tenants with a limit, by outcome (admitted, refused) and by who decided (here: by prefetched tokens or a recent rejection; owner; alone: no owner answered).",
+			Help: "Requests of tenants with a limit, by outcome (admitted, refused) and by who decided (here: by tokens or a refusal of a moment ago; owner; alone: no owner answered).",
 		}, []string{"outcome", "by"}),
 		unanswered: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "dykewing_frontend_limit_owner_silences_total", Help: "Token requests that an owner did not answer.",
+			Name: "dykewing_frontend_limit_owner_silences_total", Help: "Questions for tokens that an owner did not answer.",
 		}),
 	}
 	registry.MustRegister(m.requests, m.unanswered)
