--- a/replication/actions.go
+++ b/replication/actions.go
@@ -1,74 +1,74 @@
 package replication
 
-// Action is what a Machine asks for.
+// Action is an output of Machine.Step.
 type Action interface{ replicationAction() }
 
-// Persist puts state on disk and syncs it; the parts of one Persist go together
-// or not at all. The shell answers with Persisted once it is synced.
+// Persist asks the shell to write state to disk and sync it. All parts of one Persist
+// must be written atomically. The shell answers with Persisted once it is synced.
 type Persist struct {
-	Sequence  uint64 // from 1 in each life of a Machine, without gaps
+	Sequence  uint64 // consecutive from 1 for each Machine instance
 	HardState *HardState
-	Entries   []Entry   // replace all from the first one's index on
-	Snapshot  *Snapshot // the log up to its index may go
-	// Reset: all of the log goes, and the state that was staged for Snapshot
-	// comes in force. No Apply follows until this Persist is answered.
+	Entries   []Entry   // replace the log from the index of the first one on
+	Snapshot  *Snapshot // the log up to its index may be dropped
+	// Reset replaces the whole log and applied state by the state staged for
+	// Snapshot. No Apply follows until this Persist is answered.
 	Reset bool
 }
 
-// Send sends to another replica; loss is allowed.
+// Send sends a message to another replica. Delivery is best effort.
 type Send struct{ Message WireMessage }
 
-// Apply hands over committed entries that are on this replica's disk, each once
-// in a life of the Machine and in order.
+// Apply delivers committed entries that are on this replica's disk, in order. Each entry
+// is delivered once per Machine instance.
 type Apply struct{ Entries []Entry }
 
-// FetchSnapshot asks the shell to fetch from another replica the state that
-// Snapshot describes and to stage it on disk beside the present one. A later
-// FetchSnapshot cancels an earlier. What was staged counts only once a Persist
-// with Reset names it.
+// FetchSnapshot asks the shell to fetch the state that Snapshot describes from another
+// replica and to stage it on disk next to the current one. A later FetchSnapshot cancels
+// an earlier one. The staged state takes effect only with a Persist that has Reset set.
 type FetchSnapshot struct {
 	From     ReplicaID
 	Snapshot Snapshot
 }
 
-// Proposed answers Propose: where the command stands in the log, or why not.
-// The command took effect only if an Apply brings the same index and term.
+// Proposed answers Propose and ProposeMembers with the position of the entry in the log
+// or an error. The command took effect only if Apply delivers an entry with the same
+// index and term.
 type Proposed struct {
 	Token  uint64
 	Index  uint64
 	Term   uint64
-	Leader ReplicaID // known leader when Err is set
-	Err    error     // the command is not in the log and never will be
+	Leader ReplicaID // the leader, if known, when Err is set
+	Err    error     // if set, the command is not in the log and never will be
 }
 
-// RoleChanged tells that leadership changed here or elsewhere. Once it no longer
-// leads, the shell answers what it proposed and has not seen applied: the
-// outcome is unknown, as a later leader may still commit it.
+// RoleChanged reports a change of role, term or leader. When the replica stops leading,
+// the outcome of its proposals that have not been applied yet is unknown, as a later
+// leader may still commit them; the shell answers its clients accordingly.
 type RoleChanged struct {
 	Leading bool
 	Term    uint64
 	Leader  ReplicaID // empty when not known
 }
 
-// Confirmed answers Confirm. Without Err this replica led, in Term, at a moment
-// after the Confirm; a read is linearisable once Index is applied.
+// Confirmed answers Confirm. If Err is nil, this replica was leader in Term at some time
+// after the Confirm; a read is linearizable once Index has been applied.
 type Confirmed struct {
 	Token  uint64
 	Index  uint64
 	Term   uint64
-	Leader ReplicaID // known leader when Err is set
+	Leader ReplicaID // the leader, if known, when Err is set
 	Err    error
 }
 
-// Transferred answers TransferLeadership. Without Err this replica no longer
-// leads.
+// Transferred answers TransferLeadership. If Err is nil, this replica is no longer
+// leader.
 type Transferred struct {
 	Token uint64
 	Err   error
 }
 
-// Halted says that the machine has stopped for good, as to go on could serve what
-// is false. The replica is to be replaced like one that has lost its disk.
+// Halted reports that the machine stopped permanently because continuing could return
+// wrong results. The replica must be replaced as after the loss of its disk.
 type Halted struct{ Err error }
 
 // Inspected answers Inspect.
--- a/replication/append.go
+++ b/replication/append.go
@@ -5,24 +5,23 @@
 	"time"
 )
 
-// heartbeatsPerTimeout is how many a replica that has all gets in an election
-// timeout.
-const heartbeatsPerTimeout = 2
+// idleHeartbeatsPerTimeout is the number of heartbeats sent per election timeout to a
+// replica that is up to date.
+const idleHeartbeatsPerTimeout = 2
 
-// propose appends a command, if this replica leads.
-func (m *Machine) propose(proposal Propose) {
-	err := m.mayPropose()
-	if err == nil && m.uncommitted > 0 && m.uncommitted+len(proposal.Data) > m.settings.MaxUncommittedBytes {
+func (m *Machine) propose(request Propose) {
+	err := m.checkCanPropose()
+	if err == nil && m.uncommitted > 0 && m.uncommitted+len(request.Data) > m.settings.MaxUncommittedBytes {
 		err = ErrOverloaded
 	}
 	if err != nil {
-		m.emit(Proposed{Token: proposal.Token, Leader: m.leader, Err: err})
+		m.emit(Proposed{Token: request.Token, Leader: m.leader, Err: err})
 		return
 	}
-	m.appendOwn(proposal.Token, EntryCommand, proposal.Data)
+	m.appendProposal(request.Token, EntryCommand, request.Data)
 }
 
-func (m *Machine) mayPropose() error {
+func (m *Machine) checkCanPropose() error {
 	switch {
 	case m.role != RoleLeader:
 		return ErrNotLeader
@@ -32,25 +31,25 @@
 	return nil
 }
 
-func (m *Machine) appendOwn(token uint64, kind EntryKind, data []byte) {
+func (m *Machine) appendProposal(token uint64, kind EntryKind, data []byte) {
 	entry := m.appendEntry(kind, data)
 	m.emit(Proposed{Token: token, Index: entry.Index, Term: entry.Term})
 }
 
-// appendEntry appends as leader. The appends leave before the leader's own
-// write: the disks work side by side.
+// appendEntry appends an entry as leader. It is sent to the followers before the
+// leader's own Persist is issued, so that the disk writes overlap.
 func (m *Machine) appendEntry(kind EntryKind, data []byte) Entry {
 	entry := Entry{Index: m.log.last() + 1, Term: m.state.Term, Kind: kind, Data: data}
 	m.log.append(entry)
 	m.uncommitted += entrySize(entry)
-	changed := m.members.add([]Entry{entry})
-	m.broadcast() // also to a replica that is being removed, so that it knows
+	changed := m.members.addChanges([]Entry{entry})
+	m.broadcast() // before updatePeers, so that a replica being removed learns of it
 	if changed {
-		m.membersChanged()
+		m.updatePeers()
 		m.broadcast()
 	}
 	m.persistEntries([]Entry{entry})
-	if m.planted.countUnsyncedSelf || m.planted.commitAlone {
+	if m.bugs.countUnsynced || m.bugs.commitWithoutQuorum {
 		m.advanceCommit()
 	}
 	return entry
@@ -58,52 +57,52 @@
 
 func (m *Machine) persistEntries(entries []Entry) {
 	last := entries[len(entries)-1].Index
-	sequence := m.disk.entries(entries[0].Index, last)
+	sequence := m.persists.recordAppend(entries[0].Index, last)
 	m.emit(Persist{Sequence: sequence, Entries: entries})
 }
 
-// durable is the last entry that this replica may acknowledge.
-func (m *Machine) durable() uint64 {
-	if m.planted.countUnsyncedSelf {
+// durableIndex is the index of the last entry that this replica may acknowledge.
+func (m *Machine) durableIndex() uint64 {
+	if m.bugs.countUnsynced {
 		return m.log.last()
 	}
-	return m.disk.index
+	return m.persists.durableIndex
 }
 
-// persisted takes the shell's answer to Persist.
-func (m *Machine) persisted(done Persisted) {
-	if !m.disk.complete(done.Sequence) {
+func (m *Machine) handlePersisted(done Persisted) {
+	if !m.persists.complete(done.Sequence) {
 		return
 	}
 	if m.role == RoleLeader {
 		m.advanceCommit()
 	}
 	m.apply()
-	if m.role == RoleFollower && m.leader != "" && m.matched() > m.answered {
-		m.answerAppend()
+	if m.role == RoleFollower && m.leader != "" && m.matchIndex() > m.acknowledged {
+		m.sendAppendResponse()
 	}
 }
 
-// broadcast sends what each replica may be sent.
+// broadcast fills the append window of every replica.
 func (m *Machine) broadcast() {
-	for _, id := range m.order {
-		m.replicate(id)
+	for _, id := range m.peerIDs {
+		m.fillWindow(id)
 	}
 }
 
-// replicate fills the window of one replica.
-func (m *Machine) replicate(id ReplicaID) {
+// fillWindow sends appends to a replica until its window is full or it has been sent the
+// whole log.
+func (m *Machine) fillWindow(id ReplicaID) {
 	peer := m.peers[id]
 	if id == m.settings.Self || peer == nil {
 		return
 	}
-	for peer.next <= m.log.last() && peer.mayAppend(m.settings.MaxInflight) {
+	for peer.next <= m.log.last() && peer.canSend(m.settings.MaxInflight) {
 		m.sendAppend(id, peer, false)
 	}
 }
 
-// sendAppend sends entries from next on; an empty one only shows that the leader
-// lives and where it believes the logs are equal.
+// sendAppend sends the entries from peer.next on. An empty append is a heartbeat that
+// also checks that the logs match up to peer.next-1.
 func (m *Machine) sendAppend(id ReplicaID, peer *progress, empty bool) {
 	previous := peer.next - 1
 	term, known := m.log.term(previous)
@@ -119,40 +118,42 @@
 		Type: MessageAppend, To: id, Index: previous, LogTerm: term,
 		Commit: m.committed, Entries: entries, Round: m.confirmRound,
 	})
-	peer.sent(len(entries))
-	peer.lastSent, peer.commit = m.now, m.committed
+	peer.recordSent(len(entries))
+	peer.lastSentAt, peer.sentCommit = m.now, m.committed
 }
 
-// heartbeat sends to all, also to those whose window is full.
-func (m *Machine) heartbeat() {
-	for _, id := range m.order {
-		m.heartbeatTo(id)
+// sendHeartbeats sends a heartbeat to every replica, including those whose window is
+// full.
+func (m *Machine) sendHeartbeats() {
+	for _, id := range m.peerIDs {
+		m.sendHeartbeat(id)
 	}
 }
 
-// heartbeatDueOnes sends to those that have not been sent anything for a while.
-func (m *Machine) heartbeatDueOnes() {
-	for _, id := range m.order {
-		if peer := m.peers[id]; !m.now.Before(peer.lastSent.Add(m.heartbeatInterval(peer))) {
-			m.heartbeatTo(id)
+// sendDueHeartbeats sends a heartbeat to each replica whose heartbeat interval has
+// passed since the last append.
+func (m *Machine) sendDueHeartbeats() {
+	for _, id := range m.peerIDs {
+		if peer := m.peers[id]; !m.now.Before(peer.lastSentAt.Add(m.heartbeatInterval(peer))) {
+			m.sendHeartbeat(id)
 		}
 	}
 }
 
-// heartbeatInterval is longer for a replica that has all and for one that is not
-// heard: to them a heartbeat only says that the leader lives, and a follower that
-// misses one asks for a pre-vote, which the others refuse.
+// heartbeatInterval is longer for a replica that is up to date or not responding. Such a
+// replica needs heartbeats only to detect the leader; one lost heartbeat causes at most
+// a pre-vote, which the other replicas reject.
 func (m *Machine) heartbeatInterval(peer *progress) time.Duration {
-	settled := peer.match == m.log.last() && peer.commit == m.committed
-	if settled || peer.silent {
-		return max(m.settings.Heartbeat, m.settings.ElectionTimeout/heartbeatsPerTimeout)
+	upToDate := peer.match == m.log.last() && peer.sentCommit == m.committed
+	if upToDate || peer.wasInactive {
+		return max(m.settings.Heartbeat, m.settings.ElectionTimeout/idleHeartbeatsPerTimeout)
 	}
 	return m.settings.Heartbeat
 }
 
-// heartbeatTo sends an empty append. To a replica that needs a snapshot it claims
-// no more than that the empty logs are equal.
-func (m *Machine) heartbeatTo(id ReplicaID) {
+// sendHeartbeat sends an empty append. If the replica needs a snapshot, the append
+// refers to index 0, which always matches.
+func (m *Machine) sendHeartbeat(id ReplicaID) {
 	if id == m.settings.Self {
 		return
 	}
@@ -162,49 +163,49 @@
 		return
 	}
 	m.send(WireMessage{Type: MessageAppend, To: id, Commit: m.committed, Round: m.confirmRound})
-	peer.lastSent = m.now
+	peer.lastSentAt = m.now
 	m.retrySnapshot(id, peer)
 }
 
-// receiveAppend takes entries from the leader of the present term.
+// receiveAppend handles an append from the leader of the current term.
 func (m *Machine) receiveAppend(w WireMessage) {
 	if m.role == RoleLeader && w.Term == m.state.Term {
-		return // only a planted fault makes two leaders of a term
+		return // two leaders in one term occur only with an injected bug
 	}
-	if m.contradicted(w) {
+	if m.haltOnConflict(w) {
 		return
 	}
 	m.follow(w.From)
 	w = m.skipCommitted(w)
-	if !m.log.matches(w.Index, w.LogTerm) && !(m.planted.skipMatch && w.Index <= m.log.last()) {
-		m.refuseAppend(w)
+	if !m.log.matches(w.Index, w.LogTerm) && !(m.bugs.skipLogMatch && w.Index <= m.log.last()) {
+		m.rejectAppend(w)
 		return
 	}
-	if decodable(w.Entries) != nil {
-		return // garbled on the way; it is sent again
+	if checkMembersEntries(w.Entries) != nil {
+		return // corrupted in transit; the leader retransmits
 	}
-	fresh := m.takeEntries(w.Entries)
+	missing := m.appendMissing(w.Entries)
 	accepted := w.Index + uint64(len(w.Entries))
 	m.verified = max(m.verified, accepted)
 	m.commitTo(min(w.Commit, accepted))
 	newRound := w.Round > m.round
 	m.round = max(m.round, w.Round)
-	if !fresh || newRound || m.matched() >= accepted {
-		m.answerAppend() // else once it is on disk
+	if !missing || newRound || m.matchIndex() >= accepted {
+		m.sendAppendResponse() // otherwise handlePersisted responds once the entries are on disk
 	}
 }
 
-// follow takes the sender as the leader of the present term.
+// follow records the sender as leader of the current term and resets the election timer.
 func (m *Machine) follow(leader ReplicaID) {
 	if m.role != RoleFollower || m.leader != leader {
 		m.becomeFollower(m.state.Term, leader)
 	}
-	m.heardLeader = m.now
-	m.resetElection()
+	m.leaderHeardAt = m.now
+	m.resetElectionTimer()
 }
 
-// skipCommitted cuts off what is committed here, which is equal in every later
-// leader's log, so that the rest can be compared with the log.
+// skipCommitted drops the entries that are already committed here. They are identical in
+// the log of every later leader, and may have been compacted, so they can't be compared.
 func (m *Machine) skipCommitted(w WireMessage) WireMessage {
 	if w.Index >= m.committed {
 		return w
@@ -216,36 +217,36 @@
 	return w
 }
 
-// takeEntries appends what the log lacks, after dropping what contradicts it,
-// and tells whether there was any.
-func (m *Machine) takeEntries(entries []Entry) bool {
-	fresh := entries[m.log.conflict(entries):]
-	if len(fresh) == 0 {
+// appendMissing appends the entries that the log lacks, after truncating any conflicting
+// suffix, and reports whether there were any.
+func (m *Machine) appendMissing(entries []Entry) bool {
+	missing := entries[m.log.matchingPrefix(entries):]
+	if len(missing) == 0 {
 		return false
 	}
-	if first := fresh[0].Index; first <= m.log.last() {
+	if first := missing[0].Index; first <= m.log.last() {
 		m.truncate(first)
 	}
-	m.log.append(fresh...)
-	m.members.add(fresh)
-	m.persistEntries(fresh)
+	m.log.append(missing...)
+	m.members.addChanges(missing)
+	m.persistEntries(missing)
 	return true
 }
 
-// contradicted halts the machine when the leader's log differs in what is
-// committed here: some disk has lost what it promised to hold.
-func (m *Machine) contradicted(w WireMessage) bool {
-	differs := m.differsCommitted(w.Index, w.LogTerm)
+// haltOnConflict halts the machine if the leader's log conflicts with an entry committed
+// here, which means that some disk has lost acknowledged entries.
+func (m *Machine) haltOnConflict(w WireMessage) bool {
+	conflict := m.conflictsWithCommitted(w.Index, w.LogTerm)
 	for _, entry := range w.Entries {
-		differs = differs || m.differsCommitted(entry.Index, entry.Term)
+		conflict = conflict || m.conflictsWithCommitted(entry.Index, entry.Term)
 	}
-	if differs {
+	if conflict {
 		m.halt(fmt.Errorf("%w, after entry %d of term %d, in term %d of %s", ErrContradiction, w.Index, w.LogTerm, w.Term, w.From))
 	}
-	return differs
+	return conflict
 }
 
-func (m *Machine) differsCommitted(index, term uint64) bool {
+func (m *Machine) conflictsWithCommitted(index, term uint64) bool {
 	own, known := m.log.term(index)
 	return known && index <= m.committed && own != term
 }
@@ -253,12 +254,12 @@
 func (m *Machine) truncate(first uint64) {
 	m.log.truncate(first)
 	m.members.truncate(first)
-	m.disk.forget(first)
+	m.persists.truncate(first)
 }
 
-// refuseAppend tells the leader where to try next.
-func (m *Machine) refuseAppend(w WireMessage) {
-	retry := m.log.newestUpTo(w.Index, w.LogTerm)
+// rejectAppend sends a rejection with the index at which the leader should retry.
+func (m *Machine) rejectAppend(w WireMessage) {
+	retry := m.log.findConflictByTerm(w.Index, w.LogTerm)
 	term, _ := m.log.term(retry)
 	m.round = max(m.round, w.Round)
 	m.send(WireMessage{
@@ -267,65 +268,66 @@
 	})
 }
 
-// matched is the last entry that equals the leader's and is on disk here.
-func (m *Machine) matched() uint64 { return min(m.verified, m.durable()) }
+// matchIndex is the index of the last entry that matches the leader's log and is on
+// disk.
+func (m *Machine) matchIndex() uint64 { return min(m.verified, m.durableIndex()) }
 
-func (m *Machine) answerAppend() {
-	m.answered = m.matched()
+func (m *Machine) sendAppendResponse() {
+	m.acknowledged = m.matchIndex()
 	m.send(WireMessage{
 		Type: MessageAppendAnswer, To: m.leader, Granted: true,
-		Index: m.verified, Match: m.answered, Round: m.round,
+		Index: m.verified, Match: m.acknowledged, Round: m.round,
 	})
 }
 
-// receiveAppendAnswer learns how far a replica is.
-func (m *Machine) receiveAppendAnswer(w WireMessage) {
+// receiveAppendResponse updates the leader's view of a follower's log.
+func (m *Machine) receiveAppendResponse(w WireMessage) {
 	peer := m.peers[w.From]
 	if m.role != RoleLeader || peer == nil || w.Match > m.log.last() || w.Round > m.confirmRound {
 		return
 	}
-	peer.active, peer.silent = true, false
+	peer.active, peer.wasInactive = true, false
 	peer.round = max(peer.round, w.Round)
 	switch {
 	case !w.Granted:
-		peer.refused(w.Index, m.log.newestUpTo(w.Match, w.LogTerm))
-	case peer.accepted(w.Index, w.Match):
+		peer.recordRejected(w.Index, m.log.findConflictByTerm(w.Match, w.LogTerm))
+	case peer.recordAccepted(w.Index, w.Match):
 		m.advanceCommit()
 	}
 	if m.role != RoleLeader {
-		return // its removal was committed
+		return // committing its own removal ended its leadership
 	}
-	m.replicate(w.From)
+	m.fillWindow(w.From)
 	m.continueTransfer(w.From)
-	m.finishConfirms()
+	m.resolveConfirms()
 }
 
-// advanceCommit commits what a majority has on disk. Entries of older terms are
-// committed only along with one of this term: counted alone, a later leader
-// could still replace them.
+// advanceCommit commits the entries that a majority has on disk. Entries of earlier
+// terms are committed only together with one of the current term, as a later leader
+// could still overwrite them otherwise (Raft paper, section 5.4.2).
 func (m *Machine) advanceCommit() {
-	index := reached(m.members.current().Voters, m.matchOf)
-	if m.planted.commitAlone {
+	index := quorumValue(m.members.current().Voters, m.matchIndexOf)
+	if m.bugs.commitWithoutQuorum {
 		index = m.log.last()
 	}
-	if !m.planted.commitOldTerm && index < m.firstOwn {
+	if !m.bugs.commitPriorTerm && index < m.termStart {
 		return
 	}
 	if index <= m.committed {
 		return
 	}
 	m.commitTo(index)
-	m.leaveIfRemoved()
+	m.stepDownIfRemoved()
 	if m.role == RoleLeader {
-		m.finishConfirms()
+		m.resolveConfirms()
 	}
 }
 
-// matchOf is what a replica is known to have on disk; the leader counts itself
-// like any other.
-func (m *Machine) matchOf(id ReplicaID) uint64 {
+// matchIndexOf is the last index known to be on a replica's disk. The leader's own disk
+// counts like any other.
+func (m *Machine) matchIndexOf(id ReplicaID) uint64 {
 	if id == m.settings.Self {
-		return m.durable()
+		return m.durableIndex()
 	}
 	return m.peers[id].match
 }
@@ -335,22 +337,22 @@
 		return
 	}
 	if m.role == RoleLeader {
-		m.uncommitted -= totalSize(m.log.between(m.committed+1, index))
+		m.uncommitted -= totalSize(m.log.slice(m.committed+1, index))
 	}
 	m.committed = index
 	m.apply()
 }
 
-// apply hands over what is committed and on this disk.
+// apply emits the committed entries that are on this replica's disk and not yet applied.
 func (m *Machine) apply() {
-	ready := min(m.committed, m.durable())
-	if m.planted.applyUncommitted {
-		ready = m.durable()
+	ready := min(m.committed, m.durableIndex())
+	if m.bugs.applyUncommitted {
+		ready = m.durableIndex()
 	}
 	if ready <= m.applied {
 		return
 	}
-	entries := m.log.between(m.applied+1, ready)
+	entries := m.log.slice(m.applied+1, ready)
 	m.applied = ready
 	m.emit(Apply{Entries: entries})
 }
--- a/replication/bench_test.go
+++ b/replication/bench_test.go
@@ -10,13 +10,13 @@
 	"github.com/dykewing/dykewing/sim"
 )
 
-// shuttle carries actions between machines in memory, with disks that sync at
-// once.
-type shuttle struct {
+// memoryGroup is a group of machines that exchange messages in memory, with disks that
+// sync immediately.
+type memoryGroup struct {
 	machines map[ReplicaID]*Machine
 	queue    []delivery
 	steps    int
-	applied  uint64 // at the leader
+	applied  uint64 // highest index
 }
 
 type delivery struct {
@@ -24,8 +24,8 @@
 	message Message
 }
 
-func newShuttle(voters int) *shuttle {
-	s := &shuttle{machines: map[ReplicaID]*Machine{}}
+func newMemoryGroup(voters int) *memoryGroup {
+	s := &memoryGroup{machines: map[ReplicaID]*Machine{}}
 	var members Members
 	for i := range voters {
 		members.Voters = append(members.Voters, ReplicaID(fmt.Sprintf("r%d", i)))
@@ -34,13 +34,13 @@
 		s.machines[id], _ = NewMachine(testSettings(id), Restored{Snapshot: Snapshot{Members: members}})
 		s.step(id, Inspect{})
 	}
-	s.machines["r0"].electionDue = sim.Epoch
+	s.machines["r0"].electionDeadline = sim.Epoch
 	s.step("r0", Tick{})
 	s.drain()
 	return s
 }
 
-func (s *shuttle) step(id ReplicaID, message Message) {
+func (s *memoryGroup) step(id ReplicaID, message Message) {
 	s.steps++
 	for _, action := range s.machines[id].Step(sim.Epoch, message) {
 		switch action := action.(type) {
@@ -54,25 +54,25 @@
 	}
 }
 
-func (s *shuttle) drain() {
+func (s *memoryGroup) drain() {
 	for i := 0; i < len(s.queue); i++ {
 		s.step(s.queue[i].to, s.queue[i].message)
 	}
 	s.queue = s.queue[:0]
 }
 
-// BenchmarkAppend commits commands of 256 bytes, 64 at a time.
+// BenchmarkAppend commits commands of 256 bytes, 64 per batch.
 func BenchmarkAppend(b *testing.B) {
-	const together, compactEvery = 64, 1 << 14
+	const batchSize, compactEvery = 64, 1 << 14
 	data := make([]byte, 256)
 	for _, voters := range []int{1, 3, 5} {
 		b.Run(fmt.Sprintf("voters=%d", voters), func(b *testing.B) {
-			s := newShuttle(voters)
+			s := newMemoryGroup(voters)
 			s.steps = 0
 			b.ReportAllocs()
 			b.ResetTimer()
-			for done := 0; done < b.N; done += together {
-				for range min(together, b.N-done) {
+			for done := 0; done < b.N; done += batchSize {
+				for range min(batchSize, b.N-done) {
 					s.step("r0", Propose{Data: data})
 				}
 				s.drain()
@@ -89,16 +89,16 @@
 	}
 }
 
-func (s *shuttle) compact() {
+func (s *memoryGroup) compact() {
 	for id, machine := range s.machines {
 		s.step(id, Compact{Snapshot: Snapshot{Index: machine.applied}})
 	}
 	s.drain()
 }
 
-// leaderless is the virtual time from an event at a settled leader until another
-// replica has committed in its own term.
-func leaderless(seed uint64, voters int, event func(c *cluster, leader *replica)) time.Duration {
+// failoverTime returns the virtual time from an event at the leader until another
+// replica has committed an entry of its own term.
+func failoverTime(seed uint64, voters int, event func(c *cluster, leader *replica)) time.Duration {
 	c := newCluster(options{seed: seed, voters: voters})
 	c.simulation.Run(2 * time.Second)
 	var leader *replica
@@ -113,7 +113,7 @@
 	for c.simulation.Elapsed() < start+10*time.Second {
 		c.simulation.Run(time.Millisecond)
 		for _, r := range c.replicas {
-			if r != leader && r.leading && r.machine.committed >= r.machine.firstOwn {
+			if r != leader && r.leading && r.machine.committed >= r.machine.termStart {
 				return c.simulation.Elapsed() - start
 			}
 		}
@@ -121,10 +121,9 @@
 	return c.simulation.Elapsed() - start
 }
 
-// BenchmarkLeaderless gives virtual time, over as many seeds as iterations:
-// heartbeat 50 ms, election timeout 300 ms, 0.5 to 1 ms one way, up to 3 ms a
-// sync.
-func BenchmarkLeaderless(b *testing.B) {
+// BenchmarkFailover reports virtual time over b.N seeds: heartbeat 50 ms, election
+// timeout 300 ms, network latency 0.5 to 1 ms, disk sync up to 3 ms.
+func BenchmarkFailover(b *testing.B) {
 	events := map[string]func(c *cluster, leader *replica){
 		"crash": func(_ *cluster, leader *replica) { leader.crash() },
 		"transfer": func(_ *cluster, leader *replica) {
@@ -136,7 +135,7 @@
 			b.Run(fmt.Sprintf("%s/voters=%d", event, voters), func(b *testing.B) {
 				var times []time.Duration
 				for seed := range b.N {
-					times = append(times, leaderless(uint64(seed), voters, events[event]))
+					times = append(times, failoverTime(uint64(seed), voters, events[event]))
 				}
 				slices.Sort(times)
 				at := func(share float64) float64 {
@@ -150,8 +149,8 @@
 	}
 }
 
-// BenchmarkMessages counts what the replicas of one group send each other in
-// virtual time, idle and with 12 commands of 500 bytes a second.
+// BenchmarkMessages counts the messages of one group per virtual second, idle and with
+// 12 commands of 500 bytes per second.
 func BenchmarkMessages(b *testing.B) {
 	const span = 60
 	for name, interval := range map[string]time.Duration{"idle": 0, "12 commands/s": time.Second / 12} {
@@ -166,7 +165,7 @@
 					return false
 				}
 				if interval > 0 {
-					c.load(interval)
+					c.startLoad(interval)
 				}
 				c.simulation.Run(span * time.Second)
 			}
@@ -176,8 +175,8 @@
 	}
 }
 
-// load proposes at the leader.
-func (c *cluster) load(interval time.Duration) {
+// startLoad proposes a command of 500 bytes at the leader every interval.
+func (c *cluster) startLoad(interval time.Duration) {
 	c.simulation.After(interval, func() {
 		for _, r := range c.replicas {
 			if r.leading {
@@ -185,6 +184,6 @@
 				r.step(Propose{Token: c.serial, Data: make([]byte, 500)})
 			}
 		}
-		c.load(interval)
+		c.startLoad(interval)
 	})
 }
--- a/replication/cluster_test.go
+++ b/replication/cluster_test.go
@@ -14,22 +14,22 @@
 const (
 	testHeartbeat = 50 * time.Millisecond
 	testElection  = 300 * time.Millisecond
-	testCompactAt = 25 // entries after which a replica compacts
+	testCompactAt = 25 // applied entries between compactions
 )
 
-// stored is what a replica's disk holds.
-type stored struct {
+// diskState is the persistent state of a replica.
+type diskState struct {
 	state    HardState
 	snapshot Snapshot
 	entries  []Entry
 }
 
-func cloneStored(s stored) stored {
+func cloneDiskState(s diskState) diskState {
 	s.entries = slices.Clone(s.entries)
 	return s
 }
 
-func (s *stored) write(persist Persist) {
+func (s *diskState) write(persist Persist) {
 	if persist.HardState != nil {
 		s.state = *persist.HardState
 	}
@@ -43,7 +43,7 @@
 	}
 }
 
-// pendingWrite is a Persist that is not synced, with what waits for it.
+// pendingWrite is a Persist that is not yet synced, with the messages that wait for it.
 type pendingWrite struct {
 	persist Persist
 	sends   []WireMessage
@@ -51,46 +51,46 @@
 
 // replica is a simulated shell around a Machine.
 type replica struct {
-	cluster  *cluster
-	id       ReplicaID
-	process  *sim.Process
-	disk     *sim.Disk[stored]
-	machine  *Machine
-	writes   []pendingWrite
-	syncing  bool
-	gone     bool      // its disk is lost
-	inStep   int       // writes of the present step
-	stalled  time.Time // the disk stands still until then
-	fetched  int       // snapshots put in force
-	applied  uint64
-	digest   uint64
-	commands []uint64 // the applied state: each command in order
-	compacts uint64
-	leading  bool
-	proposed map[uint64]uint64 // own proposals: index to term
-	answers  map[uint64]error  // by token
-	confirms map[uint64]uint64 // token to the index that an answer must reach
+	cluster            *cluster
+	id                 ReplicaID
+	process            *sim.Process
+	disk               *sim.Disk[diskState]
+	machine            *Machine
+	writes             []pendingWrite
+	syncing            bool
+	diskLost           bool      // replaced by a replica with a new disk
+	stepWrites         int       // writes of the current step
+	stalledUntil       time.Time // end of a disk stall
+	snapshotsInstalled int       // number of installed snapshots
+	applied            uint64
+	digest             uint64
+	commands           []uint64 // applied state: hashes of all commands in order
+	compactedAt        uint64
+	leading            bool
+	proposed           map[uint64]uint64 // own proposals: index to term
+	results            map[uint64]error  // errors of answered requests, by token
+	confirms           map[uint64]uint64 // by token: lowest index that the answer may have
 }
 
-// options choose a cluster and the faults planted in it.
+// options configure a cluster and the bugs injected into it.
 type options struct {
 	seed          uint64
 	voters        int
-	planted       plantedFaults
+	bugs          injectedBugs
 	skipSync      bool
 	reuseIdentity bool
-	only          invariant // if set, no other is checked
+	only          invariant // if set, only this one is checked
 }
 
-// cluster is a simulated group with clients, an operator and the checks.
+// cluster is a simulated group with clients, an operator and a checker.
 type cluster struct {
 	options
-	simulation *sim.Simulation
-	network    *sim.Network
-	replicas   []*replica // by slot
-	first      Members
-	serial     uint64
-	drop       func(WireMessage) bool // loses chosen messages
+	simulation     *sim.Simulation
+	network        *sim.Network
+	replicas       []*replica // by slot
+	initialMembers Members
+	serial         uint64
+	drop           func(WireMessage) bool // reports whether to drop a message
 	checker
 }
 
@@ -99,44 +99,44 @@
 	c.checker = checker{only: o.only, leaders: map[uint64]ReplicaID{}, entries: map[[2]uint64]string{}, committed: map[uint64]committedEntry{}, acks: map[uint64]bool{}}
 	c.network = c.simulation.NewNetwork(func(_, _ string) time.Duration { return 500 * time.Microsecond })
 	for slot := range o.voters {
-		c.first.Voters = append(c.first.Voters, ReplicaID(fmt.Sprintf("r%d", slot)))
+		c.initialMembers.Voters = append(c.initialMembers.Voters, ReplicaID(fmt.Sprintf("r%d", slot)))
 	}
-	for _, id := range c.first.Voters {
-		c.replicas = append(c.replicas, c.newReplica(id, stored{snapshot: Snapshot{Members: c.first}}))
+	for _, id := range c.initialMembers.Voters {
+		c.replicas = append(c.replicas, c.newReplica(id, diskState{snapshot: Snapshot{Members: c.initialMembers}}))
 	}
 	return c
 }
 
-func (c *cluster) newReplica(id ReplicaID, initial stored) *replica {
-	r := &replica{cluster: c, id: id, process: c.simulation.NewProcess(string(id)), disk: sim.NewDisk(initial, cloneStored)}
+func (c *cluster) newReplica(id ReplicaID, initial diskState) *replica {
+	r := &replica{cluster: c, id: id, process: c.simulation.NewProcess(string(id)), disk: sim.NewDisk(initial, cloneDiskState)}
 	r.start()
 	c.network.Attach(r.process, func(_ string, message any) { r.step(Received{Message: message.(WireMessage)}) })
 	return r
 }
 
-// start begins a life of the replica from its disk.
+// start creates the Machine from the state on disk.
 func (r *replica) start() {
-	held := r.disk.Read()
+	stored := r.disk.Read()
 	random := r.cluster.simulation.Fork()
 	machine, err := NewMachine(Settings{
 		Group: 7, Self: r.id, Heartbeat: testHeartbeat, ElectionTimeout: testElection, Random: random,
 		MaxAppendBytes: 400, MaxInflight: 4, TrailingEntries: 5,
-	}, Restored{HardState: held.state, Snapshot: held.snapshot, Entries: held.entries})
+	}, Restored{HardState: stored.state, Snapshot: stored.snapshot, Entries: stored.entries})
 	if err != nil {
-		r.cluster.violate(nothingLost, "%s can't start: %v", r.id, err)
+		r.cluster.reportViolation(acknowledgedDurability, "%s can't start: %v", r.id, err)
 		return
 	}
-	machine.planted = r.cluster.planted
+	machine.bugs = r.cluster.bugs
 	r.machine, r.writes, r.syncing, r.leading = machine, nil, false, false
-	r.restore(held.snapshot)
-	r.proposed, r.confirms, r.answers = map[uint64]uint64{}, map[uint64]uint64{}, map[uint64]error{}
+	r.restore(stored.snapshot)
+	r.proposed, r.confirms, r.results = map[uint64]uint64{}, map[uint64]uint64{}, map[uint64]error{}
 	phase := time.Duration(random.Int64N(int64(testHeartbeat / 2)))
 	r.process.After(phase, func() { r.process.Every(testHeartbeat/2, func() { r.step(Tick{}) }) })
 }
 
-// restore puts the state of a snapshot in force.
+// restore installs the state of a snapshot.
 func (r *replica) restore(snapshot Snapshot) {
-	r.applied, r.compacts, r.digest, r.commands = snapshot.Index, snapshot.Index, 0, nil
+	r.applied, r.compactedAt, r.digest, r.commands = snapshot.Index, snapshot.Index, 0, nil
 	for i := 0; i < len(snapshot.Data); i += 8 {
 		r.commands = append(r.commands, binary.BigEndian.Uint64(snapshot.Data[i:]))
 	}
@@ -154,16 +154,16 @@
 }
 
 func (r *replica) step(message Message) {
-	if len(r.cluster.broken) > 0 {
+	if len(r.cluster.violations) > 0 {
 		return
 	}
 	defer func() {
-		if problem := recover(); problem != nil {
-			r.cluster.violate(stateMachineSafety, "%s: %v", r.id, problem)
+		if cause := recover(); cause != nil {
+			r.cluster.reportViolation(stateMachineSafety, "%s: %v", r.id, cause)
 			r.crash()
 		}
 	}()
-	r.inStep = 0
+	r.stepWrites = 0
 	for _, action := range r.machine.Step(r.process.Now(), message) {
 		r.execute(action)
 	}
@@ -174,7 +174,7 @@
 	case Persist:
 		r.checkPersist(action)
 		r.writes = append(r.writes, pendingWrite{persist: action})
-		r.inStep++
+		r.stepWrites++
 		r.sync()
 	case Send:
 		r.send(action.Message)
@@ -183,28 +183,28 @@
 			r.apply(entry)
 		}
 	case FetchSnapshot:
-		r.fetch(action)
+		r.fetchSnapshot(action)
 	case Halted:
-		r.cluster.violate(stateMachineSafety, "%s halts: %v", r.id, action.Err)
+		r.cluster.reportViolation(stateMachineSafety, "%s halts: %v", r.id, action.Err)
 	case RoleChanged:
 		r.roleChanged(action)
 	case Proposed:
-		r.answers[action.Token] = action.Err
+		r.results[action.Token] = action.Err
 		if action.Err == nil {
 			r.proposed[action.Index] = action.Term
 		}
 	case Transferred:
-		r.answers[action.Token] = action.Err
+		r.results[action.Token] = action.Err
 	case Confirmed:
-		r.answers[action.Token] = action.Err
+		r.results[action.Token] = action.Err
 		r.checkConfirmed(action)
 	}
 }
 
-// send holds a message back only while an earlier Persist of its own step is not
-// synced: the contract asks for no more.
+// send delays a message only while a Persist of the same step is not synced, which is
+// all that the contract requires.
 func (r *replica) send(w WireMessage) {
-	if r.inStep > 0 {
+	if r.stepWrites > 0 {
 		last := &r.writes[len(r.writes)-1]
 		last.sends = append(last.sends, w)
 		return
@@ -220,18 +220,18 @@
 	r.cluster.network.Send(string(r.id), string(w.To), w)
 }
 
-// sync writes all that waits with one sync.
+// sync writes all pending writes and syncs them together.
 func (r *replica) sync() {
 	if r.syncing {
 		return
 	}
 	r.syncing = true
 	delay := time.Duration(r.cluster.simulation.Random().Int64N(int64(3 * time.Millisecond)))
-	delay = max(delay, r.stalled.Sub(r.cluster.simulation.Now()))
+	delay = max(delay, r.stalledUntil.Sub(r.cluster.simulation.Now()))
 	r.process.After(delay, func() {
 		done := r.writes
 		r.writes, r.syncing = nil, false
-		r.reachDisk(done)
+		r.writeToDisk(done)
 		for _, write := range done {
 			for _, w := range write.sends {
 				r.transmit(w)
@@ -244,23 +244,24 @@
 	})
 }
 
-func (r *replica) reachDisk(writes []pendingWrite) {
+func (r *replica) writeToDisk(writes []pendingWrite) {
 	for _, write := range writes {
-		r.disk.Write(func(s *stored) { s.write(write.persist) })
+		r.disk.Write(func(s *diskState) { s.write(write.persist) })
 	}
 	if !r.cluster.skipSync {
 		r.disk.Sync()
 	}
 }
 
-// crash loses what is not synced, but for a part that reached the disk unasked.
+// crash loses the writes that are not synced, except for a random prefix that reached
+// the disk.
 func (r *replica) crash() {
 	if !r.process.Up() {
 		return
 	}
 	random := r.cluster.simulation.Random()
 	if n := len(r.writes); n > 0 {
-		r.reachDisk(r.writes[:random.IntN(n+1)])
+		r.writeToDisk(r.writes[:random.IntN(n+1)])
 	}
 	r.process.Crash()
 	r.disk.Crash()
@@ -268,54 +269,55 @@
 }
 
 func (r *replica) restart() {
-	if r.process.Up() || r.gone {
+	if r.process.Up() || r.diskLost {
 		return
 	}
 	r.process.Restart()
 	r.start()
 }
 
-// loseDisk puts a new replica on a new disk in the slot's place.
+// loseDisk replaces the replica in a slot by one with an empty disk.
 func (c *cluster) loseDisk(slot int) {
 	old := c.replicas[slot]
 	old.crash()
 	if c.reuseIdentity {
-		old.disk.Lose(stored{snapshot: Snapshot{Members: c.first}})
+		old.disk.Lose(diskState{snapshot: Snapshot{Members: c.initialMembers}})
 		old.restart()
 		return
 	}
-	old.gone = true
+	old.diskLost = true
 	c.serial++
 	c.simulation.Tracef("new disk for %s", old.id)
-	c.replicas[slot] = c.newReplica(ReplicaID(fmt.Sprintf("n%d", c.serial)), stored{})
+	c.replicas[slot] = c.newReplica(ReplicaID(fmt.Sprintf("n%d", c.serial)), diskState{})
 }
 
-func (r *replica) fetch(action FetchSnapshot) {
+func (r *replica) fetchSnapshot(action FetchSnapshot) {
 	random := r.cluster.simulation.Random()
 	done := SnapshotFetched{Index: action.Snapshot.Index, Term: action.Snapshot.Term}
 	if random.Float64() < 0.2 {
-		done.Err = fmt.Errorf("the bulk broke off")
+		done.Err = fmt.Errorf("snapshot transfer interrupted")
 	}
 	r.process.After(time.Duration(random.Int64N(int64(80*time.Millisecond))), func() { r.step(done) })
 }
 
 func (r *replica) apply(entry Entry) {
 	if entry.Index != r.applied+1 {
-		r.cluster.violate(stateMachineSafety, "%s applies %d after %d", r.id, entry.Index, r.applied)
+		r.cluster.reportViolation(stateMachineSafety, "%s applies %d after %d", r.id, entry.Index, r.applied)
 	}
 	r.applied, r.digest = entry.Index, chain(r.digest, entry)
 	if entry.Kind == EntryCommand {
 		r.commands = append(r.commands, chain(0, entry))
 	}
 	r.cluster.checkApplied(r, entry)
-	if r.applied >= r.compacts+testCompactAt {
-		r.compacts = r.applied
+	if r.applied >= r.compactedAt+testCompactAt {
+		r.compactedAt = r.applied
 		snapshot := r.snapshot()
 		r.process.After(time.Millisecond, func() { r.step(Compact{Snapshot: snapshot}) })
 	}
 }
 
-// chain is the state of the applied machine: a hash of all entries so far.
+// chain returns the digest of the applied state after an entry: a hash over all entries
+// so far.
 func chain(digest uint64, entry Entry) uint64 {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%d %d %d %d ", digest, entry.Index, entry.Term, entry.Kind)
@@ -331,9 +333,9 @@
 	}
 }
 
-// clients propose at any replica and confirm reads at those that believe they
-// lead.
-func (c *cluster) clients(interval time.Duration) {
+// startClients proposes commands at random replicas and requests confirmations from
+// every replica that considers itself leader.
+func (c *cluster) startClients(interval time.Duration) {
 	c.simulation.After(interval, func() {
 		c.serial++
 		target := c.replicas[c.simulation.Random().IntN(len(c.replicas))]
@@ -347,8 +349,8 @@
 				r.step(Confirm{Token: c.serial})
 			}
 		}
-		c.clients(interval)
+		c.startClients(interval)
 	})
 }
 
-func randomOf(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
+func newRandom(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
--- a/replication/confirm.go
+++ b/replication/confirm.go
@@ -1,63 +1,64 @@
 package replication
 
-// confirmation is a Confirm that waits for its round.
-type confirmation struct {
+// pendingConfirm is a Confirm that waits for a round to complete.
+type pendingConfirm struct {
 	token uint64
 	round uint64
 }
 
-// confirm begins a round, or waits for the next one while another is on its
-// way: a round that began before the message proves nothing for it.
-func (m *Machine) confirm(confirm Confirm) {
+// confirmLeadership starts a round, or queues for the next one if a round is in
+// progress: a round that started before the request proves nothing about it.
+func (m *Machine) confirmLeadership(request Confirm) {
 	if m.role != RoleLeader {
-		m.emit(Confirmed{Token: confirm.Token, Leader: m.leader, Err: ErrNotLeader})
+		m.emit(Confirmed{Token: request.Token, Leader: m.leader, Err: ErrNotLeader})
 		return
 	}
-	idle := m.confirmRound == m.confirmDone
-	m.confirms = append(m.confirms, confirmation{token: confirm.Token, round: m.confirmRound + 1})
+	idle := m.confirmRound == m.confirmedRound
+	m.pendingConfirms = append(m.pendingConfirms, pendingConfirm{token: request.Token, round: m.confirmRound + 1})
 	if idle {
 		m.beginRound()
-		m.heartbeat()
+		m.sendHeartbeats()
 	}
-	m.finishConfirms()
+	m.resolveConfirms()
 }
 
-// beginRound opens a round if any Confirm waits for one. All sends from now on
-// carry it.
+// beginRound starts a round if any Confirm is pending. All later messages carry its
+// number.
 func (m *Machine) beginRound() {
-	if len(m.confirms) > 0 {
+	if len(m.pendingConfirms) > 0 {
 		m.confirmRound++
 	}
 }
 
-// repeatRound opens another round while one waits: its messages may be lost.
-func (m *Machine) repeatRound() {
-	if len(m.confirms) > 0 {
+// retryRound starts another round while one is pending, as its messages may have been
+// lost.
+func (m *Machine) retryRound() {
+	if len(m.pendingConfirms) > 0 {
 		m.beginRound()
-		m.heartbeat()
+		m.sendHeartbeats()
 	}
 }
 
-// finishConfirms answers the rounds that a majority has answered. A new leader
-// first has to commit an entry of its term: before, it does not know what is
-// committed.
-func (m *Machine) finishConfirms() {
-	if m.committed < m.firstOwn {
+// resolveConfirms answers the pending Confirms whose round a majority has acknowledged.
+// A new leader first has to commit an entry of its own term: until then it does not know
+// the commit index.
+func (m *Machine) resolveConfirms() {
+	if m.committed < m.termStart {
 		return
 	}
-	m.confirmDone = max(m.confirmDone, reached(m.members.current().Voters, m.roundOf))
-	rest := m.confirms[:0]
-	for _, confirm := range m.confirms {
-		if confirm.round > m.confirmDone && !m.planted.skipConfirmRound {
-			rest = append(rest, confirm)
+	m.confirmedRound = max(m.confirmedRound, quorumValue(m.members.current().Voters, m.roundOf))
+	remaining := m.pendingConfirms[:0]
+	for _, confirm := range m.pendingConfirms {
+		if confirm.round > m.confirmedRound && !m.bugs.skipConfirmRound {
+			remaining = append(remaining, confirm)
 			continue
 		}
 		m.emit(Confirmed{Token: confirm.token, Index: m.committed, Term: m.state.Term})
 	}
-	m.confirms = rest
-	if len(rest) > 0 && m.confirmRound == m.confirmDone {
+	m.pendingConfirms = remaining
+	if len(remaining) > 0 && m.confirmRound == m.confirmedRound {
 		m.beginRound()
-		m.heartbeat()
+		m.sendHeartbeats()
 	}
 }
 
--- a/replication/durability.go
+++ b/replication/durability.go
@@ -1,69 +1,74 @@
 package replication
 
-// durability tracks which writes are on disk. Only what is on disk may be
-// acknowledged; index and term alone would not do, as the same entry can be
-// written, overwritten and written again while the first sync still runs.
-type durability struct {
-	issued      uint64 // sequence of the last Persist
-	synced      uint64 // sequence up to which Persists are on disk
-	index       uint64 // last entry of the present log on disk
-	waiting     []write
-	checked     uint64 // synced at the last call of stalled
-	lastChecked uint64 // issued then
+// persistTracker tracks which entries are on disk and may be acknowledged. Index and
+// term don't identify a write, as the same entry may be written, overwritten and written
+// again before the first sync completes; therefore writes are tracked by sequence
+// number.
+type persistTracker struct {
+	lastIssued    uint64 // sequence number of the last Persist
+	lastSynced    uint64 // sequence number up to which all Persists are synced
+	durableIndex  uint64 // index of the last entry of the current log that is on disk
+	pending       []pendingAppend
+	syncedAtCheck uint64 // lastSynced at the last call of stalled
+	issuedAtCheck uint64 // lastIssued at the last call of stalled
 }
 
-// write is a Persist of entries that is not yet known to be on disk.
-type write struct {
+// pendingAppend is a Persist of entries that is not yet synced.
+type pendingAppend struct {
 	sequence uint64
 	last     uint64
 }
 
-func (d *durability) next() uint64 {
-	d.issued++
-	return d.issued
+func (d *persistTracker) nextSequence() uint64 {
+	d.lastIssued++
+	return d.lastIssued
 }
 
-// entries notes that a Persist replaces the log from first on.
-func (d *durability) entries(first, last uint64) uint64 {
-	d.forget(first)
-	sequence := d.next()
-	d.waiting = append(d.waiting, write{sequence: sequence, last: last})
+// recordAppend records a Persist that replaces the log from first on, and returns its
+// sequence number.
+func (d *persistTracker) recordAppend(first, last uint64) uint64 {
+	d.truncate(first)
+	sequence := d.nextSequence()
+	d.pending = append(d.pending, pendingAppend{sequence: sequence, last: last})
 	return sequence
 }
 
-// forget takes back what earlier writes promise from first on.
-func (d *durability) forget(first uint64) {
-	d.index = min(d.index, first-1)
-	for i := range d.waiting {
-		d.waiting[i].last = min(d.waiting[i].last, first-1)
+// truncate discards the entries from first on from all earlier writes.
+func (d *persistTracker) truncate(first uint64) {
+	d.durableIndex = min(d.durableIndex, first-1)
+	for i := range d.pending {
+		d.pending[i].last = min(d.pending[i].last, first-1)
 	}
 }
 
-// reset notes that a Persist replaces the whole log by a snapshot.
-func (d *durability) reset(index uint64) uint64 {
-	d.index, d.waiting = 0, nil
-	sequence := d.next()
-	d.waiting = append(d.waiting, write{sequence: sequence, last: index})
+// recordReset records a Persist that replaces the whole log by a snapshot at index, and
+// returns its sequence number.
+func (d *persistTracker) recordReset(index uint64) uint64 {
+	d.durableIndex, d.pending = 0, nil
+	sequence := d.nextSequence()
+	d.pending = append(d.pending, pendingAppend{sequence: sequence, last: index})
 	return sequence
 }
 
-// stalled tells whether entries wait and nothing was synced since the last call.
-func (d *durability) stalled() bool {
-	still := d.synced == d.checked && len(d.waiting) > 0 && d.waiting[0].sequence <= d.lastChecked
-	d.checked, d.lastChecked = d.synced, d.issued
-	return still
+// stalled reports whether a write was already pending at the last call and nothing has
+// been synced since.
+func (d *persistTracker) stalled() bool {
+	stalled := d.lastSynced == d.syncedAtCheck && len(d.pending) > 0 && d.pending[0].sequence <= d.issuedAtCheck
+	d.syncedAtCheck, d.issuedAtCheck = d.lastSynced, d.lastIssued
+	return stalled
 }
 
-// complete takes the shell's answer and tells whether more of the log is on disk.
-func (d *durability) complete(sequence uint64) bool {
-	if sequence > d.issued || sequence <= d.synced {
+// complete records that all writes up to sequence are synced, and reports whether the
+// durable index advanced.
+func (d *persistTracker) complete(sequence uint64) bool {
+	if sequence > d.lastIssued || sequence <= d.lastSynced {
 		return false
 	}
-	d.synced = sequence
-	before := d.index
-	for len(d.waiting) > 0 && d.waiting[0].sequence <= sequence {
-		d.index = max(d.index, d.waiting[0].last)
-		d.waiting = d.waiting[1:]
+	d.lastSynced = sequence
+	before := d.durableIndex
+	for len(d.pending) > 0 && d.pending[0].sequence <= sequence {
+		d.durableIndex = max(d.durableIndex, d.pending[0].last)
+		d.pending = d.pending[1:]
 	}
-	return d.index > before
+	return d.durableIndex > before
 }
--- a/replication/election.go
+++ b/replication/election.go
@@ -2,48 +2,49 @@
 
 import "time"
 
-// quickPreVotes is how many pre-votes follow one another a heartbeat apart.
-const quickPreVotes = 10
+// maxFastPreVotes is the number of pre-vote rounds that are retried after one heartbeat
+// interval instead of an election timeout.
+const maxFastPreVotes = 10
 
-// tick lets time decide whether to lead on or to ask for votes.
 func (m *Machine) tick() {
 	if m.role == RoleLeader {
 		m.tickLeader()
 		return
 	}
 	voters := m.members.current().Voters
-	alone := len(voters) == 1 && voters[0] == m.settings.Self
-	if m.planted.electOnce && m.state.Term > 0 {
+	onlyVoter := len(voters) == 1 && voters[0] == m.settings.Self
+	if m.bugs.electOnce && m.state.Term > 0 {
 		return
 	}
-	if m.isVoter() && (alone || !m.now.Before(m.electionDue)) {
+	if m.isVoter() && (onlyVoter || !m.now.Before(m.electionDeadline)) {
 		m.campaign(RolePreCandidate, false)
 	}
 }
 
-// resetElection draws a new wait, so that candidates seldom collide.
-func (m *Machine) resetElection() {
+// resetElectionTimer draws a random timeout, which makes split votes unlikely.
+func (m *Machine) resetElectionTimer() {
 	timeout := m.settings.ElectionTimeout
-	m.electionDue = m.now.Add(timeout + time.Duration(m.settings.Random.Int64N(int64(timeout))))
+	m.electionDeadline = m.now.Add(timeout + time.Duration(m.settings.Random.Int64N(int64(timeout))))
 }
 
-// retryPreVote asks again soon: the others may just not have missed the leader
-// yet. A replica that asks in vain goes over to the long wait.
-func (m *Machine) retryPreVote() {
-	if m.preVotes < quickPreVotes {
-		m.preVotes++
-		m.electionDue = m.now.Add(m.settings.Heartbeat)
+// schedulePreVoteRetry shortens the wait for the next pre-vote, as the other replicas
+// may not have noticed the loss of the leader yet. After maxFastPreVotes the election
+// timeout applies.
+func (m *Machine) schedulePreVoteRetry() {
+	if m.fastPreVotes < maxFastPreVotes {
+		m.fastPreVotes++
+		m.electionDeadline = m.now.Add(m.settings.Heartbeat)
 	}
 }
 
-// campaign asks for votes, first without raising the term: a replica that was
-// cut off must not depose a leader that the others still hear.
+// campaign requests votes. A pre-vote does not raise the term, so that a partitioned
+// replica can't depose a leader that the others still hear.
 func (m *Machine) campaign(role Role, transfer bool) {
 	m.role, m.leader = role, ""
 	m.votes = map[ReplicaID]bool{m.settings.Self: true}
-	m.resetElection()
+	m.resetElectionTimer()
 	if role == RolePreCandidate {
-		m.retryPreVote()
+		m.schedulePreVoteRetry()
 	}
 	request := WireMessage{Type: MessagePreVote, Term: m.state.Term + 1, Transfer: transfer}
 	if role == RoleCandidate {
@@ -60,15 +61,16 @@
 	m.countVotes()
 }
 
-// enterTerm moves to a newer term with the vote given, or none yet.
+// enterTerm moves to a newer term and persists it with the vote, which is empty if none
+// is given yet.
 func (m *Machine) enterTerm(term uint64, vote ReplicaID) {
 	m.state = HardState{Term: term, Vote: vote}
-	m.verified, m.answered, m.round = 0, 0, 0
+	m.verified, m.acknowledged, m.round = 0, 0, 0
 	m.persistState()
 }
 
 func (m *Machine) countVotes() {
-	won := majority(m.members.current().Voters, func(id ReplicaID) bool { return m.votes[id] })
+	won := hasMajority(m.members.current().Voters, func(id ReplicaID) bool { return m.votes[id] })
 	switch {
 	case !won:
 	case m.role == RolePreCandidate:
@@ -78,14 +80,15 @@
 	}
 }
 
-// newerTerm handles a message of a newer term; false drops it.
-func (m *Machine) newerTerm(w WireMessage) bool {
+// handleNewerTerm handles the term of a message from a newer term. It returns false if
+// the message is to be dropped.
+func (m *Machine) handleNewerTerm(w WireMessage) bool {
 	switch {
 	case w.Type == MessagePreVote:
-		return !m.hearsLeader()
+		return !m.hasRecentLeader()
 	case w.Type == MessagePreVoteAnswer && w.Granted:
 		return true
-	case w.Type == MessageVote && !w.Transfer && m.hearsLeader():
+	case w.Type == MessageVote && !w.Transfer && m.hasRecentLeader():
 		return false
 	case w.Type == MessageAppend || w.Type == MessageSnapshot:
 		m.becomeFollower(w.Term, w.From)
@@ -95,8 +98,8 @@
 	return true
 }
 
-// olderTerm lets the sender know that its term is over.
-func (m *Machine) olderTerm(w WireMessage) {
+// handleOlderTerm responds with the current term, so that the sender steps down.
+func (m *Machine) handleOlderTerm(w WireMessage) {
 	switch w.Type {
 	case MessageAppend, MessageSnapshot:
 		m.send(WireMessage{Type: MessageAppendAnswer, To: w.From})
@@ -105,83 +108,82 @@
 	}
 }
 
-// hearsLeader tells whether a leader was heard within the shortest wait. It
-// keeps a removed or cut-off replica from disturbing; safety does not rest on
-// it.
-func (m *Machine) hearsLeader() bool {
+// hasRecentLeader reports whether a leader was heard within the minimum election
+// timeout. It keeps removed or partitioned replicas from disrupting the group; safety
+// does not depend on it.
+func (m *Machine) hasRecentLeader() bool {
 	if m.role == RoleLeader {
 		return true
 	}
-	return m.leader != "" && m.now.Before(m.heardLeader.Add(m.settings.ElectionTimeout))
+	return m.leader != "" && m.now.Before(m.leaderHeardAt.Add(m.settings.ElectionTimeout))
 }
 
-// receiveVote answers a request for a vote. A learner answers too: it may be a
-// voter already and not know it.
+// receiveVote responds to a vote or pre-vote request. Learners respond too, as a learner
+// may have been made a voter without having received that entry yet.
 func (m *Machine) receiveVote(w WireMessage) {
-	answer := WireMessage{Type: MessageVoteAnswer, To: w.From}
+	response := WireMessage{Type: MessageVoteAnswer, To: w.From}
 	if w.Type == MessagePreVote {
-		answer.Type = MessagePreVoteAnswer
-		answer.Granted = w.Term > m.state.Term && m.upToDate(w) && !m.precedes(w)
-		if answer.Granted {
-			answer.Term = w.Term
+		response.Type = MessagePreVoteAnswer
+		response.Granted = w.Term > m.state.Term && m.isUpToDate(w) && !m.winsPreVoteTie(w)
+		if response.Granted {
+			response.Term = w.Term
 		}
-		m.send(answer)
+		m.send(response)
 		return
 	}
-	answer.Granted = m.mayVoteFor(w.From) && m.upToDate(w)
-	if answer.Granted {
+	response.Granted = m.canVoteFor(w.From) && m.isUpToDate(w)
+	if response.Granted {
 		m.state.Vote = w.From
-		m.persistState() // even when given before: it may not be synced yet
-		m.resetElection()
+		m.persistState() // even if already given: the earlier write may not be synced yet
+		m.resetElectionTimer()
 	}
-	m.send(answer)
+	m.send(response)
 }
 
-// precedes settles between two replicas with equal logs that ask for pre-votes
-// at the same time: else each would go on to vote for itself.
-func (m *Machine) precedes(w WireMessage) bool {
+// winsPreVoteTie breaks the tie between two replicas with equal logs that request
+// pre-votes at the same time. Otherwise both would become candidates and split the vote.
+func (m *Machine) winsPreVoteTie(w WireMessage) bool {
 	equal := w.LogTerm == m.log.lastTerm() && w.Index == m.log.last()
 	return m.role == RolePreCandidate && equal && m.settings.Self < w.From
 }
 
-func (m *Machine) mayVoteFor(candidate ReplicaID) bool {
-	free := m.state.Vote == "" && m.leader == ""
-	return free || m.state.Vote == candidate || m.planted.voteTwice
+func (m *Machine) canVoteFor(candidate ReplicaID) bool {
+	notVoted := m.state.Vote == "" && m.leader == ""
+	return notVoted || m.state.Vote == candidate || m.bugs.voteTwice
 }
 
-// upToDate tells whether the candidate's log holds all that this one may have
-// helped to commit.
-func (m *Machine) upToDate(w WireMessage) bool {
+// isUpToDate reports whether the candidate's log is at least as up to date as this one
+// (Raft paper, section 5.4.1).
+func (m *Machine) isUpToDate(w WireMessage) bool {
 	term := m.log.lastTerm()
 	return w.LogTerm > term || w.LogTerm == term && w.Index >= m.log.last()
 }
 
-func (m *Machine) receiveVoteAnswer(w WireMessage) {
-	asked := w.Type == MessageVoteAnswer && m.role == RoleCandidate && w.Term == m.state.Term ||
+func (m *Machine) receiveVoteResponse(w WireMessage) {
+	expected := w.Type == MessageVoteAnswer && m.role == RoleCandidate && w.Term == m.state.Term ||
 		w.Type == MessagePreVoteAnswer && m.role == RolePreCandidate && w.Term == m.state.Term+1
-	if asked && w.Granted {
+	if expected && w.Granted {
 		m.votes[w.From] = true
 		m.countVotes()
 	}
 }
 
-// becomeFollower gives up what the replica did before; leader is empty when not
-// known.
+// becomeFollower steps down to follower; leader is empty if not known.
 func (m *Machine) becomeFollower(term uint64, leader ReplicaID) {
-	led := m.role == RoleLeader
+	wasLeader := m.role == RoleLeader
 	if term > m.state.Term {
 		m.enterTerm(term, "")
 	}
-	m.role, m.leader, m.votes, m.preVotes = RoleFollower, leader, nil, 0
-	m.resetElection()
-	if led {
-		m.endLeadership()
+	m.role, m.leader, m.votes, m.fastPreVotes = RoleFollower, leader, nil, 0
+	m.resetElectionTimer()
+	if wasLeader {
+		m.clearLeadership()
 	}
 }
 
-// endLeadership gives what waits for the leader its final answer.
-func (m *Machine) endLeadership() {
-	for _, confirm := range m.confirms {
+// clearLeadership fails the pending Confirms and completes the pending transfer.
+func (m *Machine) clearLeadership() {
+	for _, confirm := range m.pendingConfirms {
 		m.emit(Confirmed{Token: confirm.token, Leader: m.leader, Err: ErrNotLeader})
 	}
 	if m.transfer != nil {
@@ -193,47 +195,48 @@
 func (m *Machine) becomeLeader() {
 	m.role, m.leader, m.votes, m.fetching = RoleLeader, m.settings.Self, nil, nil
 	m.leadership = leadership{
-		peers: map[ReplicaID]*progress{}, firstOwn: m.log.last() + 1,
-		uncommitted:     totalSize(m.log.between(m.committed+1, m.log.last())),
-		committedBefore: m.committed,
-		heartbeatDue:    m.now.Add(m.settings.Heartbeat),
-		quorumDue:       m.now.Add(m.settings.ElectionTimeout),
+		peers: map[ReplicaID]*progress{}, termStart: m.log.last() + 1,
+		uncommitted:          totalSize(m.log.slice(m.committed+1, m.log.last())),
+		committedAtHeartbeat: m.committed,
+		nextHeartbeat:        m.now.Add(m.settings.Heartbeat),
+		nextQuorumCheck:      m.now.Add(m.settings.ElectionTimeout),
 	}
-	m.membersChanged()
+	m.updatePeers()
 	m.appendEntry(EntryNoop, nil)
 }
 
-// tickLeader sends heartbeats and gives up a leadership that no quorum answers.
+// tickLeader checks the quorum and sends the heartbeats that are due.
 func (m *Machine) tickLeader() {
-	if !m.now.Before(m.quorumDue) {
-		m.checkLeadership()
+	if !m.now.Before(m.nextQuorumCheck) {
+		m.checkQuorum()
 	}
 	if m.role != RoleLeader {
 		return
 	}
-	m.tickTransfer()
-	if !m.now.Before(m.heartbeatDue) {
-		m.heartbeatDue = m.now.Add(m.settings.Heartbeat)
-		m.committedBefore = m.committed
-		m.repeatRound()
+	m.expireTransfer()
+	if !m.now.Before(m.nextHeartbeat) {
+		m.nextHeartbeat = m.now.Add(m.settings.Heartbeat)
+		m.committedAtHeartbeat = m.committed
+		m.retryRound()
 	}
-	m.heartbeatDueOnes()
+	m.sendDueHeartbeats()
 }
 
-// checkLeadership gives way when no quorum was heard for an election timeout or
-// the own disk stood still so long: nothing would be applied here.
-func (m *Machine) checkLeadership() {
-	m.quorumDue = m.now.Add(m.settings.ElectionTimeout)
+// checkQuorum steps down if no quorum responded for an election timeout, or if the
+// leader's own disk made no progress for as long, since nothing could be applied here.
+func (m *Machine) checkQuorum() {
+	m.nextQuorumCheck = m.now.Add(m.settings.ElectionTimeout)
 	switch {
-	case !m.quorumHeard():
+	case !m.quorumActive():
 		m.becomeFollower(m.state.Term, "")
-	case m.disk.stalled():
-		m.stepAside()
+	case m.persists.stalled():
+		m.yieldLeadership()
 	}
 }
 
-// stepAside gives up leading and lets the best successor begin at once.
-func (m *Machine) stepAside() {
+// yieldLeadership steps down and makes the most up-to-date voter start an election at
+// once.
+func (m *Machine) yieldLeadership() {
 	if successor := m.bestSuccessor(); successor != "" {
 		m.sendAppend(successor, m.peers[successor], true)
 		m.send(WireMessage{Type: MessageTimeoutNow, To: successor})
@@ -241,12 +244,12 @@
 	}
 }
 
-func (m *Machine) quorumHeard() bool {
-	heard := majority(m.members.current().Voters, func(id ReplicaID) bool {
+func (m *Machine) quorumActive() bool {
+	active := hasMajority(m.members.current().Voters, func(id ReplicaID) bool {
 		return id == m.settings.Self || m.peers[id].active
 	})
 	for _, peer := range m.peers {
-		peer.active, peer.silent = false, !peer.active
+		peer.active, peer.wasInactive = false, !peer.active
 	}
-	return heard
+	return active
 }
--- a/replication/errors.go
+++ b/replication/errors.go
@@ -2,34 +2,34 @@
 
 import "errors"
 
-// Refusals. Whatever is refused with one of them was not put in the log.
+// Errors of a Machine. A command rejected with one of them was not appended to the log.
 var (
-	// ErrNotLeader answers what only the leader does at a replica that does not lead.
-	ErrNotLeader = errors.New("this replica does not lead the group")
-	// ErrOverloaded answers a proposal while too many bytes wait for a quorum.
-	ErrOverloaded = errors.New("too many proposals wait for a quorum")
-	// ErrTransferring answers a proposal while leadership is being handed over.
-	ErrTransferring = errors.New("leadership is being handed over")
-	// ErrTransferTimeout ends a hand-over that the successor did not take.
-	ErrTransferTimeout = errors.New("the successor did not take over in time")
-	// ErrInvalidSuccessor refuses a hand-over to a replica that is not another voter.
-	ErrInvalidSuccessor = errors.New("the successor is not another voter of the group")
-	// ErrNotReady refuses a change of members before the leader has committed
+	// ErrNotLeader rejects an operation that only the leader can perform.
+	ErrNotLeader = errors.New("this replica is not the leader of the group")
+	// ErrOverloaded rejects a proposal while uncommitted entries exceed MaxUncommittedBytes.
+	ErrOverloaded = errors.New("too many uncommitted proposals")
+	// ErrTransferring rejects a proposal while a leadership transfer is in progress.
+	ErrTransferring = errors.New("leadership transfer in progress")
+	// ErrTransferTimeout fails a leadership transfer that did not complete within an election timeout.
+	ErrTransferTimeout = errors.New("leadership transfer timed out")
+	// ErrInvalidSuccessor rejects a leadership transfer to a replica that is not another voter.
+	ErrInvalidSuccessor = errors.New("leadership transfer target is not another voter of the group")
+	// ErrNotReady rejects a membership change before the leader has committed
 	// an entry of its term.
-	ErrNotReady = errors.New("the leader has not yet committed an entry of its term")
-	// ErrChangePending refuses a change of members while another is not committed.
-	ErrChangePending = errors.New("another change of members is not yet committed")
-	// ErrInvalidMembers refuses a change of members that is not one allowed step.
-	ErrInvalidMembers = errors.New("not an allowed change of one replica")
-	// ErrNotCaughtUp refuses to make a learner that lags a voter.
+	ErrNotReady = errors.New("the leader has not committed an entry of its term yet")
+	// ErrChangePending rejects a membership change while another is uncommitted.
+	ErrChangePending = errors.New("another membership change is not committed yet")
+	// ErrInvalidMembers rejects a membership change that is not a valid change of exactly one replica.
+	ErrInvalidMembers = errors.New("membership change is not a valid change of exactly one replica")
+	// ErrNotCaughtUp rejects the promotion of a learner whose log lags behind.
 	ErrNotCaughtUp = errors.New("the learner has not caught up")
-	// ErrHalted answers all at a machine that has halted.
+	// ErrHalted rejects every request to a halted machine.
 	ErrHalted = errors.New("this replica has halted")
-	// ErrContradiction halts a machine: a leader's log contradicts what is
-	// committed here, so a disk has lost acknowledged entries.
-	ErrContradiction = errors.New("the leader contradicts a committed entry")
-	// ErrInvalidSettings refuses to start a machine.
-	ErrInvalidSettings = errors.New("invalid settings of a replica")
-	// ErrCorruptLog refuses to start from a disk that contradicts itself.
-	ErrCorruptLog = errors.New("the log on disk contradicts itself")
+	// ErrContradiction halts a machine: the leader's log conflicts with an entry
+	// committed here, so some disk has lost acknowledged entries.
+	ErrContradiction = errors.New("the leader's log conflicts with a committed entry")
+	// ErrInvalidSettings is returned by NewMachine.
+	ErrInvalidSettings = errors.New("invalid replica settings")
+	// ErrCorruptLog is returned by NewMachine if the recovered state is inconsistent.
+	ErrCorruptLog = errors.New("the log on disk is inconsistent")
 )
--- a/replication/log.go
+++ b/replication/log.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// entryOverhead is what an entry counts beside its data towards limits in bytes.
+// entryOverhead is the size counted for an entry, in bytes, in addition to its data.
 const entryOverhead = 32
 
-// entryLog is the log after offset. What lies before it is only known by the
-// index and the term of its last entry. Entries once handed out are never
-// changed in place.
+// entryLog holds the entries after offset. Of the compacted entries only the index and
+// term of the last one are known. Entries that were returned are never modified in
+// place.
 type entryLog struct {
 	offset     uint64
 	offsetTerm uint64
@@ -21,7 +21,7 @@
 	return term
 }
 
-// term gives the term at index, if the log knows it.
+// term returns the term of the entry at index, and false if it is not in the log.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	switch {
 	case index == l.offset:
@@ -39,19 +39,19 @@
 
 func (l *entryLog) append(entries ...Entry) { l.entries = append(l.entries, entries...) }
 
-// truncate drops index and all after it.
+// truncate drops the entries from index on.
 func (l *entryLog) truncate(index uint64) {
 	keep := index - l.offset - 1
 	l.entries = l.entries[:keep:keep]
 }
 
-// between gives the entries from first to last.
-func (l *entryLog) between(first, last uint64) []Entry {
+// slice returns the entries from first to last, inclusive.
+func (l *entryLog) slice(first, last uint64) []Entry {
 	return slices.Clip(l.entries[first-l.offset-1 : last-l.offset])
 }
 
-// batch gives entries from first on, at least one if there is any, up to limit
-// bytes.
+// batch returns entries from first on, up to limit bytes but at least one if there is
+// any.
 func (l *entryLog) batch(first uint64, limit int) []Entry {
 	if first > l.last() {
 		return nil
@@ -67,9 +67,9 @@
 	return slices.Clip(entries)
 }
 
-// conflict gives how many of the entries, which follow one another, the log
-// already has.
-func (l *entryLog) conflict(entries []Entry) int {
+// matchingPrefix returns how many of the consecutive entries, counted from the first,
+// the log already has.
+func (l *entryLog) matchingPrefix(entries []Entry) int {
 	for i, entry := range entries {
 		if !l.matches(entry.Index, entry.Term) {
 			return i
@@ -78,10 +78,10 @@
 	return len(entries)
 }
 
-// newestUpTo gives the newest index at or before index whose term is at most
-// term: after it the two logs can't agree. It is what makes back-off skip a
-// whole term a message.
-func (l *entryLog) newestUpTo(index, term uint64) uint64 {
+// findConflictByTerm returns the highest index at or below index whose term is at most
+// term: the logs can't match beyond it. It allows the leader to skip a whole term per
+// rejected append.
+func (l *entryLog) findConflictByTerm(index, term uint64) uint64 {
 	index = min(index, l.last())
 	for index > l.offset {
 		if own, _ := l.term(index); own <= term {
@@ -92,7 +92,7 @@
 	return index
 }
 
-// compact drops the entries up to index.
+// compact drops the entries up to and including index.
 func (l *entryLog) compact(index uint64) {
 	if index <= l.offset {
 		return
--- a/replication/machine.go
+++ b/replication/machine.go
@@ -5,80 +5,81 @@
 	"time"
 )
 
-// Role is what a replica does in its term.
+// Role is the role of a replica in its current term.
 type Role string
 
 // The roles of a replica.
 const (
 	RoleFollower     Role = "follower"
-	RolePreCandidate Role = "pre_candidate" // asks whether it would be elected
+	RolePreCandidate Role = "pre_candidate" // requests pre-votes, without raising the term
 	RoleCandidate    Role = "candidate"
 	RoleLeader       Role = "leader"
 )
 
-// Machine is the replication state machine of one replica.
+// Machine is the replication state machine of one replica. It is not safe for concurrent
+// use.
 type Machine struct {
 	settings Settings
-	now      time.Time // of the present step
+	now      time.Time // of the current step
 	actions  []Action
-	planted  plantedFaults
+	bugs     injectedBugs
 	halted   bool
 
 	state     HardState
 	log       entryLog
-	disk      durability
-	members   membership
-	snapshot  Snapshot // newest that replaces the start of the log
+	persists  persistTracker
+	members   membersHistory
+	snapshot  Snapshot
 	committed uint64
 	applied   uint64
 
-	role        Role
-	leader      ReplicaID
-	announced   RoleChanged
-	electionDue time.Time
-	heardLeader time.Time
-	votes       map[ReplicaID]bool
-	preVotes    int // asked for since a leader or a newer term was heard
+	role             Role
+	leader           ReplicaID
+	lastRoleChange   RoleChanged
+	electionDeadline time.Time
+	leaderHeardAt    time.Time
+	votes            map[ReplicaID]bool
+	fastPreVotes     int // pre-vote rounds since a leader or newer term was last heard
 
-	// As follower, within the present term.
-	verified uint64 // last entry known equal to the leader's
-	answered uint64 // match of the last answer
-	round    uint64 // newest round seen
-	fetching *fetch
+	// Follower state, within the current term.
+	verified     uint64 // last entry known to match the leader's log
+	acknowledged uint64 // match index of the last response
+	round        uint64 // newest Confirm round seen
+	fetching     *pendingFetch
 
 	leadership
 }
 
-// leadership is what only a leader keeps; it is fresh in each term.
+// leadership is the state that only a leader keeps. It is reset in each term.
 type leadership struct {
-	peers           map[ReplicaID]*progress // the leader too
-	order           []ReplicaID             // of peers, sorted
-	firstOwn        uint64                  // index of the term's first entry
-	uncommitted     int                     // bytes
-	committedBefore uint64                  // at the last heartbeat
-	heartbeatDue    time.Time
-	quorumDue       time.Time
-	confirmRound    uint64
-	confirmDone     uint64
-	confirms        []confirmation
-	transfer        *transfer
+	peers                map[ReplicaID]*progress // including the leader itself
+	peerIDs              []ReplicaID             // keys of peers, sorted
+	termStart            uint64                  // index of the first entry of the term
+	uncommitted          int                     // size of the uncommitted entries in bytes
+	committedAtHeartbeat uint64                  // commit index at the last heartbeat
+	nextHeartbeat        time.Time
+	nextQuorumCheck      time.Time
+	confirmRound         uint64
+	confirmedRound       uint64
+	pendingConfirms      []pendingConfirm
+	transfer             *transfer
 }
 
-// plantedFaults are defects that tests switch on to show that their checks
-// catch them.
-type plantedFaults struct {
-	countUnsyncedSelf bool // ack-before-quorum: the leader counts what is not on its disk, and followers acknowledge it
-	commitAlone       bool // ack-before-quorum: the leader commits what only it has
-	ignoreTerm        bool // messages of older terms are taken
-	voteTwice         bool // a vote does not bind
-	commitOldTerm     bool // entries of older terms are committed by count
-	skipConfirmRound  bool // Confirm is answered without a round
-	skipMatch         bool // entries are taken without comparing what precedes them
-	applyUncommitted  bool // what is on the own disk is applied at once
-	electOnce         bool // no election follows the first
+// injectedBugs are defects that tests enable to verify that their checks detect them.
+type injectedBugs struct {
+	countUnsynced       bool // acknowledge and count entries that are not synced
+	commitWithoutQuorum bool // the leader commits without waiting for followers
+	acceptStaleTerm     bool // accept messages of older terms
+	voteTwice           bool // vote for several candidates in a term
+	commitPriorTerm     bool // commit entries of earlier terms by counting replicas
+	skipConfirmRound    bool // answer Confirm without a round
+	skipLogMatch        bool // accept entries without checking the previous entry
+	applyUncommitted    bool // apply entries once they are on this disk
+	electOnce           bool // start no election after the first
 }
 
-// NewMachine continues from what the disk held.
+// NewMachine returns a follower that resumes from the recovered state. It returns
+// ErrInvalidSettings or ErrCorruptLog, wrapped, if an argument is invalid.
 func NewMachine(settings Settings, restored Restored) (*Machine, error) {
 	if err := checkSettings(settings); err != nil {
 		return nil, err
@@ -92,23 +93,23 @@
 	}
 	m.log.reset(restored.Snapshot.Index, restored.Snapshot.Term)
 	m.log.append(restored.Entries...)
-	m.disk.index = m.log.last()
+	m.persists.durableIndex = m.log.last()
 	m.members.base = restored.Snapshot.Members
-	m.members.add(restored.Entries)
+	m.members.addChanges(restored.Entries)
 	m.committed = max(restored.Snapshot.Index, restored.Applied)
 	m.applied = m.committed
-	m.announced = RoleChanged{Term: m.state.Term}
+	m.lastRoleChange = RoleChanged{Term: m.state.Term}
 	return m, nil
 }
 
 func checkSettings(settings Settings) error {
 	switch {
 	case settings.Self == "":
-		return fmt.Errorf("%w: no identity", ErrInvalidSettings)
+		return fmt.Errorf("%w: Self is empty", ErrInvalidSettings)
 	case settings.Heartbeat <= 0 || settings.ElectionTimeout <= settings.Heartbeat:
-		return fmt.Errorf("%w: the election timeout must be longer than the heartbeat", ErrInvalidSettings)
+		return fmt.Errorf("%w: the heartbeat must be positive and shorter than the election timeout", ErrInvalidSettings)
 	case settings.Random == nil:
-		return fmt.Errorf("%w: no source of chance", ErrInvalidSettings)
+		return fmt.Errorf("%w: Random is nil", ErrInvalidSettings)
 	}
 	return nil
 }
@@ -118,27 +119,28 @@
 	for _, entry := range restored.Entries {
 		index++
 		if entry.Index != index || entry.Term < term {
-			return fmt.Errorf("%w: entry %d of term %d where %d was due", ErrCorruptLog, entry.Index, entry.Term, index)
+			return fmt.Errorf("%w: got entry %d of term %d, expected index %d", ErrCorruptLog, entry.Index, entry.Term, index)
 		}
 		term = entry.Term
 	}
 	if term > restored.HardState.Term {
-		return fmt.Errorf("%w: an entry of term %d, later than the replica's term %d", ErrCorruptLog, term, restored.HardState.Term)
+		return fmt.Errorf("%w: entry of term %d is newer than the replica's term %d", ErrCorruptLog, term, restored.HardState.Term)
 	}
 	if restored.Applied > index {
-		return fmt.Errorf("%w: applied up to %d, but it ends at %d", ErrCorruptLog, restored.Applied, index)
+		return fmt.Errorf("%w: applied index %d is beyond the last entry %d", ErrCorruptLog, restored.Applied, index)
 	}
-	return decodable(restored.Entries)
+	return checkMembersEntries(restored.Entries)
 }
 
-// Step takes one message.
+// Step handles one message and returns the resulting actions, which the caller must
+// carry out in order. It must not be called concurrently.
 func (m *Machine) Step(now time.Time, message Message) []Action {
 	m.now = now
-	if m.electionDue.IsZero() {
-		m.resetElection()
+	if m.electionDeadline.IsZero() {
+		m.resetElectionTimer()
 	}
 	m.dispatch(message)
-	m.announce()
+	m.emitRoleChange()
 	actions := m.actions
 	m.actions = nil
 	return actions
@@ -146,7 +148,7 @@
 
 func (m *Machine) dispatch(message Message) {
 	if m.halted {
-		m.refuse(message)
+		m.rejectHalted(message)
 		return
 	}
 	switch message := message.(type) {
@@ -159,13 +161,13 @@
 	case ProposeMembers:
 		m.proposeMembers(message)
 	case Persisted:
-		m.persisted(message)
+		m.handlePersisted(message)
 	case Compact:
 		m.compact(message.Snapshot)
 	case SnapshotFetched:
 		m.snapshotFetched(message)
 	case Confirm:
-		m.confirm(message)
+		m.confirmLeadership(message)
 	case TransferLeadership:
 		m.transferLeadership(message)
 	case Inspect:
@@ -173,15 +175,15 @@
 	}
 }
 
-// halt stops the machine for good.
+// halt stops the machine permanently.
 func (m *Machine) halt(err error) {
 	m.becomeFollower(m.state.Term, "")
 	m.halted = true
 	m.emit(Halted{Err: err})
 }
 
-// refuse answers at a machine that has halted.
-func (m *Machine) refuse(message Message) {
+// rejectHalted answers a request to a halted machine.
+func (m *Machine) rejectHalted(message Message) {
 	switch message := message.(type) {
 	case Propose:
 		m.emit(Proposed{Token: message.Token, Err: ErrHalted})
@@ -196,22 +198,23 @@
 	}
 }
 
-// receive lets through what fits the present term.
+// receive drops invalid messages, handles differing terms and dispatches the rest.
 func (m *Machine) receive(w WireMessage) {
 	if w.Group != m.settings.Group || w.To != m.settings.Self || !wellFormed(w) {
 		return
 	}
-	if w.Term > m.state.Term && !m.newerTerm(w) {
+	if w.Term > m.state.Term && !m.handleNewerTerm(w) {
 		return
 	}
-	if w.Term < m.state.Term && !m.planted.ignoreTerm {
-		m.olderTerm(w)
+	if w.Term < m.state.Term && !m.bugs.acceptStaleTerm {
+		m.handleOlderTerm(w)
 		return
 	}
 	m.handle(w)
 }
 
-// wellFormed tells whether the entries of a message follow one another.
+// wellFormed reports whether the entries of a message have consecutive indexes and valid
+// terms.
 func wellFormed(w WireMessage) bool {
 	term := w.LogTerm
 	for i, entry := range w.Entries {
@@ -228,15 +231,15 @@
 	case MessagePreVote, MessageVote:
 		m.receiveVote(w)
 	case MessagePreVoteAnswer, MessageVoteAnswer:
-		m.receiveVoteAnswer(w)
+		m.receiveVoteResponse(w)
 	case MessageAppend:
 		m.receiveAppend(w)
 	case MessageAppendAnswer:
-		m.receiveAppendAnswer(w)
+		m.receiveAppendResponse(w)
 	case MessageSnapshot:
 		m.receiveSnapshot(w)
 	case MessageSnapshotAnswer:
-		m.receiveSnapshotAnswer(w)
+		m.receiveSnapshotResponse(w)
 	case MessageTimeoutNow:
 		m.receiveTimeoutNow(w)
 	}
@@ -252,19 +255,19 @@
 	m.emit(Send{Message: w})
 }
 
-// persistState asks for term and vote to be put on disk.
+// persistState emits a Persist of the current term and vote.
 func (m *Machine) persistState() {
 	state := m.state
-	m.emit(Persist{Sequence: m.disk.next(), HardState: &state})
+	m.emit(Persist{Sequence: m.persists.nextSequence(), HardState: &state})
 }
 
-// announce tells the shell when the leadership it knows has changed.
-func (m *Machine) announce() {
+// emitRoleChange emits RoleChanged if role, term or leader changed since the last one.
+func (m *Machine) emitRoleChange() {
 	now := RoleChanged{Leading: m.role == RoleLeader, Term: m.state.Term, Leader: m.leader}
-	if now != m.announced {
-		m.announced = now
+	if now != m.lastRoleChange {
+		m.lastRoleChange = now
 		m.emit(now)
 	}
 }
 
-func (m *Machine) isVoter() bool { return m.members.current().votes(m.settings.Self) }
+func (m *Machine) isVoter() bool { return m.members.current().isVoter(m.settings.Self) }
--- a/replication/machine_test.go
+++ b/replication/machine_test.go
@@ -11,7 +11,7 @@
 )
 
 func testSettings(self ReplicaID) Settings {
-	return Settings{Self: self, Heartbeat: testHeartbeat, ElectionTimeout: testElection, Random: randomOf(1)}
+	return Settings{Self: self, Heartbeat: testHeartbeat, ElectionTimeout: testElection, Random: newRandom(1)}
 }
 
 func entriesOf(terms ...uint64) []Entry {
@@ -22,24 +22,24 @@
 	return entries
 }
 
-func TestNewMachineRefuses(t *testing.T) {
+func TestNewMachineRejectsInvalidState(t *testing.T) {
 	voters := Snapshot{Members: Members{Voters: []ReplicaID{"a"}}}
-	noChance := testSettings("a")
-	noChance.Random = nil
+	noRandom := testSettings("a")
+	noRandom.Random = nil
 	cases := map[string]struct {
 		settings Settings
 		restored Restored
 		want     error
 	}{
-		"no identity":        {testSettings(""), Restored{Snapshot: voters}, ErrInvalidSettings},
-		"no chance":          {noChance, Restored{Snapshot: voters}, ErrInvalidSettings},
-		"gap":                {testSettings("a"), Restored{HardState: HardState{Term: 9}, Entries: entriesOf(1, 1)[1:]}, ErrCorruptLog},
-		"terms fall":         {testSettings("a"), Restored{HardState: HardState{Term: 9}, Entries: entriesOf(2, 1)}, ErrCorruptLog},
-		"term of the future": {testSettings("a"), Restored{HardState: HardState{Term: 1}, Entries: entriesOf(2)}, ErrCorruptLog},
-		"applied too far":    {testSettings("a"), Restored{HardState: HardState{Term: 1}, Entries: entriesOf(1), Applied: 2}, ErrCorruptLog},
-		"members": {testSettings("a"), Restored{HardState: HardState{Term: 1},
+		"no identity":            {testSettings(""), Restored{Snapshot: voters}, ErrInvalidSettings},
+		"no random source":       {noRandom, Restored{Snapshot: voters}, ErrInvalidSettings},
+		"gap":                    {testSettings("a"), Restored{HardState: HardState{Term: 9}, Entries: entriesOf(1, 1)[1:]}, ErrCorruptLog},
+		"decreasing terms":       {testSettings("a"), Restored{HardState: HardState{Term: 9}, Entries: entriesOf(2, 1)}, ErrCorruptLog},
+		"entry of a future term": {testSettings("a"), Restored{HardState: HardState{Term: 1}, Entries: entriesOf(2)}, ErrCorruptLog},
+		"applied beyond the log": {testSettings("a"), Restored{HardState: HardState{Term: 1}, Entries: entriesOf(1), Applied: 2}, ErrCorruptLog},
+		"undecodable members": {testSettings("a"), Restored{HardState: HardState{Term: 1},
 			Entries: []Entry{{Index: 1, Term: 1, Kind: EntryMembers, Data: []byte("{")}}}, ErrCorruptLog},
-		"whole": {testSettings("a"), Restored{HardState: HardState{Term: 1}, Entries: entriesOf(1), Applied: 1}, nil},
+		"valid": {testSettings("a"), Restored{HardState: HardState{Term: 1}, Entries: entriesOf(1), Applied: 1}, nil},
 	}
 	for name, test := range cases {
 		if _, err := NewMachine(test.settings, test.restored); !errors.Is(err, test.want) {
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestGroupOfOneLeadsAtOnce(t *testing.T) {
+func TestSingleVoterElectsItselfImmediately(t *testing.T) {
 	machine, err := NewMachine(testSettings("a"), Restored{Snapshot: Snapshot{Members: Members{Voters: []ReplicaID{"a"}}}})
 	if err != nil {
 		t.Fatal(err)
@@ -58,29 +58,29 @@
 	if status := machine.Status(); status.Role != RoleLeader || status.Committed != 0 {
 		t.Fatalf("before the sync: %+v", status)
 	}
-	machine.Step(sim.Epoch, Persisted{Sequence: machine.disk.issued})
+	machine.Step(sim.Epoch, Persisted{Sequence: machine.persists.lastIssued})
 	if status := machine.Status(); status.Applied != 2 {
 		t.Fatalf("after the sync: %+v", status)
 	}
 }
 
-// TestDurabilityIsNotFooledByTheSameEntry: the first write of an entry is synced
-// after the entry was overwritten and written again.
-func TestDurabilityIsNotFooledByTheSameEntry(t *testing.T) {
-	var disk durability
-	first := disk.entries(5, 10)
-	second := disk.entries(5, 6)
-	third := disk.entries(5, 10)
+// Regression test: the sync of an entry's first write completes after the entry was
+// overwritten and written again.
+func TestStaleSyncDoesNotMarkRewrittenEntryDurable(t *testing.T) {
+	var disk persistTracker
+	first := disk.recordAppend(5, 10)
+	second := disk.recordAppend(5, 6)
+	third := disk.recordAppend(5, 10)
 	for _, step := range []struct{ sequence, index uint64 }{{first, 4}, {second, 4}, {third, 10}, {first, 10}, {third + 1, 10}} {
 		disk.complete(step.sequence)
-		if disk.index != step.index {
-			t.Fatalf("after write %d: %d is taken for durable, want %d", step.sequence, disk.index, step.index)
+		if disk.durableIndex != step.index {
+			t.Fatalf("after write %d: durable index %d, want %d", step.sequence, disk.durableIndex, step.index)
 		}
 	}
 }
 
-// TestBackOffSkipsTerms counts refusals until two logs that part early meet.
-func TestBackOffSkipsTerms(t *testing.T) {
+// Finding the last matching entry must not take one rejection per entry.
+func TestLogConflictSearchSkipsTerms(t *testing.T) {
 	voters := Snapshot{Members: Members{Voters: []ReplicaID{"a", "b"}}}
 	log := func(term uint64) []Entry {
 		terms := []uint64{1}
@@ -91,67 +91,67 @@
 	}
 	leader, _ := NewMachine(testSettings("a"), Restored{HardState: HardState{Term: 5}, Snapshot: voters, Entries: log(4)})
 	follower, _ := NewMachine(testSettings("b"), Restored{HardState: HardState{Term: 5}, Snapshot: voters, Entries: log(3)})
-	machines, refusals := map[ReplicaID]*Machine{"a": leader, "b": follower}, 0
-	var carry func(self ReplicaID, actions []Action)
-	carry = func(self ReplicaID, actions []Action) {
+	machines, rejections := map[ReplicaID]*Machine{"a": leader, "b": follower}, 0
+	var deliver func(self ReplicaID, actions []Action)
+	deliver = func(self ReplicaID, actions []Action) {
 		for _, action := range actions {
 			switch action := action.(type) {
 			case Persist:
-				carry(self, machines[self].Step(sim.Epoch.Add(time.Second), Persisted{Sequence: action.Sequence}))
+				deliver(self, machines[self].Step(sim.Epoch.Add(time.Second), Persisted{Sequence: action.Sequence}))
 			case Send:
 				if action.Message.Type == MessageAppendAnswer && !action.Message.Granted {
-					refusals++
+					rejections++
 				}
-				carry(action.Message.To, machines[action.Message.To].Step(sim.Epoch.Add(time.Second), Received(action)))
+				deliver(action.Message.To, machines[action.Message.To].Step(sim.Epoch.Add(time.Second), Received(action)))
 			}
 		}
 	}
 	leader.Step(sim.Epoch, Inspect{})
-	carry("a", leader.Step(sim.Epoch.Add(time.Second), Tick{}))
-	if status := leader.Status(); status.Committed != status.Last || refusals > 2 {
-		t.Fatalf("committed %d of %d after %d refusals", status.Committed, status.Last, refusals)
+	deliver("a", leader.Step(sim.Epoch.Add(time.Second), Tick{}))
+	if status := leader.Status(); status.Committed != status.Last || rejections > 2 {
+		t.Fatalf("committed %d of %d after %d rejections", status.Committed, status.Last, rejections)
 	}
 }
 
-func TestWindowAndBatchesAreBounded(t *testing.T) {
+func TestAppendWindowAndBatchSizeAreBounded(t *testing.T) {
 	settings := testSettings("a")
 	settings.MaxAppendBytes, settings.MaxInflight, settings.MaxUncommittedBytes = 3*(10+entryOverhead), 4, 100*(10+entryOverhead)
 	machine, _ := NewMachine(settings, Restored{Snapshot: Snapshot{Members: Members{Voters: []ReplicaID{"a", "b"}}}})
 	machine.becomeLeader()
-	machine.peers["b"].replicate(1)
+	machine.peers["b"].becomeReplicate(1)
 	machine.actions = nil
-	appends, refused := 0, 0
+	appends, rejected := 0, 0
 	for token := range uint64(200) {
 		for _, action := range machine.Step(sim.Epoch, Propose{Token: token, Data: []byte("0123456789")}) {
 			switch action := action.(type) {
 			case Send:
 				appends++
 				if size := totalSize(action.Message.Entries); size > settings.MaxAppendBytes {
-					t.Fatalf("an append of %d bytes", size)
+					t.Fatalf("append of %d bytes exceeds MaxAppendBytes", size)
 				}
 			case Proposed:
 				if errors.Is(action.Err, ErrOverloaded) {
-					refused++
+					rejected++
 				}
 			}
 		}
 	}
-	if appends > settings.MaxInflight || refused < 90 {
-		t.Fatalf("%d appends without an answer, %d refused", appends, refused)
+	if appends > settings.MaxInflight || rejected < 90 {
+		t.Fatalf("%d unanswered appends, %d rejected proposals", appends, rejected)
 	}
 }
 
-func TestContradictionOfCommittedHalts(t *testing.T) {
+func TestConflictWithCommittedEntryHalts(t *testing.T) {
 	entry := func(index, term uint64) Entry { return Entry{Index: index, Term: term} }
 	cases := map[string]struct {
 		append WireMessage
 		halts  bool
 	}{
-		"equal":                 {WireMessage{Index: 1, LogTerm: 1, Entries: []Entry{entry(2, 1), entry(3, 2)}}, false},
-		"uncommitted differs":   {WireMessage{Index: 2, LogTerm: 1, Entries: []Entry{entry(3, 2)}}, false},
-		"no claim":              {WireMessage{}, false},
-		"committed differs":     {WireMessage{Index: 1, LogTerm: 1, Entries: []Entry{entry(2, 2)}}, true},
-		"what precedes differs": {WireMessage{Index: 2, LogTerm: 2, Entries: []Entry{entry(3, 2)}}, true},
+		"equal":                  {WireMessage{Index: 1, LogTerm: 1, Entries: []Entry{entry(2, 1), entry(3, 2)}}, false},
+		"uncommitted differs":    {WireMessage{Index: 2, LogTerm: 1, Entries: []Entry{entry(3, 2)}}, false},
+		"empty append":           {WireMessage{}, false},
+		"committed differs":      {WireMessage{Index: 1, LogTerm: 1, Entries: []Entry{entry(2, 2)}}, true},
+		"previous entry differs": {WireMessage{Index: 2, LogTerm: 2, Entries: []Entry{entry(3, 2)}}, true},
 	}
 	for name, test := range cases {
 		machine, _ := NewMachine(testSettings("a"), Restored{
@@ -166,14 +166,14 @@
 		}
 		answer := machine.Step(sim.Epoch, Propose{Token: 1})[0].(Proposed)
 		if errors.Is(answer.Err, ErrHalted) != test.halts {
-			t.Errorf("%s: a proposal is answered %v", name, answer.Err)
+			t.Errorf("%s: proposal returned error %v", name, answer.Err)
 		}
 	}
 }
 
-// TestAnyMessageIsWithstood sends one replica whatever a peer could garble, and
-// checks what it must never do: take back a term, a vote or a commit.
-func TestAnyMessageIsWithstood(t *testing.T) {
+// No sequence of messages, however malformed, may revert a term, a vote or the commit
+// index.
+func TestArbitraryMessagesPreserveTermVoteAndCommit(t *testing.T) {
 	ids := []ReplicaID{"a", "b", "c"}
 	types := []MessageType{MessagePreVote, MessagePreVoteAnswer, MessageVote, MessageVoteAnswer, MessageAppend, MessageAppendAnswer, MessageSnapshot, MessageSnapshotAnswer, MessageTimeoutNow}
 	rapid.Check(t, func(t *rapid.T) {
@@ -199,13 +199,13 @@
 			}
 			message := rapid.SampledFrom([]Message{
 				Received{Message: w}, Tick{}, Propose{Token: 1}, Confirm{Token: 2}, TransferLeadership{Token: 3}, Inspect{},
-				Persisted{Sequence: machine.disk.issued}, Compact{Snapshot: Snapshot{Index: small("compact")}},
+				Persisted{Sequence: machine.persists.lastIssued}, Compact{Snapshot: Snapshot{Index: small("compact")}},
 				SnapshotFetched{Index: small("fetched"), Term: small("fetched term")},
 			}).Draw(t, "message")
 			machine.Step(now, message)
 			after := machine.state
 			if after.Term < before.Term || machine.committed < committed || after.Term == before.Term && before.Vote != "" && after.Vote != before.Vote {
-				t.Fatalf("%+v becomes %+v, committed %d becomes %d", before, after, committed, machine.committed)
+				t.Fatalf("hard state changed from %+v to %+v, commit index from %d to %d", before, after, committed, machine.committed)
 			}
 		}
 	})
--- a/replication/members.go
+++ b/replication/members.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// membership holds the group's configurations. The newest in the log is in
-// force, committed or not; it goes again with its entry.
-type membership struct {
-	base    Members // in force at the start of the log
+// membersHistory holds the configurations of the group. The newest one in the log is in
+// effect, committed or not; it is reverted if its entry is truncated.
+type membersHistory struct {
+	base    Members // in effect at the start of the log
 	changes []memberChange
 }
 
@@ -18,23 +18,23 @@
 	members Members
 }
 
-func (c *membership) current() Members {
+func (c *membersHistory) current() Members {
 	if len(c.changes) == 0 {
 		return c.base
 	}
 	return c.changes[len(c.changes)-1].members
 }
 
-// changedAt is the index of the newest change in the log, or 0.
-func (c *membership) changedAt() uint64 {
+// lastChangeIndex is the index of the newest change in the log, or 0.
+func (c *membersHistory) lastChangeIndex() uint64 {
 	if len(c.changes) == 0 {
 		return 0
 	}
 	return c.changes[len(c.changes)-1].index
 }
 
-// at gives what is in force at index.
-func (c *membership) at(index uint64) Members {
+// at returns the configuration in effect at index.
+func (c *membersHistory) at(index uint64) Members {
 	members := c.base
 	for _, change := range c.changes {
 		if change.index <= index {
@@ -44,8 +44,9 @@
 	return members
 }
 
-// add notes the changes among entries; decodeMembers has passed them all.
-func (c *membership) add(entries []Entry) bool {
+// addChanges records the membership changes among entries and reports whether there were
+// any. The entries must have passed checkMembersEntries.
+func (c *membersHistory) addChanges(entries []Entry) bool {
 	before := len(c.changes)
 	for _, entry := range entries {
 		if entry.Kind != EntryMembers {
@@ -57,15 +58,15 @@
 	return len(c.changes) > before
 }
 
-// truncate forgets the changes from index on.
-func (c *membership) truncate(index uint64) bool {
+// truncate drops the changes from index on and reports whether there were any.
+func (c *membersHistory) truncate(index uint64) bool {
 	before := len(c.changes)
 	c.changes = slices.DeleteFunc(c.changes, func(change memberChange) bool { return change.index >= index })
 	return len(c.changes) < before
 }
 
-// compact keeps as base what is in force at index.
-func (c *membership) compact(index uint64) {
+// compact makes the configuration in effect at index the base.
+func (c *membersHistory) compact(index uint64) {
 	c.base = c.at(index)
 	c.changes = slices.DeleteFunc(c.changes, func(change memberChange) bool { return change.index <= index })
 }
@@ -78,7 +79,7 @@
 	return members, nil
 }
 
-func decodable(entries []Entry) error {
+func checkMembersEntries(entries []Entry) error {
 	for _, entry := range entries {
 		if entry.Kind != EntryMembers {
 			continue
@@ -90,29 +91,29 @@
 	return nil
 }
 
-// all gives voters and learners, sorted.
-func (m Members) all() []ReplicaID {
+// replicaIDs returns the voters and learners, sorted.
+func (m Members) replicaIDs() []ReplicaID {
 	all := slices.Concat(m.Voters, m.Learners)
 	slices.Sort(all)
 	return all
 }
 
-func (m Members) votes(id ReplicaID) bool  { return slices.Contains(m.Voters, id) }
-func (m Members) learns(id ReplicaID) bool { return slices.Contains(m.Learners, id) }
+func (m Members) isVoter(id ReplicaID) bool   { return slices.Contains(m.Voters, id) }
+func (m Members) isLearner(id ReplicaID) bool { return slices.Contains(m.Learners, id) }
 
-// changed gives the one replica in which two configurations differ. Since any
-// majority of one then meets any majority of the other, no two leaders can be
-// chosen by old and new voters apart.
-func changed(from, to Members) (ReplicaID, error) {
-	all := to.all()
+// changedReplica returns the single replica in which two configurations differ. With one
+// change at a time, any majority of the old voters overlaps any majority of the new
+// ones, so the two can't elect different leaders in a term.
+func changedReplica(from, to Members) (ReplicaID, error) {
+	all := to.replicaIDs()
 	if len(to.Voters) == 0 || slices.Contains(all, "") || len(slices.Compact(slices.Clone(all))) != len(all) {
 		return "", ErrInvalidMembers
 	}
 	var differing []ReplicaID
-	union := slices.Concat(from.all(), all)
+	union := slices.Concat(from.replicaIDs(), all)
 	slices.Sort(union)
 	for _, id := range slices.Compact(union) {
-		if from.votes(id) != to.votes(id) || from.learns(id) != to.learns(id) {
+		if from.isVoter(id) != to.isVoter(id) || from.isLearner(id) != to.isLearner(id) {
 			differing = append(differing, id)
 		}
 	}
@@ -122,77 +123,78 @@
 	return differing[0], nil
 }
 
-// proposeMembers appends a change of one replica.
-func (m *Machine) proposeMembers(proposal ProposeMembers) {
-	if err := m.checkMembers(proposal.Members); err != nil {
-		m.emit(Proposed{Token: proposal.Token, Leader: m.leader, Err: err})
+// proposeMembers appends a membership change.
+func (m *Machine) proposeMembers(request ProposeMembers) {
+	if err := m.checkMembers(request.Members); err != nil {
+		m.emit(Proposed{Token: request.Token, Leader: m.leader, Err: err})
 		return
 	}
-	data, err := json.Marshal(proposal.Members)
+	data, err := json.Marshal(request.Members)
 	if err != nil {
-		m.emit(Proposed{Token: proposal.Token, Leader: m.leader, Err: err})
+		m.emit(Proposed{Token: request.Token, Leader: m.leader, Err: err})
 		return
 	}
-	m.appendOwn(proposal.Token, EntryMembers, data)
+	m.appendProposal(request.Token, EntryMembers, data)
 }
 
 func (m *Machine) checkMembers(members Members) error {
-	if err := m.mayPropose(); err != nil {
+	if err := m.checkCanPropose(); err != nil {
 		return err
 	}
-	if m.committed < m.firstOwn {
+	if m.committed < m.termStart {
 		return ErrNotReady
 	}
-	if m.members.changedAt() > m.committed {
+	if m.members.lastChangeIndex() > m.committed {
 		return ErrChangePending
 	}
 	current := m.members.current()
-	id, err := changed(current, members)
+	id, err := changedReplica(current, members)
 	if err != nil {
 		return err
 	}
-	if !members.votes(id) || current.votes(id) {
+	if !members.isVoter(id) || current.isVoter(id) {
 		return nil
 	}
-	return m.checkNewVoter(current, id)
+	return m.checkPromotion(current, id)
 }
 
-// checkNewVoter lets a learner vote once it has on disk all that was committed
-// a heartbeat ago; before, it would only be a voter that holds up commits.
-func (m *Machine) checkNewVoter(current Members, id ReplicaID) error {
-	if !current.learns(id) {
+// checkPromotion allows a learner to become a voter only once it has on disk all entries
+// that were committed at the last heartbeat. A lagging voter would delay commits.
+func (m *Machine) checkPromotion(current Members, id ReplicaID) error {
+	if !current.isLearner(id) {
 		return ErrInvalidMembers
 	}
-	if m.peers[id].match < max(m.committedBefore, m.firstOwn) {
+	if m.peers[id].match < max(m.committedAtHeartbeat, m.termStart) {
 		return ErrNotCaughtUp
 	}
 	return nil
 }
 
-// membersChanged fits what the leader keeps of each replica to the members now
-// in force.
-func (m *Machine) membersChanged() {
+// updatePeers adds and removes the leader's progress entries to match the current
+// members.
+func (m *Machine) updatePeers() {
 	if m.role != RoleLeader {
 		return
 	}
-	m.order = m.members.current().all()
-	for _, id := range m.order {
+	m.peerIDs = m.members.current().replicaIDs()
+	for _, id := range m.peerIDs {
 		if m.peers[id] == nil {
 			m.peers[id] = &progress{state: ProgressProbe, next: m.log.last() + 1}
 		}
 	}
 	for id := range m.peers {
-		if !slices.Contains(m.order, id) {
+		if !slices.Contains(m.peerIDs, id) {
 			delete(m.peers, id)
 		}
 	}
 }
 
-// leaveIfRemoved ends the leadership of a replica whose removal is committed.
-func (m *Machine) leaveIfRemoved() {
-	removed := !m.members.current().votes(m.settings.Self) && m.members.changedAt() <= m.committed
+// stepDownIfRemoved ends the leadership of a replica whose removal or demotion is
+// committed.
+func (m *Machine) stepDownIfRemoved() {
+	removed := !m.members.current().isVoter(m.settings.Self) && m.members.lastChangeIndex() <= m.committed
 	if m.role != RoleLeader || !removed {
 		return
 	}
-	m.stepAside()
+	m.yieldLeadership()
 }
--- a/replication/messages.go
+++ b/replication/messages.go
@@ -1,58 +1,59 @@
 package replication
 
-// Message is what a Machine is stepped with.
+// Message is an input of Machine.Step.
 type Message interface{ replicationMessage() }
 
-// Tick lets time pass; the shell sends it several times a heartbeat.
+// Tick advances time; the shell sends it several times per heartbeat interval.
 type Tick struct{}
 
 // Received carries a message from another replica.
 type Received struct{ Message WireMessage }
 
-// Propose asks the leader to append a command; Token comes back in Proposed.
+// Propose asks the leader to append a command; Proposed returns the Token.
 type Propose struct {
 	Token uint64
 	Data  []byte
 }
 
-// ProposeMembers asks the leader to change the group by one replica: to add a
-// learner, to make a learner that has caught up a voter, to make a voter a
-// learner, or to remove one. Proposed answers it; the change is done once Apply
-// brings the entry.
+// ProposeMembers asks the leader to change the membership by one replica: to add a
+// learner, promote a learner that has caught up, demote a voter to learner, or remove a
+// replica. It is answered by Proposed; the change is committed once Apply delivers the
+// entry.
 type ProposeMembers struct {
 	Token   uint64
 	Members Members
 }
 
-// Persisted says that all Persist actions up to Sequence are on disk.
+// Persisted reports that all Persist actions up to Sequence are synced to disk.
 type Persisted struct{ Sequence uint64 }
 
-// Compact says that the applied state up to Snapshot.Index is on disk, so that
-// the log before it may go. Only Index and Data are read. The machine answers
-// with a Persist that carries the whole Snapshot.
+// Compact reports that the applied state up to Snapshot.Index is on disk, so that the
+// log before it may be dropped. Only Index and Data are read. The machine answers with a
+// Persist that carries the complete Snapshot.
 type Compact struct{ Snapshot Snapshot }
 
-// SnapshotFetched answers FetchSnapshot: the bulk is staged on this replica's
-// disk, or could not be had.
+// SnapshotFetched answers FetchSnapshot: the state is staged on this replica's disk, or
+// Err says why it could not be fetched.
 type SnapshotFetched struct {
 	Index uint64
 	Term  uint64
 	Err   error
 }
 
-// Confirm asks the leader to make sure, by a round with a quorum that begins
-// after this message, that it still leads. It is what linearisable reads and
-// grants of quota rest on; no clock or lease does.
+// Confirm asks the leader to verify that it still leads, by a round of messages to a
+// quorum that starts after this request. Linearizable reads and quota grants rely on it;
+// no clock or lease is involved. It is answered by Confirmed.
 type Confirm struct{ Token uint64 }
 
-// TransferLeadership asks the leader to hand over, as before a planned stop.
-// Until it ends, proposals are refused with ErrTransferring.
+// TransferLeadership asks the leader to transfer leadership, as before a planned
+// shutdown. Until it completes, proposals are rejected with ErrTransferring. It is
+// answered by Transferred.
 type TransferLeadership struct {
 	Token uint64
-	To    ReplicaID // empty: the voter that has most of the log
+	To    ReplicaID // empty: the most up-to-date voter
 }
 
-// Inspect asks for the machine's Status.
+// Inspect asks for the machine's Status; it is answered by Inspected.
 type Inspect struct{ Token uint64 }
 
 func (Compact) replicationMessage()            {}
--- a/replication/operator_test.go
+++ b/replication/operator_test.go
@@ -7,34 +7,35 @@
 	"github.com/dykewing/dykewing/sim"
 )
 
-// operator replaces lost replicas through the leader, a step at a time.
-func (c *cluster) operator(interval time.Duration) {
+// startOperator replaces lost replicas through the leader, one membership change at a
+// time.
+func (c *cluster) startOperator(interval time.Duration) {
 	c.simulation.After(interval, func() {
 		for _, r := range c.replicas {
 			if r.leading && r.process.Up() && !r.process.Paused() {
-				c.repair(r)
+				c.repairMembers(r)
 			}
 		}
-		c.operator(interval)
+		c.startOperator(interval)
 	})
 }
 
-func (c *cluster) repair(leader *replica) {
+func (c *cluster) repairMembers(leader *replica) {
 	members := leader.machine.Status().Members
-	wanted := c.identities()
+	wanted := c.replicaIDs()
 	next := Members{Voters: slices.Clone(members.Voters), Learners: slices.Clone(members.Learners)}
 	for _, id := range wanted {
-		if members.learns(id) {
+		if members.isLearner(id) {
 			next.Learners = slices.DeleteFunc(next.Learners, func(other ReplicaID) bool { return other == id })
 			next.Voters = append(next.Voters, id)
 			break
 		}
-		if !members.votes(id) {
+		if !members.isVoter(id) {
 			next.Learners = append(next.Learners, id)
 			break
 		}
 	}
-	if len(next.all()) == len(members.all()) && len(next.Voters) == len(members.Voters) {
+	if len(next.replicaIDs()) == len(members.replicaIDs()) && len(next.Voters) == len(members.Voters) {
 		gone := slices.IndexFunc(next.Voters, func(id ReplicaID) bool { return !slices.Contains(wanted, id) })
 		if gone < 0 {
 			return
@@ -45,7 +46,7 @@
 	leader.step(ProposeMembers{Token: c.serial, Members: next})
 }
 
-func (c *cluster) identities() []ReplicaID {
+func (c *cluster) replicaIDs() []ReplicaID {
 	var ids []ReplicaID
 	for _, r := range c.replicas {
 		ids = append(ids, r.id)
@@ -53,14 +54,14 @@
 	return ids
 }
 
-// whole tells whether the voters are just the present replicas, by the leader's
-// committed members.
-func (c *cluster) whole() bool {
+// membershipRestored reports whether the leader's committed voters are exactly the
+// current replicas.
+func (c *cluster) membershipRestored() bool {
 	for _, r := range c.replicas {
 		if r.leading && r.process.Up() {
 			members := r.machine.members.at(r.machine.committed)
-			wanted := Members{Voters: c.identities()}
-			return slices.Equal(members.all(), wanted.all()) && len(members.Learners) == 0
+			wanted := Members{Voters: c.replicaIDs()}
+			return slices.Equal(members.replicaIDs(), wanted.replicaIDs()) && len(members.Learners) == 0
 		}
 	}
 	return false
--- a/replication/progress.go
+++ b/replication/progress.go
@@ -2,94 +2,94 @@
 
 import "time"
 
-// ProgressState tells how the leader sends to a replica.
+// ProgressState is the leader's mode of sending to a replica.
 type ProgressState string
 
 // The states of progress.
 const (
-	ProgressProbe     ProgressState = "probe"     // one append at a time, to find where the logs part
-	ProgressReplicate ProgressState = "replicate" // appends sent ahead of their answers
-	ProgressSnapshot  ProgressState = "snapshot"  // waits until a snapshot is in force there
+	ProgressProbe     ProgressState = "probe"     // one append at a time, to find the last matching entry
+	ProgressReplicate ProgressState = "replicate" // pipelined appends
+	ProgressSnapshot  ProgressState = "snapshot"  // no appends until the replica has installed a snapshot
 )
 
-// progress is what the leader knows of a replica's log.
+// progress is the leader's view of a replica's log.
 type progress struct {
-	state     ProgressState
-	match     uint64 // last entry known equal and on the replica's disk
-	next      uint64 // first entry to send
-	inflight  []uint64
-	waiting   bool // in probe: an append is on its way
-	active    bool // was heard since the last check of the quorum
-	silent    bool // was not heard between the last two checks
-	round     uint64
-	snapshot  uint64    // index of the snapshot sent
-	resendDue time.Time // of the snapshot
-	lastSent  time.Time // an append, also an empty one
-	commit    uint64    // that the last append carried
+	state           ProgressState
+	match           uint64 // last entry known to match and to be on the replica's disk
+	next            uint64 // first entry to send
+	inflight        []uint64
+	probeSent       bool // in ProgressProbe: an append is unanswered
+	active          bool // responded since the last quorum check
+	wasInactive     bool // did not respond between the last two quorum checks
+	round           uint64
+	snapshotIndex   uint64    // index of the snapshot sent
+	snapshotRetryAt time.Time // of the snapshot
+	lastSentAt      time.Time // an append, also an empty one
+	sentCommit      uint64    // that the last append carried
 }
 
-func (p *progress) probe(next uint64) {
-	p.state, p.waiting, p.inflight = ProgressProbe, false, nil
+func (p *progress) becomeProbe(next uint64) {
+	p.state, p.probeSent, p.inflight = ProgressProbe, false, nil
 	p.next = max(next, p.match+1)
 }
 
-func (p *progress) replicate(next uint64) {
-	p.state, p.waiting, p.inflight = ProgressReplicate, false, nil
+func (p *progress) becomeReplicate(next uint64) {
+	p.state, p.probeSent, p.inflight = ProgressReplicate, false, nil
 	p.next = max(next, p.match+1)
 }
 
-// mayAppend tells whether one more append may be on its way.
-func (p *progress) mayAppend(maxInflight int) bool {
+// canSend reports whether another append may be sent without waiting for a response.
+func (p *progress) canSend(maxInflight int) bool {
 	switch p.state {
 	case ProgressProbe:
-		return !p.waiting
+		return !p.probeSent
 	case ProgressReplicate:
 		return len(p.inflight) < maxInflight
 	}
 	return false
 }
 
-// sent notes an append with the given number of entries.
-func (p *progress) sent(entries int) {
+// recordSent records an append with the given number of entries.
+func (p *progress) recordSent(entries int) {
 	switch {
 	case p.state == ProgressProbe:
-		p.waiting = true
+		p.probeSent = true
 	case entries > 0:
 		p.next += uint64(entries)
 		p.inflight = append(p.inflight, p.next-1)
 	}
 }
 
-// accepted takes a positive answer: entries up to verified are equal, those up
-// to match are also on disk there. It tells whether match grew.
-func (p *progress) accepted(verified, match uint64) bool {
-	grew := match > p.match
+// recordAccepted handles a positive response: entries up to verified match, and those up
+// to match are also on the replica's disk. It reports whether match increased.
+func (p *progress) recordAccepted(verified, match uint64) bool {
+	advanced := match > p.match
 	p.match = max(p.match, match)
-	p.free()
+	p.freeInflight()
 	switch p.state {
 	case ProgressProbe:
-		if grew || verified+1 >= p.next {
-			p.replicate(verified + 1)
+		if advanced || verified+1 >= p.next {
+			p.becomeReplicate(verified + 1)
 		}
 	case ProgressSnapshot:
-		if grew { // by this snapshot or an older one; what lacks is sent from here
-			p.replicate(p.match + 1)
+		if advanced { // this or an older snapshot was installed; the log is sent from here on
+			p.becomeReplicate(p.match + 1)
 		}
 	default:
 		p.next = max(p.next, p.match+1)
 	}
-	return grew
+	return advanced
 }
 
-// free forgets appends that are on the replica's disk.
-func (p *progress) free() {
+// freeInflight removes the appends that are on the replica's disk from the window.
+func (p *progress) freeInflight() {
 	for len(p.inflight) > 0 && p.inflight[0] <= p.match {
 		p.inflight = p.inflight[1:]
 	}
 }
 
-// refused takes a negative answer and tells whether it is news.
-func (p *progress) refused(previous, retry uint64) bool {
+// recordRejected handles a rejection and reports whether it was not stale.
+func (p *progress) recordRejected(previous, retry uint64) bool {
 	switch {
 	case p.state == ProgressSnapshot:
 		return false
@@ -98,6 +98,6 @@
 	case previous <= p.match:
 		return false
 	}
-	p.probe(min(previous, retry+1))
+	p.becomeProbe(min(previous, retry+1))
 	return true
 }
--- a/replication/replication.go
+++ b/replication/replication.go
@@ -1,17 +1,18 @@
-// Package replication keeps a log in agreement among the replicas of a group:
-// leader election by terms, append by quorum, commit. It is only a state
-// machine: the shell persists, sends and applies what Step asks for.
+// Package replication implements the Raft consensus algorithm for the replicas of one
+// group: leader election with pre-votes, log replication, membership changes of one
+// replica at a time, snapshots and linearizable reads. A Machine is a pure state machine;
+// the embedding process, called the shell, persists, sends and applies what Step returns.
 //
-// Contract of the shell:
-//   - Actions are carried out in order. A Persist is on disk (synced) before any
-//     later Send of the same step leaves. Several steps may share one sync.
-//   - Each Persist is answered by Persisted with its Sequence, or with that of a
-//     later one, as Persists are written in order.
-//   - FetchSnapshot is answered by SnapshotFetched once the bulk is staged.
-//   - After a crash NewMachine gets what the last synced Persists left.
+// The shell must observe this contract:
+//   - Actions are carried out in order. A Persist is synced to disk before any
+//     later Send of the same step is sent. Several steps may share one sync.
+//   - Each Persist is answered by Persisted with its Sequence or a later one.
+//     Persists are written in order.
+//   - FetchSnapshot is answered by SnapshotFetched once the state is staged.
+//   - After a crash, NewMachine receives the state left by the synced Persists.
 //
-// Safety rests on terms, quorums and synced disks. Time only decides when a
-// replica asks for votes or gives up leading.
+// Safety depends on terms, quorums and synced disks only. Time determines when a
+// replica campaigns and when a leader steps down.
 package replication
 
 import (
@@ -22,19 +23,19 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// ReplicaID names one replica for as long as its disk lives. A new disk is a
-// new replica.
+// ReplicaID identifies a replica together with its disk. A replica that lost its disk
+// must rejoin with a new ID.
 type ReplicaID string
 
-// Entry is one position of the log.
+// Entry is an entry of the log.
 type Entry struct {
-	Index uint64    `json:"index"` // from 1
+	Index uint64    `json:"index"` // counted from 1
 	Term  uint64    `json:"term"`
 	Kind  EntryKind `json:"kind"`
 	Data  []byte    `json:"data,omitempty"`
 }
 
-// EntryKind tells what Data is.
+// EntryKind is the type of an entry's Data.
 type EntryKind uint8
 
 // The kinds of entries.
@@ -44,23 +45,23 @@
 	EntryMembers                  // Data is a JSON Members
 )
 
-// Members is a group's configuration. One replica at a time is added or
-// removed; learners receive the log and do not vote.
+// Members is the membership of a group. It changes by one replica at a time. Learners
+// receive the log but do not vote.
 type Members struct {
 	Voters   []ReplicaID `json:"voters"`
 	Learners []ReplicaID `json:"learners,omitempty"`
 }
 
-// HardState is what must be on disk before a vote or an acknowledgement.
+// HardState must be on disk before a vote or an acknowledgement is sent.
 type HardState struct {
 	Term uint64    `json:"term"`
 	Vote ReplicaID `json:"vote,omitempty"`
 }
 
-// MessageType tells what a wire Message is.
+// MessageType is the type of a WireMessage.
 type MessageType string
 
-// The wire messages between replicas.
+// The types of wire messages.
 const (
 	MessagePreVote        MessageType = "pre_vote"
 	MessagePreVoteAnswer  MessageType = "pre_vote_answer"
@@ -69,30 +70,30 @@
 	MessageAppend         MessageType = "append"
 	MessageAppendAnswer   MessageType = "append_answer"
 	MessageSnapshot       MessageType = "snapshot"
-	MessageSnapshotAnswer MessageType = "snapshot_answer" // only when fetching failed
-	MessageTimeoutNow     MessageType = "timeout_now"     // leader to successor: ask for votes at once
+	MessageSnapshotAnswer MessageType = "snapshot_answer" // sent only if the fetch failed
+	MessageTimeoutNow     MessageType = "timeout_now"     // from the leader to its successor: start an election at once
 )
 
-// WireMessage travels between replicas of one group.
+// WireMessage is a message between replicas of one group.
 type WireMessage struct {
 	Type     MessageType `json:"type"`
 	Group    api.GroupID `json:"group"`
 	From     ReplicaID   `json:"from"`
 	To       ReplicaID   `json:"to"`
 	Term     uint64      `json:"term"`
-	Index    uint64      `json:"index,omitempty"`    // previous entry, last entry of a candidate; answer: last accepted, or the refused previous
+	Index    uint64      `json:"index,omitempty"`    // append: previous entry; vote: last entry of the candidate; append response: last accepted entry, or the rejected previous one
 	LogTerm  uint64      `json:"log_term,omitempty"` // term of Index
 	Commit   uint64      `json:"commit,omitempty"`
 	Entries  []Entry     `json:"entries,omitempty"`
 	Granted  bool        `json:"granted,omitempty"`
-	Match    uint64      `json:"match,omitempty"`    // answer: last index known equal and on disk; of a refusal: where to try next
-	Round    uint64      `json:"round,omitempty"`    // of Confirm, within Term; an answer brings it back
-	Transfer bool        `json:"transfer,omitempty"` // vote asked for by the leader itself
+	Match    uint64      `json:"match,omitempty"`    // append response: last index that matches and is on disk; rejection: index at which to retry
+	Round    uint64      `json:"round,omitempty"`    // of Confirm, within Term; echoed in the response
+	Transfer bool        `json:"transfer,omitempty"` // vote request of a leadership transfer
 	Snapshot *Snapshot   `json:"snapshot,omitempty"`
 }
 
-// Snapshot replaces the log up to Index. Data is the shell's: the whole state
-// when it is small, or a descriptor by which another replica fetches it.
+// Snapshot replaces the log up to Index. Data is opaque to this package: the whole state
+// if it is small, or a descriptor by which another replica fetches it.
 type Snapshot struct {
 	Index   uint64  `json:"index"`
 	Term    uint64  `json:"term"`
@@ -100,21 +101,21 @@
 	Data    []byte  `json:"data,omitempty"`
 }
 
-// Settings of a Machine.
+// Settings configure a Machine.
 type Settings struct {
 	Group           api.GroupID
 	Self            ReplicaID
-	Heartbeat       time.Duration // leader to a follower that lags; to others at least two an ElectionTimeout
-	ElectionTimeout time.Duration // shortest wait; up to twice that is drawn
+	Heartbeat       time.Duration // interval to a lagging follower; others get two per ElectionTimeout, or fewer if Heartbeat is longer
+	ElectionTimeout time.Duration // minimum; the actual timeout is random, up to twice as long
 	Random          *rand.Rand
 
-	MaxAppendBytes      int // of one append; one entry may be larger; 0: DefaultMaxAppendBytes
-	MaxInflight         int // appends to one replica not yet on its disk; 0: DefaultMaxInflight
-	MaxUncommittedBytes int // of proposals that wait for a quorum; 0: DefaultMaxUncommittedBytes
-	TrailingEntries     int // kept in memory before a snapshot, for replicas that lag a little; 0: DefaultTrailingEntries
+	MaxAppendBytes      int // per append; a single larger entry is sent alone; 0: DefaultMaxAppendBytes
+	MaxInflight         int // appends per replica that are not yet on its disk; 0: DefaultMaxInflight
+	MaxUncommittedBytes int // uncommitted entries; 0: DefaultMaxUncommittedBytes
+	TrailingEntries     int // kept in memory before a snapshot, for replicas that lag slightly; 0: DefaultTrailingEntries
 }
 
-// Defaults of Settings.
+// Default values of Settings.
 const (
 	DefaultMaxAppendBytes      = 256 << 10
 	DefaultMaxInflight         = 16
@@ -130,10 +131,11 @@
 	return s
 }
 
-// Restored is what the disk held at start; zero for a new replica.
+// Restored is the state recovered from disk at startup. It is zero for a replica that
+// joins an existing group.
 type Restored struct {
 	HardState HardState
-	Snapshot  Snapshot // Members of a new group's first voters when Index is 0
+	Snapshot  Snapshot // Index 0: Members holds the initial voters of a new group
 	Entries   []Entry  // after Snapshot.Index
-	Applied   uint64   // last entry that the shell's state on disk holds; 0: Snapshot.Index
+	Applied   uint64   // last entry applied to the shell's state on disk; 0: Snapshot.Index
 }
--- a/replication/scenario_test.go
+++ b/replication/scenario_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// newLed gives a group that has chosen a leader, and the leader.
-func newLed(t *testing.T, o options) (*cluster, *replica) {
+// newClusterWithLeader returns a cluster that has elected a leader, and the leader.
+func newClusterWithLeader(t *testing.T, o options) (*cluster, *replica) {
 	t.Helper()
 	c := newCluster(o)
 	c.simulation.Run(2 * time.Second)
@@ -29,13 +29,14 @@
 	return leader
 }
 
-// ask steps a message with a fresh token, lets time pass and gives the answer.
-func (r *replica) ask(wait time.Duration, message func(token uint64) Message) (error, bool) {
+// request steps a message with a new token, runs the simulation for wait and returns the
+// result, and whether there is one.
+func (r *replica) request(wait time.Duration, message func(token uint64) Message) (error, bool) {
 	r.cluster.serial++
 	token := r.cluster.serial
 	r.step(message(token))
 	r.cluster.simulation.Run(wait)
-	err, answered := r.answers[token]
+	err, answered := r.results[token]
 	return err, answered
 }
 
@@ -46,20 +47,20 @@
 	return slices.DeleteFunc(slices.Clone(c.replicas), func(r *replica) bool { return r == leader })
 }
 
-func (c *cluster) requireWhole(t *testing.T) {
+func (c *cluster) requireNoViolations(t *testing.T) {
 	t.Helper()
-	if len(c.broken) > 0 {
-		t.Fatal(c.broken)
+	if len(c.violations) > 0 {
+		t.Fatal(c.violations)
 	}
 }
 
-// elect makes only the given slot stand for election, until it leads.
+// elect suppresses elections at all other replicas until the given slot is leader.
 func (c *cluster) elect(slot int) {
 	for range 5 {
 		for _, r := range c.replicas {
-			r.machine.electionDue, r.machine.heardLeader = c.simulation.Now().Add(time.Minute), time.Time{}
+			r.machine.electionDeadline, r.machine.leaderHeardAt = c.simulation.Now().Add(time.Minute), time.Time{}
 		}
-		c.replicas[slot].machine.electionDue = c.simulation.Now()
+		c.replicas[slot].machine.electionDeadline = c.simulation.Now()
 		c.simulation.Run(testHeartbeat)
 		if c.replicas[slot].leading {
 			return
@@ -67,17 +68,17 @@
 	}
 }
 
-// oldTermScenario is figure 8 of the Raft paper: an entry of an old term reaches
-// a majority and its leader fails before one of its own term does.
-func oldTermScenario(planted plantedFaults) *cluster {
-	c := newCluster(options{seed: 1, voters: 5, planted: planted})
+// priorTermScenario is figure 8 of the Raft paper: an entry of an earlier term reaches a
+// majority, and the leader fails before it has replicated an entry of its own term.
+func priorTermScenario(bugs injectedBugs) *cluster {
+	c := newCluster(options{seed: 1, voters: 5, bugs: bugs})
 	only := func(from, to ReplicaID) {
 		c.drop = func(w WireMessage) bool { return w.From == from && w.Type == MessageAppend && w.To != to }
 	}
 	c.simulation.Run(testHeartbeat)
 	c.elect(0)
 	only("r0", "r1")
-	c.replicas[0].step(Propose{Data: make([]byte, 500)}) // alone in its append
+	c.replicas[0].step(Propose{Data: make([]byte, 500)}) // too large to share an append with other entries
 	c.simulation.Run(testHeartbeat)
 	c.replicas[0].crash()
 	only("r4", "")
@@ -101,23 +102,23 @@
 	return c
 }
 
-func TestOldTermIsNotCommittedByCount(t *testing.T) {
-	c := oldTermScenario(plantedFaults{})
-	c.requireWhole(t)
+func TestPriorTermEntryIsNotCommittedByCount(t *testing.T) {
+	c := priorTermScenario(injectedBugs{})
+	c.requireNoViolations(t)
 	if rival := c.leader(t); rival.id != "r4" || rival.applied < 4 {
-		t.Fatalf("%s leads and has applied %d: the scenario did not come about", rival.id, rival.applied)
+		t.Fatalf("%s leads and has applied %d: the scenario was not set up as intended", rival.id, rival.applied)
 	}
-	broken := oldTermScenario(plantedFaults{commitOldTerm: true}).broken
-	if len(broken) == 0 {
-		t.Fatal("commit-old-term-by-count was not caught")
+	violations := priorTermScenario(injectedBugs{commitPriorTerm: true}).violations
+	if len(violations) == 0 {
+		t.Fatal("the commitPriorTerm bug was not detected")
 	}
-	t.Log(broken[0])
+	t.Log(violations[0])
 }
 
-// olderTermScenario lets an append of a crashed leader arrive late, just when a
-// majority has committed another entry at its place.
-func olderTermScenario(planted plantedFaults) *cluster {
-	c := newCluster(options{seed: 1, voters: 3, planted: planted})
+// staleAppendScenario delays an append of a crashed leader until a majority has
+// committed another entry at the same index.
+func staleAppendScenario(bugs injectedBugs) *cluster {
+	c := newCluster(options{seed: 1, voters: 3, bugs: bugs})
 	c.simulation.Run(testHeartbeat)
 	c.elect(0)
 	var late []WireMessage
@@ -126,7 +127,7 @@
 		if held && w.To == "r2" {
 			late = append(late, w)
 		}
-		return held || w.From == "r1" && len(w.Entries) == 0 && w.Type == MessageAppend // r2 doesn't learn of the commit
+		return held || w.From == "r1" && len(w.Entries) == 0 && w.Type == MessageAppend // r2 does not learn the commit index
 	}
 	c.replicas[0].step(Propose{Data: []byte("stale")})
 	c.simulation.Run(testHeartbeat)
@@ -145,52 +146,52 @@
 	return c
 }
 
-func TestOlderTermIsFenced(t *testing.T) {
-	c := olderTermScenario(plantedFaults{})
-	c.requireWhole(t)
+func TestStaleTermAppendIsRejected(t *testing.T) {
+	c := staleAppendScenario(injectedBugs{})
+	c.requireNoViolations(t)
 	if c.committed[2].term != 2 || c.leader(t).id != "r2" {
-		t.Fatalf("entry 2 is of term %d, %s leads: the scenario did not come about", c.committed[2].term, c.leader(t).id)
+		t.Fatalf("entry 2 is of term %d, %s leads: the scenario was not set up as intended", c.committed[2].term, c.leader(t).id)
 	}
-	broken := olderTermScenario(plantedFaults{ignoreTerm: true}).broken
-	if len(broken) == 0 {
-		t.Fatal("ignore-term was not caught")
+	violations := staleAppendScenario(injectedBugs{acceptStaleTerm: true}).violations
+	if len(violations) == 0 {
+		t.Fatal("the acceptStaleTerm bug was not detected")
 	}
-	t.Log(broken[0])
+	t.Log(violations[0])
 }
 
-func TestLaggingReplicaGetsSnapshotAndThenTheLog(t *testing.T) {
-	c, leader := newLed(t, options{seed: 2, voters: 3})
-	c.clients(10 * time.Millisecond)
+func TestLaggingReplicaCatchesUpBySnapshotThenLog(t *testing.T) {
+	c, leader := newClusterWithLeader(t, options{seed: 2, voters: 3})
+	c.startClients(10 * time.Millisecond)
 	lagging := c.followers(leader)[0]
 	lagging.crash()
 	c.simulation.Run(3 * time.Second)
 	lagging.restart()
 	c.simulation.Run(3 * time.Second)
-	c.requireWhole(t)
-	if lagging.fetched == 0 || lagging.applied+20 < c.checker.applied {
-		t.Fatalf("%d snapshots, applied %d of %d", lagging.fetched, lagging.applied, c.checker.applied)
+	c.requireNoViolations(t)
+	if lagging.snapshotsInstalled == 0 || lagging.applied+20 < c.checker.applied {
+		t.Fatalf("%d snapshots, applied %d of %d", lagging.snapshotsInstalled, lagging.applied, c.checker.applied)
 	}
 }
 
-func TestMembersChangeOneStepAtATime(t *testing.T) {
-	c, leader := newLed(t, options{seed: 3, voters: 3})
-	c.replicas = append(c.replicas, c.newReplica("new", stored{}))
-	voters := c.first.Voters
+func TestMembersChangeOneReplicaAtATime(t *testing.T) {
+	c, leader := newClusterWithLeader(t, options{seed: 3, voters: 3})
+	c.replicas = append(c.replicas, c.newReplica("new", diskState{}))
+	voters := c.initialMembers.Voters
 	follower := c.followers(leader)[0]
 	steps := []struct {
 		name    string
-		cut     bool // the new replica hears nothing
+		cut     bool // the new replica is isolated
 		members Members
 		want    error
 	}{
 		{"no voters", false, Members{Learners: voters}, ErrInvalidMembers},
-		{"twice the same", false, Members{Voters: append(voters, voters[0])}, ErrInvalidMembers},
+		{"duplicate voter", false, Members{Voters: append(voters, voters[0])}, ErrInvalidMembers},
 		{"no change", false, Members{Voters: voters}, ErrInvalidMembers},
-		{"two at once", false, Members{Voters: voters[:2], Learners: []ReplicaID{"new"}}, ErrInvalidMembers},
-		{"voter at once", false, Members{Voters: append(voters, "new")}, ErrInvalidMembers},
+		{"two replicas", false, Members{Voters: voters[:2], Learners: []ReplicaID{"new"}}, ErrInvalidMembers},
+		{"voter that was no learner", false, Members{Voters: append(voters, "new")}, ErrInvalidMembers},
 		{"learner", true, Members{Voters: voters, Learners: []ReplicaID{"new"}}, nil},
-		{"voter that lags", true, Members{Voters: append(voters, "new")}, ErrNotCaughtUp},
-		{"voter that has caught up", false, Members{Voters: append(voters, "new")}, nil},
+		{"lagging learner to voter", true, Members{Voters: append(voters, "new")}, ErrNotCaughtUp},
+		{"learner that has caught up to voter", false, Members{Voters: append(voters, "new")}, nil},
 		{"removal", false, Members{Voters: append(slices.DeleteFunc(slices.Clone(voters), func(id ReplicaID) bool { return id == follower.id }), "new")}, nil},
 	}
 	for _, step := range steps {
@@ -199,30 +200,30 @@
 			c.network.Isolate("new")
 		}
 		c.simulation.Run(300 * time.Millisecond)
-		err, _ := leader.ask(300*time.Millisecond, func(token uint64) Message { return ProposeMembers{Token: token, Members: step.members} })
+		err, _ := leader.request(300*time.Millisecond, func(token uint64) Message { return ProposeMembers{Token: token, Members: step.members} })
 		if !errors.Is(err, step.want) {
 			t.Fatalf("%s: got %v, want %v", step.name, err, step.want)
 		}
 	}
 	term := leader.machine.state.Term
-	c.simulation.Run(10 * time.Second) // the removed replica still runs
-	if c.requireWhole(t); !leader.leading || leader.machine.state.Term != term {
-		t.Fatalf("the removed replica disturbed: term %d became %d", term, leader.machine.state.Term)
+	c.simulation.Run(10 * time.Second) // the removed replica keeps running
+	if c.requireNoViolations(t); !leader.leading || leader.machine.state.Term != term {
+		t.Fatalf("the removed replica disrupted the group: term changed from %d to %d", term, leader.machine.state.Term)
 	}
 }
 
-func TestMemberChangeWaitsForNoopAndForAnother(t *testing.T) {
-	c, leader := newLed(t, options{seed: 4, voters: 3})
+func TestMemberChangeRequiresCommittedNoopAndNoPendingChange(t *testing.T) {
+	c, leader := newClusterWithLeader(t, options{seed: 4, voters: 3})
 	c.network.Isolate(string(leader.id))
 	change := func(id ReplicaID) func(uint64) Message {
 		return func(token uint64) Message {
-			return ProposeMembers{Token: token, Members: Members{Voters: c.first.Voters, Learners: []ReplicaID{id}}}
+			return ProposeMembers{Token: token, Members: Members{Voters: c.initialMembers.Voters, Learners: []ReplicaID{id}}}
 		}
 	}
-	if err, _ := leader.ask(0, change("a")); err != nil {
+	if err, _ := leader.request(0, change("a")); err != nil {
 		t.Fatal(err)
 	}
-	if err, _ := leader.ask(0, change("b")); !errors.Is(err, ErrChangePending) {
+	if err, _ := leader.request(0, change("b")); !errors.Is(err, ErrChangePending) {
 		t.Fatalf("got %v, want %v", err, ErrChangePending)
 	}
 	c.network.Heal()
@@ -232,105 +233,105 @@
 	old.crash()
 	next := c.followers(old)[0]
 	c.elect(slices.Index(c.replicas, next))
-	if err, _ := next.ask(0, change("c")); !errors.Is(err, ErrNotReady) {
+	if err, _ := next.request(0, change("c")); !errors.Is(err, ErrNotReady) {
 		t.Fatalf("got %v, want %v", err, ErrNotReady)
 	}
 }
 
-func TestRemovedLeaderHandsOver(t *testing.T) {
-	c, leader := newLed(t, options{seed: 5, voters: 3})
-	rest := slices.DeleteFunc(slices.Clone(c.first.Voters), func(id ReplicaID) bool { return id == leader.id })
-	if err, _ := leader.ask(100*time.Millisecond, func(token uint64) Message {
+func TestRemovedLeaderYieldsLeadership(t *testing.T) {
+	c, leader := newClusterWithLeader(t, options{seed: 5, voters: 3})
+	rest := slices.DeleteFunc(slices.Clone(c.initialMembers.Voters), func(id ReplicaID) bool { return id == leader.id })
+	if err, _ := leader.request(100*time.Millisecond, func(token uint64) Message {
 		return ProposeMembers{Token: token, Members: Members{Voters: rest}}
 	}); err != nil {
 		t.Fatal(err)
 	}
 	if next := c.leader(t); next == leader || leader.leading {
-		t.Fatalf("%s still leads", leader.id)
+		t.Fatalf("removed leader %s still leads", leader.id)
 	}
-	c.requireWhole(t)
+	c.requireNoViolations(t)
 }
 
-func TestCutOffReplicaDoesNotRaiseTheTerm(t *testing.T) {
-	c, leader := newLed(t, options{seed: 6, voters: 3})
+func TestIsolatedReplicaDoesNotRaiseTerm(t *testing.T) {
+	c, leader := newClusterWithLeader(t, options{seed: 6, voters: 3})
 	term := leader.machine.state.Term
 	c.network.Isolate(string(c.followers(leader)[0].id))
 	c.simulation.Run(10 * time.Second)
 	c.network.Heal()
 	c.simulation.Run(time.Second)
 	if c.leader(t) != leader || leader.machine.state.Term != term {
-		t.Fatalf("term %d became %d", term, c.leader(t).machine.state.Term)
+		t.Fatalf("term changed from %d to %d", term, c.leader(t).machine.state.Term)
 	}
 }
 
 func TestTransferLeadership(t *testing.T) {
-	c, leader := newLed(t, options{seed: 7, voters: 3})
+	c, leader := newClusterWithLeader(t, options{seed: 7, voters: 3})
 	follower := c.followers(leader)[0]
 	transfer := func(to ReplicaID) func(uint64) Message {
 		return func(token uint64) Message { return TransferLeadership{Token: token, To: to} }
 	}
-	if err, _ := leader.ask(0, transfer("stranger")); !errors.Is(err, ErrInvalidSuccessor) {
+	if err, _ := leader.request(0, transfer("stranger")); !errors.Is(err, ErrInvalidSuccessor) {
 		t.Fatalf("got %v, want %v", err, ErrInvalidSuccessor)
 	}
 	follower.process.Pause()
-	if _, answered := leader.ask(0, transfer(follower.id)); answered {
-		t.Fatal("answered at once")
+	if _, answered := leader.request(0, transfer(follower.id)); answered {
+		t.Fatal("transfer to a paused replica was answered immediately")
 	}
-	if err, _ := leader.ask(0, propose); !errors.Is(err, ErrTransferring) {
+	if err, _ := leader.request(0, propose); !errors.Is(err, ErrTransferring) {
 		t.Fatalf("got %v, want %v", err, ErrTransferring)
 	}
 	c.simulation.Run(2 * testElection)
-	if err := leader.answers[c.serial-1]; !errors.Is(err, ErrTransferTimeout) {
+	if err := leader.results[c.serial-1]; !errors.Is(err, ErrTransferTimeout) {
 		t.Fatalf("got %v, want %v", err, ErrTransferTimeout)
 	}
 	follower.process.Resume()
 	c.simulation.Run(testElection)
-	if err, answered := c.leader(t).ask(testHeartbeat, transfer("")); err != nil || !answered {
+	if err, answered := c.leader(t).request(testHeartbeat, transfer("")); err != nil || !answered {
 		t.Fatalf("answered %v with %v", answered, err)
 	}
 	if next := c.leader(t); next == leader && follower.leading {
-		t.Fatal("leadership did not move")
+		t.Fatal("leadership was not transferred")
 	}
-	c.requireWhole(t)
+	c.requireNoViolations(t)
 }
 
 func TestPausedLeaderIsFenced(t *testing.T) {
-	c, old := newLed(t, options{seed: 8, voters: 3})
+	c, old := newClusterWithLeader(t, options{seed: 8, voters: 3})
 	old.process.Pause()
 	c.simulation.Run(2 * time.Second)
 	next := c.leader(t)
-	if err, _ := next.ask(testHeartbeat, propose); next == old || err != nil {
-		t.Fatalf("no successor: %v", err)
+	if err, _ := next.request(testHeartbeat, propose); next == old || err != nil {
+		t.Fatalf("no new leader accepted a proposal: %v", err)
 	}
 	old.process.Resume()
-	old.step(Propose{Token: 1 << 40, Data: []byte("stale")}) // before it hears anything
-	if err, answered := old.ask(testElection, confirm); !answered || !errors.Is(err, ErrNotLeader) {
+	old.step(Propose{Token: 1 << 40, Data: []byte("stale")}) // before it receives any message
+	if err, answered := old.request(testElection, confirm); !answered || !errors.Is(err, ErrNotLeader) {
 		t.Fatalf("answered %v with %v", answered, err)
 	}
 	c.simulation.Run(time.Second)
-	c.requireWhole(t)
+	c.requireNoViolations(t)
 	if old.leading || old.applied != next.applied {
-		t.Fatalf("leading %v, applied %d of %d", old.leading, old.applied, next.applied)
+		t.Fatalf("old leader: leading %v, applied %d of %d", old.leading, old.applied, next.applied)
 	}
 }
 
-func TestLeaderWithoutQuorumAnswersWhatWaits(t *testing.T) {
-	c, leader := newLed(t, options{seed: 9, voters: 5})
+func TestLeaderWithoutQuorumFailsPendingConfirms(t *testing.T) {
+	c, leader := newClusterWithLeader(t, options{seed: 9, voters: 5})
 	c.network.Isolate(string(leader.id))
-	err, answered := leader.ask(2*testElection+testHeartbeat, confirm)
+	err, answered := leader.request(2*testElection+testHeartbeat, confirm)
 	if !answered || !errors.Is(err, ErrNotLeader) || leader.leading {
 		t.Fatalf("answered %v with %v, leading %v", answered, err, leader.leading)
 	}
 }
 
-func TestLeaderWhoseDiskStandsStillGivesWay(t *testing.T) {
-	c, leader := newLed(t, options{seed: 10, voters: 3})
-	leader.stalled = c.simulation.Now().Add(time.Minute)
+func TestLeaderWithStalledDiskStepsDown(t *testing.T) {
+	c, leader := newClusterWithLeader(t, options{seed: 10, voters: 3})
+	leader.stalledUntil = c.simulation.Now().Add(time.Minute)
 	leader.step(Propose{Token: 1, Data: []byte("command")})
 	c.simulation.Run(3 * testElection)
 	if next := c.leader(t); next == leader {
-		t.Fatal("it still leads")
-	} else if err, _ := next.ask(testElection, propose); err != nil || next.applied < 3 {
-		t.Fatalf("the successor has applied %d: %v", next.applied, err)
+		t.Fatal("the leader with a stalled disk still leads")
+	} else if err, _ := next.request(testElection, propose); err != nil || next.applied < 3 {
+		t.Fatalf("the new leader has applied %d: %v", next.applied, err)
 	}
 }
--- a/replication/simulation_test.go
+++ b/replication/simulation_test.go
@@ -13,8 +13,8 @@
 	"github.com/dykewing/dykewing/sim"
 )
 
-// seeds is how many mixed plans are run; more make a soak.
-var seeds = flag.Uint64("seeds", 40, "mixed plans of faults")
+// seeds is the number of mixed fault plans to run.
+var seeds = flag.Uint64("seeds", 40, "number of mixed fault plans")
 
 func TestMain(m *testing.M) {
 	flag.Parse()
@@ -26,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// fault is one disturbance; it ends by itself.
+// fault is a temporary disturbance of a cluster.
 type fault struct {
 	At     time.Duration
 	Kind   string
@@ -74,9 +74,9 @@
 			c.simulation.After(f.Length, r.restart)
 		}
 	case "stall_disk", "stall_leader":
-		target.stalled = c.simulation.Now().Add(f.Length)
+		target.stalledUntil = c.simulation.Now().Add(f.Length)
 	case "lose_disk":
-		c.mayLoseDisk(slot)
+		c.loseDiskIfSafe(slot)
 	case "transfer":
 		if target.leading && target.process.Up() && !target.process.Paused() {
 			c.serial++
@@ -85,35 +85,35 @@
 	}
 }
 
-// mayLoseDisk loses a disk only if the group is whole, as it withstands a
-// minority of losses at a time.
-func (c *cluster) mayLoseDisk(slot int) {
-	if c.reuseIdentity || len(c.replicas) >= 3 && c.whole() {
+// loseDiskIfSafe loses a disk only if earlier lost replicas have been replaced, since
+// the group tolerates the loss of a minority at a time.
+func (c *cluster) loseDiskIfSafe(slot int) {
+	if c.reuseIdentity || len(c.replicas) >= 3 && c.membershipRestored() {
 		c.loseDisk(slot)
 	}
 }
 
-// run lets a group live through the faults and gives what was violated.
-func run(o options, faults []fault) *cluster {
+// runFaults runs a cluster under the faults, heals it and checks liveness.
+func runFaults(o options, faults []fault) *cluster {
 	c := newCluster(o)
-	c.clients(15 * time.Millisecond)
-	c.operator(100 * time.Millisecond)
+	c.startClients(15 * time.Millisecond)
+	c.startOperator(100 * time.Millisecond)
 	end := time.Second
 	for _, f := range faults {
 		c.simulation.After(f.At, func() { c.inject(f) })
 		end = max(end, f.At+f.Length)
 	}
 	c.simulation.Run(end)
-	if len(c.broken) == 0 {
+	if len(c.violations) == 0 {
 		c.heal()
-		c.checkLive()
+		c.checkLiveness()
 	}
 	return c
 }
 
-// plan draws faults from a seed, up to two of them at a time.
-func plan(seed uint64, kinds []string, count int) []fault {
-	random := randomOf(seed)
+// randomFaults draws a plan of overlapping faults from a seed.
+func randomFaults(seed uint64, kinds []string, count int) []fault {
+	random := newRandom(seed)
 	var faults []fault
 	at := 600 * time.Millisecond
 	for range count {
@@ -126,33 +126,33 @@
 	return faults
 }
 
-func TestSafetyAndLivenessUnderEachFaultAlone(t *testing.T) {
+func TestSafetyAndLivenessUnderSingleFaultKind(t *testing.T) {
 	for _, kind := range faultKinds {
 		for _, voters := range []int{3, 5} {
 			t.Run(fmt.Sprintf("%s/%d", kind, voters), func(t *testing.T) {
 				acked, confirmed := 0, 0
 				for seed := range uint64(5) {
-					c := run(options{seed: seed, voters: voters}, plan(seed, []string{kind}, 6))
-					if len(c.broken) > 0 {
-						t.Fatalf("seed %d: %v", seed, c.broken)
+					c := runFaults(options{seed: seed, voters: voters}, randomFaults(seed, []string{kind}, 6))
+					if len(c.violations) > 0 {
+						t.Fatalf("seed %d: %v", seed, c.violations)
 					}
 					acked, confirmed = acked+c.acked, confirmed+c.confirmed
 				}
 				if acked < 100 || confirmed < 100 {
-					t.Fatalf("only %d acknowledged and %d confirmed: the run shows too little", acked, confirmed)
+					t.Fatalf("only %d acknowledged and %d confirmed: too few to be meaningful", acked, confirmed)
 				}
 			})
 		}
 	}
 }
 
-// TestSafetyAndLivenessUnderTwoFaultsAtATime lets each kind meet each other kind,
-// the second while the first still lasts.
-func TestSafetyAndLivenessUnderTwoFaultsAtATime(t *testing.T) {
+// Each kind of fault is combined with each other kind, which starts before the first
+// ends.
+func TestSafetyAndLivenessUnderOverlappingFaults(t *testing.T) {
 	for i, first := range faultKinds {
 		for j, second := range faultKinds[i:] {
 			seed := uint64(100*i + j)
-			random := randomOf(seed)
+			random := newRandom(seed)
 			var faults []fault
 			for round := range 3 {
 				at := time.Duration(round+1) * 900 * time.Millisecond
@@ -162,8 +162,8 @@
 					fault{At: at, Kind: first, Slot: random.IntN(5), Other: random.IntN(5), Length: length},
 					fault{At: at + overlap, Kind: second, Slot: random.IntN(5), Other: random.IntN(5), Length: length})
 			}
-			if c := run(options{seed: seed, voters: 3 + 2*(j%2)}, faults); len(c.broken) > 0 {
-				t.Fatalf("%s with %s: %v", first, second, c.broken)
+			if c := runFaults(options{seed: seed, voters: 3 + 2*(j%2)}, faults); len(c.violations) > 0 {
+				t.Fatalf("%s with %s: %v", first, second, c.violations)
 			}
 		}
 	}
@@ -171,15 +171,14 @@
 
 func TestSafetyAndLivenessUnderMixedFaults(t *testing.T) {
 	for seed := range *seeds {
-		c := run(options{seed: seed, voters: 3 + 2*int(seed%2)}, plan(seed, faultKinds, 14))
-		if len(c.broken) > 0 {
-			t.Fatalf("seed %d: %v", seed, c.broken)
+		c := runFaults(options{seed: seed, voters: 3 + 2*int(seed%2)}, randomFaults(seed, faultKinds, 14))
+		if len(c.violations) > 0 {
+			t.Fatalf("seed %d: %v", seed, c.violations)
 		}
 	}
 }
 
-// TestRapidFaults searches for the smallest plan that breaks an invariant.
-func TestRapidFaults(t *testing.T) {
+func TestRandomFaultPlans(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		faults := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) fault {
 			return fault{
@@ -191,26 +190,26 @@
 			}
 		}), 0, 12).Draw(t, "faults")
 		voters := rapid.SampledFrom([]int{1, 2, 3, 5}).Draw(t, "voters")
-		c := run(options{seed: rapid.Uint64().Draw(t, "seed"), voters: voters}, faults)
-		if len(c.broken) > 0 {
-			t.Fatal(c.broken)
+		c := runFaults(options{seed: rapid.Uint64().Draw(t, "seed"), voters: voters}, faults)
+		if len(c.violations) > 0 {
+			t.Fatal(c.violations)
 		}
 	})
 }
 
 func TestSameSeedGivesSameTrace(t *testing.T) {
 	for seed := range uint64(5) {
-		first := run(options{seed: seed, voters: 3}, plan(seed, faultKinds, 10)).simulation.Fingerprint()
-		second := run(options{seed: seed, voters: 3}, plan(seed, faultKinds, 10)).simulation.Fingerprint()
+		first := runFaults(options{seed: seed, voters: 3}, randomFaults(seed, faultKinds, 10)).simulation.Fingerprint()
+		second := runFaults(options{seed: seed, voters: 3}, randomFaults(seed, faultKinds, 10)).simulation.Fingerprint()
 		if first != second {
 			t.Fatalf("seed %d: traces %s and %s differ", seed, first, second)
 		}
 	}
 }
 
-// TestPlantedFaultsAreCaught shows that each invariant can fail, each fault by an
-// invariant that it is to break while no other is checked.
-func TestPlantedFaultsAreCaught(t *testing.T) {
+// Each injected bug must be detected by the invariant that it breaks, while only that
+// invariant is checked.
+func TestInjectedBugsAreDetected(t *testing.T) {
 	cases := []struct {
 		name    string
 		by      invariant
@@ -218,18 +217,18 @@
 		kinds   []string // empty: all
 	}{
 		{"skip-sync", leaderCompleteness, options{skipSync: true}, nil},
-		{"skip-sync", nothingLost, options{skipSync: true}, nil},
-		{"ack-before-quorum unsynced", leaderCompleteness, options{planted: plantedFaults{countUnsyncedSelf: true}}, []string{"stall_disk", "crash_all"}},
-		{"ack-before-quorum unsynced", nothingLost, options{planted: plantedFaults{countUnsyncedSelf: true}}, []string{"stall_disk", "crash_all"}},
-		{"ack-before-quorum alone", leaderCompleteness, options{planted: plantedFaults{commitAlone: true}}, nil},
-		{"ack-before-quorum alone", stateMachineSafety, options{planted: plantedFaults{commitAlone: true}}, nil},
-		{"vote-twice", electionSafety, options{planted: plantedFaults{voteTwice: true}}, []string{"crash_leader", "very_late"}},
+		{"skip-sync", acknowledgedDurability, options{skipSync: true}, nil},
+		{"ack-before-quorum unsynced", leaderCompleteness, options{bugs: injectedBugs{countUnsynced: true}}, []string{"stall_disk", "crash_all"}},
+		{"ack-before-quorum unsynced", acknowledgedDurability, options{bugs: injectedBugs{countUnsynced: true}}, []string{"stall_disk", "crash_all"}},
+		{"ack-before-quorum alone", leaderCompleteness, options{bugs: injectedBugs{commitWithoutQuorum: true}}, nil},
+		{"ack-before-quorum alone", stateMachineSafety, options{bugs: injectedBugs{commitWithoutQuorum: true}}, nil},
+		{"vote-twice", electionSafety, options{bugs: injectedBugs{voteTwice: true}}, []string{"crash_leader", "very_late"}},
 		{"reuse-identity", leaderCompleteness, options{reuseIdentity: true}, nil},
-		{"reuse-identity", nothingLost, options{reuseIdentity: true}, nil},
-		{"entries taken without a match", logMatching, options{planted: plantedFaults{skipMatch: true}}, nil},
-		{"uncommitted entries applied", stateMachineSafety, options{planted: plantedFaults{applyUncommitted: true}}, nil},
-		{"read without a round", linearisableRead, options{planted: plantedFaults{skipConfirmRound: true}}, nil},
-		{"one election only", liveness, options{planted: plantedFaults{electOnce: true}}, nil},
+		{"reuse-identity", acknowledgedDurability, options{reuseIdentity: true}, nil},
+		{"entries taken without a match", logMatching, options{bugs: injectedBugs{skipLogMatch: true}}, nil},
+		{"uncommitted entries applied", stateMachineSafety, options{bugs: injectedBugs{applyUncommitted: true}}, nil},
+		{"read without a round", linearizableRead, options{bugs: injectedBugs{skipConfirmRound: true}}, nil},
+		{"one election only", liveness, options{bugs: injectedBugs{electOnce: true}}, nil},
 	}
 	for _, test := range cases {
 		t.Run(fmt.Sprintf("%s by %s", test.name, test.by), func(t *testing.T) {
@@ -240,12 +239,12 @@
 			for seed := range uint64(1000) {
 				o := test.options
 				o.seed, o.voters, o.only = seed, 3, test.by
-				if c := run(o, plan(seed, kinds, 14)); len(c.broken) > 0 {
-					t.Logf("seed %d: %v", seed, c.broken[0])
+				if c := runFaults(o, randomFaults(seed, kinds, 14)); len(c.violations) > 0 {
+					t.Logf("seed %d: %v", seed, c.violations[0])
 					return
 				}
 			}
-			t.Fatal("not caught")
+			t.Fatal("the injected bug was not detected")
 		})
 	}
 }
--- a/replication/snapshot.go
+++ b/replication/snapshot.go
@@ -1,12 +1,12 @@
 package replication
 
-// fetch is a snapshot that the shell is fetching.
-type fetch struct {
+// pendingFetch is a snapshot that the shell is fetching.
+type pendingFetch struct {
 	snapshot Snapshot
 	from     ReplicaID
 }
 
-// compact drops the log that a snapshot replaces, but for some trailing entries.
+// compact drops the log that a snapshot replaces, except for TrailingEntries.
 func (m *Machine) compact(snapshot Snapshot) {
 	if snapshot.Index <= m.snapshot.Index || snapshot.Index > m.applied {
 		return
@@ -14,35 +14,34 @@
 	snapshot.Term, _ = m.log.term(snapshot.Index)
 	snapshot.Members = m.members.at(snapshot.Index)
 	m.snapshot = snapshot
-	m.emit(Persist{Sequence: m.disk.next(), Snapshot: &snapshot})
-	m.trim(snapshot.Index - min(snapshot.Index, uint64(m.settings.TrailingEntries)))
+	m.emit(Persist{Sequence: m.persists.nextSequence(), Snapshot: &snapshot})
+	m.compactLog(snapshot.Index - min(snapshot.Index, uint64(m.settings.TrailingEntries)))
 }
 
-func (m *Machine) trim(index uint64) {
+func (m *Machine) compactLog(index uint64) {
 	if index > m.log.offset {
 		m.members.compact(index)
 		m.log.compact(index)
 	}
 }
 
-// sendSnapshot sends the newest snapshot to a replica that needs entries which
-// are gone, once it is heard.
+// sendSnapshot sends the newest snapshot to a replica that needs compacted entries.
 func (m *Machine) sendSnapshot(id ReplicaID, peer *progress) {
 	snapshot := m.snapshot
-	peer.state, peer.snapshot, peer.inflight = ProgressSnapshot, snapshot.Index, nil
-	peer.resendDue = m.now.Add(m.settings.ElectionTimeout)
+	peer.state, peer.snapshotIndex, peer.inflight = ProgressSnapshot, snapshot.Index, nil
+	peer.snapshotRetryAt = m.now.Add(m.settings.ElectionTimeout)
 	m.send(WireMessage{Type: MessageSnapshot, To: id, Snapshot: &snapshot, Round: m.confirmRound})
 }
 
-// retrySnapshot sends again to a replica that is alive and has not answered.
+// retrySnapshot resends the snapshot to a replica that is alive but has not installed it
+// in time.
 func (m *Machine) retrySnapshot(id ReplicaID, peer *progress) {
-	if peer.active && !m.now.Before(peer.resendDue) {
+	if peer.active && !m.now.Before(peer.snapshotRetryAt) {
 		m.sendSnapshot(id, peer)
 	}
 }
 
-// receiveSnapshot asks the shell to fetch the state, unless the log already has
-// all of it.
+// receiveSnapshot asks the shell to fetch the state, unless the log already covers it.
 func (m *Machine) receiveSnapshot(w WireMessage) {
 	if w.Snapshot == nil || m.role == RoleLeader {
 		return
@@ -50,20 +49,21 @@
 	m.follow(w.From)
 	m.round = max(m.round, w.Round)
 	snapshot := *w.Snapshot
-	if m.hasSnapshot(snapshot) {
-		m.answerAppend()
+	if m.coversSnapshot(snapshot) {
+		m.sendAppendResponse()
 		return
 	}
 	if m.fetching != nil && m.fetching.from == w.From {
-		return // a newer one must not break off a long fetch again and again
+		return // newer snapshots must not keep restarting a long fetch
 	}
-	m.fetching = &fetch{snapshot: snapshot, from: w.From}
+	m.fetching = &pendingFetch{snapshot: snapshot, from: w.From}
 	m.emit(FetchSnapshot{From: w.From, Snapshot: snapshot})
 }
 
-// hasSnapshot takes a snapshot that the log already covers. Whatever a snapshot
-// covers is committed, and so equal in the log of every later leader.
-func (m *Machine) hasSnapshot(snapshot Snapshot) bool {
+// coversSnapshot reports whether the log already covers the snapshot, and commits up to
+// it if so. Everything in a snapshot is committed, and so identical in the log of every
+// later leader.
+func (m *Machine) coversSnapshot(snapshot Snapshot) bool {
 	covered := snapshot.Index <= m.committed
 	if !covered && !m.log.matches(snapshot.Index, snapshot.Term) {
 		return false
@@ -73,7 +73,7 @@
 	return true
 }
 
-// snapshotFetched puts a staged snapshot in force.
+// snapshotFetched installs the staged snapshot.
 func (m *Machine) snapshotFetched(done SnapshotFetched) {
 	fetching := m.fetching
 	if fetching == nil || fetching.snapshot.Index != done.Index || fetching.snapshot.Term != done.Term {
@@ -85,29 +85,29 @@
 		return
 	}
 	if m.role != RoleFollower {
-		m.becomeFollower(m.state.Term, "") // what it asked votes for is replaced
+		m.becomeFollower(m.state.Term, "") // the log it campaigned with is replaced
 	}
-	if !m.hasSnapshot(fetching.snapshot) {
-		m.install(fetching.snapshot)
+	if !m.coversSnapshot(fetching.snapshot) {
+		m.installSnapshot(fetching.snapshot)
 	}
 }
 
-func (m *Machine) install(snapshot Snapshot) {
+func (m *Machine) installSnapshot(snapshot Snapshot) {
 	m.snapshot = snapshot
 	m.log.reset(snapshot.Index, snapshot.Term)
-	m.members = membership{base: snapshot.Members}
+	m.members = membersHistory{base: snapshot.Members}
 	m.committed, m.applied = snapshot.Index, snapshot.Index
 	m.verified = max(m.verified, snapshot.Index)
-	m.emit(Persist{Sequence: m.disk.reset(snapshot.Index), Snapshot: &snapshot, Reset: true})
+	m.emit(Persist{Sequence: m.persists.recordReset(snapshot.Index), Snapshot: &snapshot, Reset: true})
 }
 
-// receiveSnapshotAnswer hears that fetching failed and sends again with the next
+// receiveSnapshotResponse handles a failed fetch: the snapshot is resent with the next
 // heartbeat.
-func (m *Machine) receiveSnapshotAnswer(w WireMessage) {
+func (m *Machine) receiveSnapshotResponse(w WireMessage) {
 	peer := m.peers[w.From]
-	if m.role != RoleLeader || peer == nil || peer.state != ProgressSnapshot || peer.snapshot != w.Index {
+	if m.role != RoleLeader || peer == nil || peer.state != ProgressSnapshot || peer.snapshotIndex != w.Index {
 		return
 	}
-	peer.active, peer.silent = true, false
-	peer.resendDue = m.now
+	peer.active, peer.wasInactive = true, false
+	peer.snapshotRetryAt = m.now
 }
