--- a/replication/actions.go
+++ b/replication/actions.go
@@ -50,8 +50,9 @@
 	Leader  ReplicaID // empty when not known
 }
 
-// Confirmed answers Confirm. If Err is nil, this replica was leader in Term at some time
-// after the Confirm; a read is linearizable once Index has been applied.
+// Confirmed answers a request to confirm leadership. If Err is nil, this replica was
+// leader in Term at some time after the request; a read is linearizable once Index has
+// been applied.
 type Confirmed struct {
 	Token  uint64
 	Index  uint64
--- a/replication/confirm.go
+++ b/replication/confirm.go
@@ -1,6 +1,6 @@
 package replication
 
-// pendingConfirm is a Confirm that waits for a round to complete.
+// pendingConfirm is a request to confirm leadership that waits for a round to complete.
 type pendingConfirm struct {
 	token uint64
 	round uint64
@@ -22,7 +22,7 @@
 	m.resolveConfirms()
 }
 
-// beginRound starts a round if any Confirm is pending. All later messages carry its
+// beginRound starts a round if any request is pending. All later messages carry its
 // number.
 func (m *Machine) beginRound() {
 	if len(m.pendingConfirms) > 0 {
@@ -39,7 +39,7 @@
 	}
 }
 
-// resolveConfirms answers the pending Confirms whose round a majority has acknowledged.
+// resolveConfirms answers the pending requests whose round a majority has acknowledged.
 // A new leader first has to commit an entry of its own term: until then it does not know
 // the commit index.
 func (m *Machine) resolveConfirms() {
--- a/replication/election.go
+++ b/replication/election.go
@@ -181,7 +181,8 @@
 	}
 }
 
-// clearLeadership fails the pending Confirms and completes the pending transfer.
+// clearLeadership fails the pending requests to confirm leadership and completes the
+// pending transfer.
 func (m *Machine) clearLeadership() {
 	for _, confirm := range m.pendingConfirms {
 		m.emit(Confirmed{Token: confirm.token, Leader: m.leader, Err: ErrNotLeader})
--- a/replication/machine.go
+++ b/replication/machine.go
@@ -44,7 +44,7 @@
 	// Follower state, within the current term.
 	verified     uint64 // last entry known to match the leader's log
 	acknowledged uint64 // match index of the last response
-	round        uint64 // newest Confirm round seen
+	round        uint64 // newest confirmation round seen
 	fetching     *pendingFetch
 
 	leadership
@@ -72,7 +72,7 @@
 	acceptStaleTerm     bool // accept messages of older terms
 	voteTwice           bool // vote for several candidates in a term
 	commitPriorTerm     bool // commit entries of earlier terms by counting replicas
-	skipConfirmRound    bool // answer Confirm without a round
+	skipConfirmRound    bool // confirm leadership without a round
 	skipLogMatch        bool // accept entries without checking the previous entry
 	applyUncommitted    bool // apply entries once they are on this disk
 	electOnce           bool // start no election after the first
--- a/replication/messages.go
+++ b/replication/messages.go
@@ -42,12 +42,11 @@
 
 // Confirm asks the leader to verify that it still leads, by a round of messages to a
 // quorum that starts after this request. Linearizable reads and quota grants rely on it;
-// no clock or lease is involved. It is answered by Confirmed.
+// no clock or lease is involved. The action that answers it carries the same Token.
 type Confirm struct{ Token uint64 }
 
 // TransferLeadership asks the leader to transfer leadership, as before a planned
-// shutdown. Until it completes, proposals are rejected with ErrTransferring. It is
-// answered by Transferred.
+// shutdown. Until it completes, proposals are rejected. It is answered by Transferred.
 type TransferLeadership struct {
 	Token uint64
 	To    ReplicaID // empty: the most up-to-date voter
--- a/replication/replication.go
+++ b/replication/replication.go
@@ -87,7 +87,7 @@
 	Entries  []Entry     `json:"entries,omitempty"`
 	Granted  bool        `json:"granted,omitempty"`
 	Match    uint64      `json:"match,omitempty"`    // append response: last index that matches and is on disk; rejection: index at which to retry
-	Round    uint64      `json:"round,omitempty"`    // of Confirm, within Term; echoed in the response
+	Round    uint64      `json:"round,omitempty"`    // confirmation round within Term; echoed in the response
 	Transfer bool        `json:"transfer,omitempty"` // vote request of a leadership transfer
 	Snapshot *Snapshot   `json:"snapshot,omitempty"`
 }
