--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,7 +1,7 @@
-// Package clock tells a time whose differences count the time for which the machine was
-// suspended. Go's own steady clock, and with it time.Since and timers, stands still
-// meanwhile: what a process knew before would seem as young as when the machine stopped.
-// The time of day counts it, but may be stepped.
+// Package clock provides a monotonic clock that includes the time for which the machine
+// was suspended. Go's monotonic clock, and with it time.Since and timers, stops during a
+// suspension on Linux, so data from before it would look as fresh as when the machine
+// stopped. The wall clock includes suspensions, but may be stepped.
 package clock
 
 import (
@@ -11,80 +11,85 @@
 	"golang.org/x/sys/unix"
 )
 
-// refreshInterval is the steady time after which the suspended time is read again: two
-// system calls, which are too dear for each request.
+// refreshInterval is the time for which a reading of the suspended time is reused. A reading
+// takes two system calls, too expensive for every request.
 const refreshInterval = 20 * time.Millisecond
 
-// Clock is a steady clock that counts suspensions.
+// Clock is a monotonic clock that includes the time for which the machine was suspended.
+// It is safe for concurrent use.
 type Clock struct {
-	// Suspended reads for how long the machine has been suspended since its start.
+	// Suspended returns for how long the machine has been suspended since boot.
 	Suspended func() time.Duration
 
-	mutex  sync.Mutex // guards all below
-	readAt time.Time
-	offset time.Duration
+	mutex       sync.Mutex // guards the fields below
+	refreshedAt time.Time
+	offset      time.Duration
 }
 
-// machine is the machine's own clock.
-var machine = &Clock{Suspended: suspended}
+// system is the clock of this machine.
+var system = &Clock{Suspended: readSuspended}
 
-// Now is the machine's time. It may be compared only with other times of this package.
-func Now() time.Time { return machine.Now() }
+// Now returns the time of the machine's clock. It may be compared only with other times
+// of this package.
+func Now() time.Time { return system.Now() }
 
-// Since is the time that has passed since one that Now gave.
+// Since returns the time elapsed since t, which must come from Now.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until is the time that is left until one that is to be compared with Now.
+// Until returns the time until t, which must be derived from Now.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Now is the clock's time. Invariant: it never goes back, whatever the time of day does.
+// Now returns the time of the clock. It never goes backwards, even if the wall clock is
+// stepped.
 func (c *Clock) Now() time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := time.Now()
-	if c.readAt.IsZero() || now.Sub(c.readAt) >= refreshInterval || now.Before(c.readAt) {
-		c.read(now)
+	if c.refreshedAt.IsZero() || now.Sub(c.refreshedAt) >= refreshInterval || now.Before(c.refreshedAt) {
+		c.refresh(now)
 	}
 	return now.Add(c.offset)
 }
 
-// read reads the suspended time; the mutex is held.
-func (c *Clock) read(now time.Time) {
-	c.readAt, c.offset = now, max(c.Suspended(), c.offset)
+// refresh updates the suspended time. The mutex must be held.
+func (c *Clock) refresh(now time.Time) {
+	c.refreshedAt, c.offset = now, max(c.Suspended(), c.offset)
 }
 
-// total is for how long the machine has been suspended by now.
-func (c *Clock) total() time.Duration {
+// totalSuspended returns for how long the machine has been suspended since boot.
+func (c *Clock) totalSuspended() time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.read(time.Now())
+	c.refresh(time.Now())
 	return c.offset
 }
 
-// suspended is by how much the clock that counts suspensions is ahead of the steady one;
-// 0 where the system has no such clock. The steady one is read last: a process that is held
-// up between the two readings sees less than there was, and more at the next one.
-func suspended() time.Duration {
-	var steady, boot unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil {
+// readSuspended returns the difference between CLOCK_BOOTTIME, which includes
+// suspensions, and CLOCK_MONOTONIC; 0 where the system lacks these clocks.
+// CLOCK_MONOTONIC is read last, so that a delay between the two readings makes the
+// result too small, never too large, and the next reading makes up for it.
+func readSuspended() time.Duration {
+	var monotonic, boot unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil {
 		return 0
 	}
-	return max(time.Duration(boot.Nano()-steady.Nano()), 0).Truncate(time.Millisecond)
+	return max(time.Duration(boot.Nano()-monotonic.Nano()), 0).Truncate(time.Millisecond)
 }
 
-// Gap notices that the machine was suspended.
+// Gap detects suspensions of the machine. It is not safe for concurrent use.
 type Gap struct {
-	clock *Clock
-	seen  time.Duration
+	clock     *Clock
+	lastTotal time.Duration
 }
 
-// NewGap gives one for the machine's clock.
-func NewGap() *Gap { return &Gap{clock: machine, seen: machine.total()} }
+// NewGap returns a detector for the machine's clock.
+func NewGap() *Gap { return &Gap{clock: system, lastTotal: system.totalSuspended()} }
 
-// Missed is for how long the machine was suspended since the last call.
+// Missed returns for how long the machine was suspended since the last call, or since
+// the detector was created.
 func (g *Gap) Missed() time.Duration {
-	seen := g.clock.total()
-	missed := seen - g.seen
-	g.seen = seen
+	total := g.clock.totalSuspended()
+	missed := total - g.lastTotal
+	g.lastTotal = total
 	return missed
 }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Go's steady clock stands still while a machine is suspended: with it, what was learned
-// before a suspension of five seconds seemed ten milliseconds old after it.
-func TestASuspensionIsCounted(t *testing.T) {
+// Go's monotonic clock stops during a suspension, so data from before it would look
+// fresh afterwards.
+func TestSuspensionIsCounted(t *testing.T) {
 	tests := []struct {
 		name      string
 		suspended time.Duration
@@ -24,41 +24,42 @@
 			synctest.Test(t, func(t *testing.T) {
 				total := 3 * time.Hour // before the process started
 				c := &Clock{Suspended: func() time.Duration { return total }}
-				gap := &Gap{clock: c, seen: total}
+				detector := &Gap{clock: c, lastTotal: total}
 				before := c.Now()
 				total += test.suspended
 				time.Sleep(test.runs)
 				if passed := c.Now().Sub(before); passed != test.suspended+test.runs {
 					t.Errorf("%v passed, want %v", passed, test.suspended+test.runs)
 				}
-				if missed := gap.Missed(); missed != test.suspended {
-					t.Errorf("missed %v", missed)
+				if suspended := detector.Missed(); suspended != test.suspended {
+					t.Errorf("suspended %v", suspended)
 				}
-				if missed := gap.Missed(); missed != 0 {
-					t.Errorf("missed %v once more", missed)
+				if suspended := detector.Missed(); suspended != 0 {
+					t.Errorf("second call: suspended %v, want 0", suspended)
 				}
 			})
 		})
 	}
 }
 
-// A reading that comes out short, as of a process that is held up in it, is no suspension.
-func TestAShortReadingIsNoSuspension(t *testing.T) {
+// A reading that is too short, because the process was delayed between reading the two
+// clocks, must not make the next one look like a suspension.
+func TestShortReadingIsNotASuspension(t *testing.T) {
 	readings := []time.Duration{time.Minute, 58 * time.Second, time.Minute}
 	c := &Clock{Suspended: func() time.Duration {
 		next := readings[0]
 		readings = readings[1:]
 		return next
 	}}
-	gap := &Gap{clock: c, seen: c.total()}
+	detector := &Gap{clock: c, lastTotal: c.totalSuspended()}
 	for range 2 {
-		if missed := gap.Missed(); missed != 0 {
-			t.Errorf("missed %v", missed)
+		if suspended := detector.Missed(); suspended != 0 {
+			t.Errorf("suspended %v", suspended)
 		}
 	}
 }
 
-// What the clocks tell may differ by what lies between two readings; time never goes back.
+// Readings of the suspended time may decrease; Now must not.
 func TestTimeNeverGoesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		offsets := []time.Duration{time.Second, 0, 2 * time.Second, time.Second}
@@ -81,13 +82,13 @@
 	})
 }
 
-func TestTheMachinesClockGoesOn(t *testing.T) {
+func TestSystemClockAdvances(t *testing.T) {
 	first := Now()
 	time.Sleep(time.Millisecond)
 	if passed := Since(first); passed < time.Millisecond || Until(first) > -time.Millisecond {
 		t.Errorf("%v passed", passed)
 	}
-	if missed := NewGap().Missed(); missed < 0 || missed > time.Minute {
-		t.Errorf("missed %v", missed)
+	if suspended := NewGap().Missed(); suspended < 0 || suspended > time.Minute {
+		t.Errorf("suspended %v", suspended)
 	}
 }
