--- a/sim/disk.go
+++ b/sim/disk.go
@@ -1,17 +1,16 @@
 package sim
 
-// Disk is a process's disk: what was written but not synced is lost in a crash.
-// T is copied by the owner's clone function, so that disk and memory share
-// nothing.
+// Disk simulates a disk: a crash loses the writes that are not synced. Values are copied
+// with the owner's clone function, so that disk and memory share no state.
 type Disk[T any] struct {
-	clone  func(T) T
-	synced T
-	latest T
-	dirty  bool
-	lost   bool
+	clone    func(T) T
+	synced   T
+	latest   T
+	dirty    bool
+	replaced bool
 }
 
-// NewDisk holds the initial value as synced.
+// NewDisk returns a disk that holds the initial value as synced.
 func NewDisk[T any](initial T, clone func(T) T) *Disk[T] {
 	return &Disk[T]{clone: clone, synced: clone(initial), latest: clone(initial)}
 }
@@ -22,7 +21,7 @@
 	d.dirty = true
 }
 
-// Sync makes what was written last through a crash.
+// Sync makes all previous writes durable.
 func (d *Disk[T]) Sync() {
 	if d.dirty {
 		d.synced = d.clone(d.latest)
@@ -30,7 +29,7 @@
 	}
 }
 
-// Crash loses what was not synced.
+// Crash discards the writes that are not synced.
 func (d *Disk[T]) Crash() {
 	d.latest = d.clone(d.synced)
 	d.dirty = false
@@ -39,11 +38,11 @@
 // Lose replaces the disk by a new one with the initial value.
 func (d *Disk[T]) Lose(initial T) {
 	d.synced, d.latest = d.clone(initial), d.clone(initial)
-	d.dirty, d.lost = false, true
+	d.dirty, d.replaced = false, true
 }
 
-// Read gives a copy of the value, for a restart.
+// Read returns a copy of the latest value.
 func (d *Disk[T]) Read() T { return d.clone(d.latest) }
 
-// Lost tells whether the disk was ever replaced.
-func (d *Disk[T]) Lost() bool { return d.lost }
+// Lost reports whether the disk was ever replaced.
+func (d *Disk[T]) Lost() bool { return d.replaced }
--- a/sim/network.go
+++ b/sim/network.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// Faults are chances (0 to 1) that each message meets.
+// Faults are the probabilities, from 0 to 1, of the faults that each message is subject
+// to.
 type Faults struct {
 	Loss      float64
 	Duplicate float64
-	Late      float64       // chance of an extra delay
-	LateBy    time.Duration // longest extra delay
+	Late      float64       // probability of an extra delay
+	LateBy    time.Duration // maximum extra delay
 }
 
-// Network carries messages between processes with delay and faults; messages
-// overtake one another.
+// Network delivers messages between processes with delays and faults. Messages may be
+// reordered.
 type Network struct {
 	simulation *Simulation
 	latency    func(from, to string) time.Duration
 	endpoints  map[string]endpoint
-	cut        map[[2]string]bool
+	cutLinks   map[[2]string]bool
 	faults     Faults
 	sent       int
 }
@@ -26,24 +27,24 @@
 	receive func(from string, message any)
 }
 
-// NewNetwork carries with the given one-way latency, to which up to as much
-// again is added by chance.
+// NewNetwork returns a network with the given one-way latency, to which a random delay
+// of up to the same length is added.
 func (s *Simulation) NewNetwork(latency func(from, to string) time.Duration) *Network {
-	return &Network{simulation: s, latency: latency, endpoints: map[string]endpoint{}, cut: map[[2]string]bool{}}
+	return &Network{simulation: s, latency: latency, endpoints: map[string]endpoint{}, cutLinks: map[[2]string]bool{}}
 }
 
-// Attach lets the process receive at its name.
+// Attach registers a process and its receive function under the process's name.
 func (n *Network) Attach(process *Process, receive func(from string, message any)) {
 	n.endpoints[process.name] = endpoint{process: process, receive: receive}
 }
 
-// SetFaults sets the chances from now on.
+// SetFaults replaces the faults for messages sent from now on.
 func (n *Network) SetFaults(faults Faults) { n.faults = faults }
 
-// Cut breaks the way from one process to another, one way only.
-func (n *Network) Cut(from, to string) { n.cut[[2]string{from, to}] = true }
+// Cut drops messages from one process to another, in this direction only.
+func (n *Network) Cut(from, to string) { n.cutLinks[[2]string{from, to}] = true }
 
-// Isolate cuts a process from all others, both ways.
+// Isolate cuts a process off from all others, in both directions.
 func (n *Network) Isolate(name string) {
 	for other := range n.endpoints {
 		if other != name {
@@ -54,27 +55,28 @@
 	n.simulation.Tracef("isolate %s", name)
 }
 
-// Heal mends all cuts.
+// Heal removes all cuts.
 func (n *Network) Heal() {
-	n.cut = map[[2]string]bool{}
+	n.cutLinks = map[[2]string]bool{}
 	n.simulation.Tracef("heal network")
 }
 
-// Sent counts the messages that were sent.
+// Sent returns the number of messages sent, including those lost; duplicates are not
+// counted.
 func (n *Network) Sent() int { return n.sent }
 
-// Send carries the message, or loses it.
+// Send delivers the message to a process by name, subject to the faults.
 func (n *Network) Send(from, to string, message any) {
 	n.sent++
-	n.carry(from, to, message)
+	n.deliver(from, to, message)
 	if n.simulation.random.Float64() < n.faults.Duplicate {
-		n.carry(from, to, message)
+		n.deliver(from, to, message)
 	}
 }
 
-func (n *Network) carry(from, to string, message any) {
+func (n *Network) deliver(from, to string, message any) {
 	random := n.simulation.random
-	if n.cut[[2]string{from, to}] || random.Float64() < n.faults.Loss {
+	if n.cutLinks[[2]string{from, to}] || random.Float64() < n.faults.Loss {
 		return
 	}
 	target, ok := n.endpoints[to]
@@ -87,8 +89,8 @@
 		delay += time.Duration(random.Int64N(int64(n.faults.LateBy) + 1))
 	}
 	n.simulation.After(delay, func() {
-		target.process.run(target.process.life, func() {
-			if !n.cut[[2]string{from, to}] {
+		target.process.run(target.process.generation, func() {
+			if !n.cutLinks[[2]string{from, to}] {
 				target.receive(from, message)
 			}
 		})
--- a/sim/process.go
+++ b/sim/process.go
@@ -2,46 +2,46 @@
 
 import "time"
 
-// Process is a simulated process: its timers and messages stop when it crashes
-// and are held back while it is paused.
+// Process is a simulated process. A crash cancels its timers, and messages that arrive
+// before Restart are dropped. Timers and messages that are due during a pause are deferred.
 type Process struct {
 	simulation *Simulation
 	name       string
-	life       uint64 // grows with each crash, which voids older timers
-	down       bool
+	generation uint64 // incremented by each crash, which cancels older timers
+	crashed    bool
 	paused     bool
-	held       []func()
-	skew       time.Duration // added to the time that the process sees
+	deferred   []func()
+	skew       time.Duration // offset of the process's clock
 }
 
-// NewProcess adds a running process.
+// NewProcess returns a running process.
 func (s *Simulation) NewProcess(name string) *Process {
 	return &Process{simulation: s, name: name}
 }
 
-// Name is the process's name in traces.
+// Name returns the name of the process in the network and in traces.
 func (p *Process) Name() string { return p.name }
 
-// Now is the time that the process sees.
+// Now returns the time of the process's clock, including its skew.
 func (p *Process) Now() time.Time { return p.simulation.now.Add(p.skew) }
 
-// SetSkew puts the process's clock off by skew.
+// SetSkew sets the offset of the process's clock from the virtual time.
 func (p *Process) SetSkew(skew time.Duration) { p.skew = skew }
 
-// Up tells whether the process has not crashed.
-func (p *Process) Up() bool { return !p.down }
+// Up reports whether the process is running or paused, not crashed.
+func (p *Process) Up() bool { return !p.crashed }
 
-// Paused tells whether the process stands still.
+// Paused reports whether the process is paused.
 func (p *Process) Paused() bool { return p.paused }
 
-// After runs f in the process once the delay has passed, unless it crashes
-// first; while paused, f waits for the resumption.
+// After runs f in the process after the delay, unless the process crashes first. If the
+// process is paused then, f runs on Resume.
 func (p *Process) After(delay time.Duration, f func()) {
-	life := p.life
-	p.simulation.After(delay, func() { p.run(life, f) })
+	generation := p.generation
+	p.simulation.After(delay, func() { p.run(generation, f) })
 }
 
-// Every runs f each interval until the process crashes.
+// Every runs f at each interval until the process crashes.
 func (p *Process) Every(interval time.Duration, f func()) {
 	p.After(interval, func() {
 		f()
@@ -49,42 +49,43 @@
 	})
 }
 
-func (p *Process) run(life uint64, f func()) {
+func (p *Process) run(generation uint64, f func()) {
 	switch {
-	case p.down || life != p.life:
+	case p.crashed || generation != p.generation:
 	case p.paused:
-		p.held = append(p.held, func() { p.run(life, f) })
+		p.deferred = append(p.deferred, func() { p.run(generation, f) })
 	default:
 		f()
 	}
 }
 
-// Crash ends the process; memory is the owner's to forget.
+// Crash stops the process and cancels its timers. The caller must discard the process's
+// in-memory state.
 func (p *Process) Crash() {
 	p.simulation.Tracef("crash %s", p.name)
-	p.down, p.paused, p.held = true, false, nil
-	p.life++
+	p.crashed, p.paused, p.deferred = true, false, nil
+	p.generation++
 }
 
-// Restart lets the process run again.
+// Restart starts the process again after a crash.
 func (p *Process) Restart() {
 	p.simulation.Tracef("restart %s", p.name)
-	p.down = false
+	p.crashed = false
 }
 
-// Pause makes the process stand still without knowing.
+// Pause suspends the process, which is not notified of it.
 func (p *Process) Pause() {
 	p.simulation.Tracef("pause %s", p.name)
 	p.paused = true
 }
 
-// Resume goes on with all that was held back.
+// Resume continues the process and runs the deferred timers and messages.
 func (p *Process) Resume() {
 	p.simulation.Tracef("resume %s", p.name)
 	p.paused = false
-	held := p.held
-	p.held = nil
-	for _, f := range held {
+	deferred := p.deferred
+	p.deferred = nil
+	for _, f := range deferred {
 		p.simulation.After(0, f)
 	}
 }
--- a/sim/simulation.go
+++ b/sim/simulation.go
@@ -1,6 +1,6 @@
-// Package sim runs state machines on one seeded virtual clock with a network
-// and disks that fail as told. Everything happens in one goroutine; the same
-// seed gives the same trace, byte for byte.
+// Package sim runs state machines on a seeded virtual clock, with a network and disks
+// into which faults can be injected. A simulation runs in a single goroutine; the same
+// seed yields the same trace, byte for byte.
 package sim
 
 import (
@@ -13,28 +13,28 @@
 	"time"
 )
 
-// Epoch is the virtual time at which each simulation starts.
+// Epoch is the virtual time at which every simulation starts.
 var Epoch = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Simulation is a virtual clock with its queue of events.
+// Simulation is a virtual clock with an event queue.
 type Simulation struct {
-	now     time.Time
-	queue   eventQueue
-	serial  uint64
-	random  *rand.Rand
-	trace   hash.Hash64
-	writer  io.Writer // nil: only the hash is kept
-	events  int
-	stopped bool
+	now          time.Time
+	queue        eventQueue
+	lastSequence uint64
+	random       *rand.Rand
+	trace        hash.Hash64
+	writer       io.Writer // optional; see TraceTo
+	events       int
+	stopped      bool
 }
 
 type event struct {
-	at     time.Time
-	serial uint64 // orders events of the same time
-	run    func()
+	at       time.Time
+	sequence uint64 // breaks ties between events of the same time
+	run      func()
 }
 
-// New starts a simulation; all its chance comes from the seed.
+// New returns a simulation whose randomness is derived from the seed alone.
 func New(seed uint64) *Simulation {
 	return &Simulation{now: Epoch, random: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), trace: fnv.New64a()}
 }
@@ -42,24 +42,24 @@
 // TraceTo also writes each trace line to w.
 func (s *Simulation) TraceTo(w io.Writer) { s.writer = w }
 
-// Now is the virtual time.
+// Now returns the virtual time.
 func (s *Simulation) Now() time.Time { return s.now }
 
-// Elapsed is the virtual time since the start.
+// Elapsed returns the virtual time since Epoch.
 func (s *Simulation) Elapsed() time.Duration { return s.now.Sub(Epoch) }
 
-// Random is the simulation's one source of chance.
+// Random returns the simulation's random source.
 func (s *Simulation) Random() *rand.Rand { return s.random }
 
-// Fork gives a source of chance for one part, drawn from the simulation's.
+// Fork returns a new random source that is seeded from the simulation's.
 func (s *Simulation) Fork() *rand.Rand {
 	return rand.New(rand.NewPCG(s.random.Uint64(), s.random.Uint64()))
 }
 
-// After runs f once the delay has passed.
+// After schedules f to run after the delay.
 func (s *Simulation) After(delay time.Duration, f func()) {
-	s.serial++
-	heap.Push(&s.queue, &event{at: s.now.Add(max(delay, 0)), serial: s.serial, run: f})
+	s.lastSequence++
+	heap.Push(&s.queue, &event{at: s.now.Add(max(delay, 0)), sequence: s.lastSequence, run: f})
 }
 
 // Tracef adds a line to the trace.
@@ -71,17 +71,17 @@
 	}
 }
 
-// Fingerprint is a hash of the trace so far.
+// Fingerprint returns a hash of the trace so far.
 func (s *Simulation) Fingerprint() string { return fmt.Sprintf("%016x", s.trace.Sum64()) }
 
-// Events counts the events that ran.
+// Events returns the number of events that have run.
 func (s *Simulation) Events() int { return s.events }
 
-// Stop ends Run after the present event.
+// Stop makes Run return after the current event.
 func (s *Simulation) Stop() { s.stopped = true }
 
-// Run runs events until the virtual time has moved on by duration, none is
-// left, or Stop.
+// Run runs events until the virtual time has advanced by duration, the queue is empty or
+// Stop is called. Unless stopped, the virtual time then has advanced by duration.
 func (s *Simulation) Run(duration time.Duration) {
 	end := s.now.Add(duration)
 	s.stopped = false
@@ -101,16 +101,16 @@
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
 	if q[i].at.Equal(q[j].at) {
-		return q[i].serial < q[j].serial
+		return q[i].sequence < q[j].sequence
 	}
 	return q[i].at.Before(q[j].at)
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push adds an event; for package heap.
+// Push implements heap.Interface.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(*event)) }
 
-// Pop takes the last event; for package heap.
+// Pop implements heap.Interface.
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
--- a/sim/simulation_test.go
+++ b/sim/simulation_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// pingPong lets two processes exchange messages under faults and crashes.
+// pingPong runs two processes that exchange messages under faults, a pause and a crash,
+// and returns the fingerprint of the trace.
 func pingPong(seed uint64) string {
 	simulation := New(seed)
 	network := simulation.NewNetwork(func(_, _ string) time.Duration { return time.Millisecond })
@@ -35,31 +36,31 @@
 		}
 	}
 	if pingPong(1) == pingPong(2) {
-		t.Fatal("two seeds gave one trace: the fingerprint does not see the events")
+		t.Fatal("two seeds gave the same trace: the fingerprint does not cover the events")
 	}
 }
 
-func TestCrashVoidsTimersAndPauseHoldsThem(t *testing.T) {
+func TestCrashCancelsTimersAndPauseDefersThem(t *testing.T) {
 	simulation := New(1)
 	process := simulation.NewProcess("p")
 	var ran []string
-	process.After(time.Second, func() { ran = append(ran, "void") })
+	process.After(time.Second, func() { ran = append(ran, "canceled") })
 	process.Crash()
 	process.Restart()
 	process.Pause()
-	process.After(time.Second, func() { ran = append(ran, "held") })
+	process.After(time.Second, func() { ran = append(ran, "deferred") })
 	simulation.Run(2 * time.Second)
 	if len(ran) != 0 {
 		t.Fatalf("ran %v while crashed or paused", ran)
 	}
 	process.Resume()
 	simulation.Run(time.Second)
-	if len(ran) != 1 || ran[0] != "held" {
-		t.Fatalf("ran %v, want only the held timer", ran)
+	if len(ran) != 1 || ran[0] != "deferred" {
+		t.Fatalf("ran %v, want only the deferred timer", ran)
 	}
 }
 
-func TestDiskLosesWhatWasNotSynced(t *testing.T) {
+func TestDiskCrashLosesUnsyncedWrites(t *testing.T) {
 	disk := NewDisk(1, func(v int) int { return v })
 	disk.Write(func(v *int) { *v = 2 })
 	disk.Crash()
