--- a/machine/machine.go
+++ b/machine/machine.go
@@ -1,17 +1,16 @@
-// Package machine states the one shape that every coordination part of
-// dykewing has: a deterministic, single-threaded state machine.
+// Package machine defines the interface of the deterministic, single-threaded state
+// machines that implement dykewing's coordination.
 //
-// A machine reads no clock, starts no goroutine and does no input or output.
-// Randomness comes only from a source that its settings carry. The same
-// sequence of (now, message) pairs therefore always gives the same actions,
-// which is what the simulator and the embedding processes both rely on.
+// A machine reads no clock, starts no goroutine and performs no I/O. Its only source of
+// randomness is part of its settings. The same sequence of (now, message) pairs therefore
+// always yields the same actions, on which the simulator and the embedding processes rely.
 package machine
 
 import "time"
 
-// Machine is a state machine that takes messages of type M and asks for
-// actions of type A. Step must not be called concurrently. The returned
-// actions are to be carried out in order; the slice is owned by the caller.
+// Machine is a state machine that handles messages of type M and returns actions of
+// type A. Step must not be called concurrently. The caller owns the returned slice and
+// must carry out the actions in order.
 type Machine[M, A any] interface {
 	Step(now time.Time, message M) []A
 }
