--- a/feed/feed.go
+++ b/feed/feed.go
@@ -1,10 +1,10 @@
-// Package feed decides where a process learns the changes of a key-value service.
-// On a small fleet every process asks the service. Where that would cost more calls
-// a few watchers of each zone ask it, often, and the others of the zone ask these;
-// whoever finds that its watchers don't answer, or have no contact with the service,
-// asks another watcher and then the service.
+// Package feed selects the source from which a process reads the state and the changes
+// of a key-value service. In a small zone every process polls the service itself. In a
+// larger one a few watchers poll it with a short wait and the other members of the zone
+// poll the watchers. A process whose watcher does not answer, or has lost contact with the
+// service, tries another watcher, then a standby, and finally the service.
 //
-// A Chooser is a pure machine: it has no input or output and no clock.
+// A Chooser is a state machine without I/O or a clock: callers pass the current time.
 package feed
 
 import (
@@ -17,132 +17,132 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Member is a process of the own zone.
+// Member is a process of this zone.
 type Member struct {
 	ID      api.NodeID
 	Address string // of its internal protocol, host:port
-	// Strong: it has room to serve others; such members are watchers first.
+	// Strong members have spare capacity and become watchers first.
 	Strong bool
 }
 
-// Settings of a Chooser.
+// Settings configure a Chooser.
 type Settings struct {
 	Self     api.NodeID
-	Watchers int // of a zone
-	// Deputies are the members after the watchers that ask the service as soon as these
-	// have no contact, and that the others ask before it.
+	Watchers int // per zone
+	// Deputies is the number of standbys per zone: the members ranked after the watchers,
+	// which poll the service as soon as the watchers have lost contact with it. The
+	// remaining members poll them before they fall back to the service.
 	Deputies int
-	// LongWait is how long a question to the service waits for changes where the
-	// process asks for itself, ShortWait where it may ask for others.
+	// LongWait is the long-poll wait at the service of a process that polls it for itself
+	// only. ShortWait is the wait where watchers poll for the zone.
 	LongWait  time.Duration
 	ShortWait time.Duration
-	// Fresh is how long a watcher may be without an answer of the service before
-	// others stop to rely on it.
+	// Fresh is the maximum staleness: the time since a watcher's last answer from the
+	// service after which other members stop relying on it.
 	Fresh time.Duration
-	// Start is how long a process that has never known anything waits for watchers that
-	// know nothing yet.
+	// Start is how long a process that has no state yet waits for watchers that have none
+	// either.
 	Start time.Duration
-	// Alone is how long after its last word a process that is neither watcher nor deputy
-	// asks the service itself, where these answer that they have no contact.
+	// Alone is the time after its last answer at which a process that is neither a watcher
+	// nor a standby polls the service itself, while the watchers and standbys report that
+	// they have lost contact.
 	Alone time.Duration
 }
 
-// The parts of the time within which a change has to be known everywhere. A watcher
-// that is lost without a word is noticed within Fresh, and a second one and the
-// service are asked in what is left.
+// Fractions of the time within which a change must reach every process. The loss of a
+// watcher is detected within the maximum staleness; the rest is left for polling another
+// watcher and then the service.
 const (
-	shortWaitShare = 0.3
-	gatherShare    = 0.12
-	freshShare     = 0.5
-	// aloneShare leaves enough to read the whole state. Without it hundreds of processes
-	// asked a service that told its watchers nothing for seconds, and read all pages of the
-	// state when it had forgotten its history: tens of thousands of calls in its worst
-	// moment.
-	aloneShare = 0.6
-	// startShare is for how long a process that has never known anything leaves the
-	// service to watchers that answer and know nothing yet either: they have started
-	// with it, and ask at once. A fleet that starts costs the calls of its watchers.
-	startShare = 0.3
+	shortWaitShare    = 0.3
+	batchDelayShare   = 0.12
+	maxStalenessShare = 0.5
+	// fallbackShare leaves enough time to read the full state. It keeps followers off a
+	// service whose watches are silent for a few seconds.
+	fallbackShare = 0.6
+	// startupShare bounds the wait for watchers that started at the same time, so that a
+	// starting fleet costs the service only the calls of its watchers.
+	startupShare = 0.3
 )
 
-// watchersOfAZone is two: one that is lost leaves the other, which is in contact
-// already.
-const watchersOfAZone = 2
+// watchersPerZone provides one spare watcher that is already in contact with the service.
+const watchersPerZone = 2
 
-// deputiesOfAZone take the watchers' place where the service serves others and not them.
-const deputiesOfAZone = 2
+// standbysPerZone members replace watchers that the service rejects while it still serves
+// others.
+const standbysPerZone = 2
 
-// Within gives settings for a fleet where a change has to be known within a time.
-// longWait is how long a process that asks for itself may wait.
+// Within returns the settings for a fleet in which every process must learn of a change
+// within apply. longWait is the long-poll wait of a process that polls for itself only.
 func Within(self api.NodeID, apply, longWait time.Duration) Settings {
 	part := func(share float64) time.Duration { return time.Duration(share * float64(apply)) }
-	return Settings{Self: self, Watchers: watchersOfAZone, Deputies: deputiesOfAZone, LongWait: longWait, ShortWait: part(shortWaitShare), Fresh: part(freshShare), Start: part(startShare), Alone: part(aloneShare)}
+	return Settings{Self: self, Watchers: watchersPerZone, Deputies: standbysPerZone, LongWait: longWait, ShortWait: part(shortWaitShare), Fresh: part(maxStalenessShare), Start: part(startupShare), Alone: part(fallbackShare)}
 }
 
-// GatherPause is how long a watcher may let changes gather before it asks for more.
+// GatherPause is the delay between two polls of a watcher that has received changes, so
+// that further changes arrive in one batch.
 func (s Settings) GatherPause() time.Duration {
-	return time.Duration(gatherShare / shortWaitShare * float64(s.ShortWait))
+	return time.Duration(batchDelayShare / shortWaitShare * float64(s.ShortWait))
 }
 
-// Question is what is to be asked next.
+// Question is a query to a peer or to the service.
 type Question struct {
 	Peer Member // zero: the service itself
-	// Wait is how long the answer may take while there is no change; 0: it comes at
-	// once.
+	// Wait is the maximum time until the answer while there is no change; 0: answer
+	// immediately.
 	Wait time.Duration
-	// NotBefore is when to ask.
+	// NotBefore is the earliest time to send the query.
 	NotBefore time.Time
 }
 
-// OfService tells whether the service itself is to be asked.
+// OfService reports whether the query goes to the service itself.
 func (q Question) OfService() bool { return q.Peer.ID == "" }
 
-// Outcome is how a question ended.
+// Outcome is the result of a query.
 type Outcome int
 
-// The outcomes.
 const (
 	Answered    Outcome = iota
-	Behind              // the peer has no contact with the service
-	Unreachable         // no answer
+	Behind              // the peer has lost contact with the service, or its state is older
+	Unreachable         // no answer, or an error
 )
 
-// Pauses before a source that has failed is asked again. Those of a peer are longer
-// than a round trip by far and shorter than what changes may take; a process that
-// asks for itself only since its watchers fail leaves a service that fails to them.
+// Backoff before a failed source is queried again. That of a peer is longer than a round
+// trip and shorter than the time a change may take. Followers back off longer from the
+// service, to leave it to their watchers.
 const (
-	behindPause       = 300 * time.Millisecond
-	unreachablePause  = time.Second
-	firstServicePause = 50 * time.Millisecond
-	lastServicePause  = 500 * time.Millisecond
-	followerPause     = 2 * time.Second
-	mostDoublings     = 4
+	staleBackoff           = 300 * time.Millisecond
+	unreachableBackoff     = time.Second
+	minServiceBackoff      = 50 * time.Millisecond
+	maxServiceBackoff      = 500 * time.Millisecond
+	followerServiceBackoff = 2 * time.Second
+	maxDoublings           = 4
 )
 
-// Chooser is the machine of one process. Make it with New.
+// Chooser selects the next query of one process. Create it with New. It is not safe for
+// concurrent use.
 type Chooser struct {
-	settings Settings
-	ranked   []Member // of the zone, watchers first
-	rank     int      // of this process
-	abroad   []Member // the first watcher of each other zone
-	sources  map[api.NodeID]*source
-	source   api.NodeID // who answered last
-	answered time.Time  // when somebody answered last; zero: nothing is known
-	behindAt time.Time  // when a peer first had no contact since then; zero: none says so
+	settings       Settings
+	ranked         []Member // of the zone, watchers first
+	rank           int      // of this process in ranked; -1: not a member
+	remoteWatchers []Member // the first watcher of each other zone
+	sources        map[api.NodeID]*sourceState
+	lastSource     api.NodeID // source of the last answer
+	lastAnswer     time.Time  // time of the last answer; zero: none yet
+	staleSince     time.Time  // first stale answer of a peer since lastAnswer; zero: none
 }
 
-// source is what is known of a peer, or under the empty id of the service.
-type source struct {
-	failures  int // in a row
+// sourceState records the failures of a peer, or of the service under the empty id.
+type sourceState struct {
+	failures  int // consecutive
 	notBefore time.Time
 }
 
-// New gives a chooser that knows of no other process.
+// New returns a Chooser that knows no other process yet.
 func New(settings Settings) *Chooser {
-	return &Chooser{settings: settings, sources: map[api.NodeID]*source{}}
+	return &Chooser{settings: settings, sources: map[api.NodeID]*sourceState{}}
 }
 
-// Members takes the processes of the zone that can be asked, this one among them.
+// Members replaces the processes of the zone that can be queried, including this one.
 func (c *Chooser) Members(members []Member) {
 	c.ranked = slices.Clone(members)
 	slices.SortFunc(c.ranked, compareRank)
@@ -151,7 +151,7 @@
 	for _, member := range members {
 		known[member.ID] = true
 	}
-	for _, member := range c.abroad {
+	for _, member := range c.remoteWatchers {
 		known[member.ID] = true
 	}
 	for id := range c.sources {
@@ -161,45 +161,45 @@
 	}
 }
 
-// compareRank puts the members that are to watch first.
+// compareRank orders strong members first and the rest by a hash of the id.
 func compareRank(a, b Member) int {
 	return cmp.Or(-compareBool(a.Strong, b.Strong), cmp.Compare(xxhash.Sum64String(string(a.ID)), xxhash.Sum64String(string(b.ID))), cmp.Compare(a.ID, b.ID))
 }
 
-// Abroad takes the members of other zones that are known, by zone.
+// Abroad replaces the known candidates for watchers in other zones, one list per zone.
 func (c *Chooser) Abroad(zones [][]Member) {
-	c.abroad = c.abroad[:0]
+	c.remoteWatchers = c.remoteWatchers[:0]
 	for _, members := range zones {
 		if len(members) > 0 {
-			c.abroad = append(c.abroad, slices.MinFunc(members, compareRank))
+			c.remoteWatchers = append(c.remoteWatchers, slices.MinFunc(members, compareRank))
 		}
 	}
-	slices.SortFunc(c.abroad, compareRank)
+	slices.SortFunc(c.remoteWatchers, compareRank)
 }
 
-// tellers are the watchers that tell this one the whole state, the first choice first. All
-// watchers of a fleet stand in one order, and each is told by one before it, so that a
-// state of thousands of pages is read from the service once and not once a watcher.
-func (c *Chooser) tellers() []Member {
+// upstreams lists the watchers from which this watcher may read the full state, preferred
+// first. The watchers of the fleet form one order and read from those before them, so that
+// only the first one reads every page of the state from the service.
+func (c *Chooser) upstreams() []Member {
 	if c.rank > 0 {
 		return c.ranked[:min(c.rank, c.settings.Watchers)]
 	}
 	self := c.ranked[c.rank]
-	before := slices.IndexFunc(c.abroad, func(m Member) bool { return compareRank(m, self) > 0 })
+	before := slices.IndexFunc(c.remoteWatchers, func(m Member) bool { return compareRank(m, self) > 0 })
 	if before < 0 {
-		before = len(c.abroad)
+		before = len(c.remoteWatchers)
 	}
-	return c.abroad[:before]
+	return c.remoteWatchers[:before]
 }
 
-// Teller is the watcher that will know the whole state before this one does; false where
-// this one reads it from the service.
+// Teller returns the upstream watcher that reads the full state before this one; false if
+// this process has to read it from the service.
 func (c *Chooser) Teller(now time.Time) (Member, bool) {
 	if !c.Watching() {
 		return Member{}, false
 	}
-	for _, peer := range c.tellers() {
-		if !c.question(now, peer).NotBefore.After(now) {
+	for _, peer := range c.upstreams() {
+		if !c.query(now, peer).NotBefore.After(now) {
 			return peer, true
 		}
 	}
@@ -216,58 +216,58 @@
 	return -1
 }
 
-// Shared tells whether watchers ask for the others: where these cost fewer calls
-// than all of the zone would.
+// Shared reports whether watchers poll the service for the zone, which is so where that
+// costs fewer calls than every member polling for itself.
 func (c *Chooser) Shared() bool {
-	alone := float64(len(c.ranked)) / c.settings.LongWait.Seconds()
-	return c.rank >= 0 && alone > float64(c.settings.Watchers)/c.settings.ShortWait.Seconds()
+	direct := float64(len(c.ranked)) / c.settings.LongWait.Seconds()
+	return c.rank >= 0 && direct > float64(c.settings.Watchers)/c.settings.ShortWait.Seconds()
 }
 
-// Keeps tells whether others may ask this process: where all ask the service for
-// themselves any, else watchers and their deputies.
+// Keeps reports whether other members may query this process: any process in a zone without
+// watchers, else only watchers and standbys.
 func (c *Chooser) Keeps() bool {
 	return !c.Shared() || c.rank < c.settings.Watchers+c.settings.Deputies
 }
 
-// Watching tells whether this process asks the service for others.
+// Watching reports whether this process polls the service for the zone.
 func (c *Chooser) Watching() bool { return c.Shared() && c.rank < c.settings.Watchers }
 
-// Follows tells whether others of the zone ask the service for this process.
+// Follows reports whether watchers poll the service for this process.
 func (c *Chooser) Follows() bool { return c.Shared() && c.rank >= c.settings.Watchers }
 
-// Next gives the next question.
-func (c *Chooser) Next(now time.Time) Question { return c.first(now, c.order()) }
+// Next returns the next query for changes.
+func (c *Chooser) Next(now time.Time) Question { return c.earliest(now, c.changesOrder()) }
 
-// Whole gives whom to ask for the whole state: a watcher before the service. A watcher is
-// told by one that stands before it, and then asks the service for the changes since.
-func (c *Chooser) Whole(now time.Time) Question { return c.first(now, c.peersFirst()) }
+// Whole returns the next query for the full state. Watchers query their upstreams before
+// the service, and the service for changes afterwards.
+func (c *Chooser) Whole(now time.Time) Question { return c.earliest(now, c.fullReadOrder()) }
 
-// first is the question to the first of some peers that may be asked now, else to the one
-// that may be asked the soonest.
-func (c *Chooser) first(now time.Time, peers []Member) Question {
+// earliest returns the query to the first of peers that may be queried now, else to the one
+// that may be queried soonest.
+func (c *Chooser) earliest(now time.Time, peers []Member) Question {
 	var best Question
 	for i, peer := range peers {
-		question := c.question(now, peer)
-		if !question.NotBefore.After(now) {
-			return question
+		query := c.query(now, peer)
+		if !query.NotBefore.After(now) {
+			return query
 		}
-		if i == 0 || question.NotBefore.Before(best.NotBefore) {
-			best = question
+		if i == 0 || query.NotBefore.Before(best.NotBefore) {
+			best = query
 		}
 	}
 	return best
 }
 
-// peersFirst are those that tell the whole state, the service last.
-func (c *Chooser) peersFirst() []Member {
+// fullReadOrder lists the sources of the full state, the service last.
+func (c *Chooser) fullReadOrder() []Member {
 	if c.Watching() {
-		return append(slices.Clone(c.tellers()), Member{})
+		return append(slices.Clone(c.upstreams()), Member{})
 	}
-	return c.order()
+	return c.changesOrder()
 }
 
-// order is the peers and the service, the first choice first.
-func (c *Chooser) order() []Member {
+// changesOrder lists the sources of changes, preferred first; the zero Member is the service.
+func (c *Chooser) changesOrder() []Member {
 	service := Member{}
 	if !c.Shared() {
 		return []Member{service}
@@ -277,16 +277,16 @@
 		others := slices.DeleteFunc(slices.Clone(watchers), func(m Member) bool { return m.ID == c.settings.Self })
 		return append([]Member{service}, others...)
 	}
-	// The others of the zone are spread over the watchers by their rank.
-	order := c.spread(watchers)
-	if deputies := c.ranked[len(watchers):min(len(watchers)+c.settings.Deputies, len(c.ranked))]; !c.Keeps() {
-		order = append(order, c.spread(deputies)...)
+	// Followers are spread over the watchers by rank.
+	order := c.rotate(watchers)
+	if standbys := c.ranked[len(watchers):min(len(watchers)+c.settings.Deputies, len(c.ranked))]; !c.Keeps() {
+		order = append(order, c.rotate(standbys)...)
 	}
 	return append(order, service)
 }
 
-// spread gives members in an order that begins elsewhere for each rank.
-func (c *Chooser) spread(members []Member) []Member {
+// rotate returns members rotated by the rank of this process.
+func (c *Chooser) rotate(members []Member) []Member {
 	if len(members) == 0 {
 		return nil
 	}
@@ -294,69 +294,69 @@
 	return append(slices.Clone(members[first:]), members[:first]...)
 }
 
-func (c *Chooser) question(now time.Time, peer Member) Question {
-	question := Question{Peer: peer, NotBefore: now}
+func (c *Chooser) query(now time.Time, peer Member) Question {
+	query := Question{Peer: peer, NotBefore: now}
 	known := c.sources[peer.ID]
 	if known != nil && known.notBefore.After(now) {
-		question.NotBefore = known.notBefore
+		query.NotBefore = known.notBefore
 	}
-	if alone := c.aloneFrom(); question.OfService() && alone.After(question.NotBefore) {
-		question.NotBefore = alone
+	if earliest := c.serviceNotBefore(); query.OfService() && earliest.After(query.NotBefore) {
+		query.NotBefore = earliest
 	}
 	switch {
-	case question.OfService() && c.Shared():
-		question.Wait = c.settings.ShortWait
-	case question.OfService():
-		question.Wait = c.settings.LongWait
-	case known != nil && known.failures == 0 && c.source == peer.ID: // it answered just now
-		question.Wait = c.settings.Fresh
+	case query.OfService() && c.Shared():
+		query.Wait = c.settings.ShortWait
+	case query.OfService():
+		query.Wait = c.settings.LongWait
+	case known != nil && known.failures == 0 && c.lastSource == peer.ID:
+		query.Wait = c.settings.Fresh
 	}
-	return question
+	return query
 }
 
-// aloneFrom is from when on a process asks the service itself though watchers or deputies
-// are there that only have no contact; zero: at once.
-func (c *Chooser) aloneFrom() time.Time {
+// serviceNotBefore returns the earliest time at which this process may query the service
+// while its watchers and standbys have lost contact; zero: immediately.
+func (c *Chooser) serviceNotBefore() time.Time {
 	switch {
-	case c.behindAt.IsZero() || c.Watching() || !c.Shared():
+	case c.staleSince.IsZero() || c.Watching() || !c.Shared():
 		return time.Time{}
-	case c.answered.IsZero():
-		return c.behindAt.Add(c.settings.Start)
+	case c.lastAnswer.IsZero():
+		return c.staleSince.Add(c.settings.Start)
 	case c.Keeps():
 		return time.Time{}
 	}
-	return c.answered.Add(c.settings.Alone)
+	return c.lastAnswer.Add(c.settings.Alone)
 }
 
-// Ended takes how a question ended.
-func (c *Chooser) Ended(now time.Time, question Question, outcome Outcome) {
-	known := c.sources[question.Peer.ID]
+// Ended records the outcome of a query.
+func (c *Chooser) Ended(now time.Time, query Question, outcome Outcome) {
+	known := c.sources[query.Peer.ID]
 	if known == nil {
-		known = &source{}
-		c.sources[question.Peer.ID] = known
+		known = &sourceState{}
+		c.sources[query.Peer.ID] = known
 	}
 	if outcome == Answered {
-		*known = source{}
-		c.source, c.answered, c.behindAt = question.Peer.ID, now, time.Time{}
+		*known = sourceState{}
+		c.lastSource, c.lastAnswer, c.staleSince = query.Peer.ID, now, time.Time{}
 		return
 	}
-	if outcome == Behind && c.behindAt.IsZero() {
-		c.behindAt = now
+	if outcome == Behind && c.staleSince.IsZero() {
+		c.staleSince = now
 	}
 	known.failures++
-	known.notBefore = now.Add(c.pauseAfter(question, outcome, known.failures))
+	known.notBefore = now.Add(c.backoff(query, outcome, known.failures))
 }
 
-func (c *Chooser) pauseAfter(question Question, outcome Outcome, failures int) time.Duration {
+func (c *Chooser) backoff(query Question, outcome Outcome, failures int) time.Duration {
 	switch {
-	case question.OfService() && !c.Keeps():
-		return followerPause
-	case question.OfService():
-		return min(firstServicePause<<min(failures-1, mostDoublings), lastServicePause)
+	case query.OfService() && !c.Keeps():
+		return followerServiceBackoff
+	case query.OfService():
+		return min(minServiceBackoff<<min(failures-1, maxDoublings), maxServiceBackoff)
 	case outcome == Behind:
-		return behindPause
-	case c.Keeps(): // a deputy on whom others rely is not to wait for lost watchers often
-		return unreachablePause << min(failures-1, mostDoublings/2)
+		return staleBackoff
+	case c.Keeps(): // others rely on a standby, so it must not block on lost watchers often
+		return unreachableBackoff << min(failures-1, maxDoublings/2)
 	}
-	return unreachablePause
+	return unreachableBackoff
 }
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -16,7 +16,7 @@
 	longWait = 3750 * time.Millisecond
 )
 
-func zone(members int) []Member {
+func newZone(members int) []Member {
 	var list []Member
 	for i := range members {
 		list = append(list, Member{ID: api.NodeID(fmt.Sprintf("node-%02d", i)), Address: fmt.Sprintf("10.0.0.%d:1", i), Strong: i < 5})
@@ -24,17 +24,18 @@
 	return list
 }
 
-// ranked gives the chooser of the process at a rank of a zone, and the zone by rank.
-func ranked(members, rank int) (*Chooser, []Member) {
+// chooserAtRank returns the chooser of the member with the given rank and the members of
+// its zone in rank order.
+func chooserAtRank(members, rank int) (*Chooser, []Member) {
 	sorted := New(Within("", apply, longWait))
-	sorted.Members(zone(members))
+	sorted.Members(newZone(members))
 	list := sorted.ranked
 	c := New(Within(list[rank].ID, apply, longWait))
-	c.Members(zone(members))
+	c.Members(newZone(members))
 	return c, list
 }
 
-func TestWhoIsAsked(t *testing.T) {
+func TestSourceSelection(t *testing.T) {
 	const watcher, follower = 0, 7
 	tests := []struct {
 		name    string
@@ -43,24 +44,24 @@
 		failed  []int // ranks of peers that did not answer; -1 is the service
 		want    int   // rank of the peer, -1 the service
 	}{
-		{"a small zone asks the service", 6, 5, nil, -1},
-		{"a watcher asks the service", 50, watcher, nil, -1},
-		{"the others ask a watcher", 50, follower, nil, follower % watchersOfAZone},
-		{"the others ask the other watcher", 50, follower, []int{1}, 0},
-		{"the others ask a deputy", 50, follower, []int{1, 0}, watchersOfAZone + follower%deputiesOfAZone},
-		{"the others ask the service at last", 50, follower, []int{1, 0, 2, 3}, -1},
-		{"a deputy asks the service", 50, watchersOfAZone, []int{1, 0}, -1},
-		{"a watcher that the service turns away asks the other", 50, watcher, []int{-1}, 1},
+		{"small zone queries the service", 6, 5, nil, -1},
+		{"watcher queries the service", 50, watcher, nil, -1},
+		{"follower queries a watcher", 50, follower, nil, follower % watchersPerZone},
+		{"one watcher failed: follower queries the other", 50, follower, []int{1}, 0},
+		{"all watchers failed: follower queries a standby", 50, follower, []int{1, 0}, watchersPerZone + follower%standbysPerZone},
+		{"watchers and standbys failed: follower queries the service", 50, follower, []int{1, 0, 2, 3}, -1},
+		{"all watchers failed: standby queries the service", 50, watchersPerZone, []int{1, 0}, -1},
+		{"service failed: watcher queries the other watcher", 50, watcher, []int{-1}, 1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c, list := ranked(test.members, test.rank)
+			c, list := chooserAtRank(test.members, test.rank)
 			for _, rank := range test.failed {
-				question := Question{}
+				query := Question{}
 				if rank >= 0 {
-					question.Peer = list[rank]
+					query.Peer = list[rank]
 				}
-				c.Ended(start, question, Unreachable)
+				c.Ended(start, query, Unreachable)
 			}
 			want := Member{}
 			if test.want >= 0 {
@@ -68,69 +69,69 @@
 			}
 			got := c.Next(start)
 			if got.Peer != want || got.NotBefore.After(start) {
-				t.Errorf("asked %q after %v, want %q at once", got.Peer.ID, got.NotBefore.Sub(start), want.ID)
+				t.Errorf("next query goes to %q after %v, want %q immediately", got.Peer.ID, got.NotBefore.Sub(start), want.ID)
 			}
 		})
 	}
 }
 
-func TestWatchersAreStrongMembersFirst(t *testing.T) {
-	_, list := ranked(50, 0)
+func TestWatchersArePreferredMembers(t *testing.T) {
+	_, list := chooserAtRank(50, 0)
 	if !list[0].Strong || !list[1].Strong {
-		t.Errorf("the watchers are %+v", list[:2])
+		t.Errorf("watchers without spare capacity: %+v", list[:2])
 	}
 }
 
-func TestAPeerThatFailedIsAskedForAnAnswerAtOnceFirst(t *testing.T) {
-	c, _ := ranked(50, 7)
+func TestFirstQueryToAPeerDoesNotLongPoll(t *testing.T) {
+	c, _ := chooserAtRank(50, 7)
 	first := c.Next(start)
 	if first.Wait != 0 {
-		t.Errorf("a peer that has not answered yet may wait %v", first.Wait)
+		t.Errorf("first query to a peer has a wait of %v, want 0", first.Wait)
 	}
 	c.Ended(start, first, Answered)
 	if got := c.Next(start); got.Peer != first.Peer || got.Wait != c.settings.Fresh {
-		t.Errorf("then %+v", got)
+		t.Errorf("query after an answer: %+v", got)
 	}
 	c.Ended(start, first, Unreachable)
-	later := start.Add(unreachablePause)
+	later := start.Add(unreachableBackoff)
 	if got := c.Next(later); got.Peer != first.Peer || got.Wait != 0 {
-		t.Errorf("after a failure %+v", got)
+		t.Errorf("query after a failure: %+v", got)
 	}
 }
 
-func TestWhenAllFailTheSoonestIsAskedAgain(t *testing.T) {
-	c, list := ranked(50, 7)
+func TestSourceWithEarliestRetryIsUsedWhenAllFailed(t *testing.T) {
+	c, list := chooserAtRank(50, 7)
 	c.Ended(start, Question{Peer: list[1]}, Unreachable)
 	c.Ended(start, Question{Peer: list[0]}, Behind)
 	c.Ended(start, Question{Peer: list[2]}, Unreachable)
 	c.Ended(start, Question{Peer: list[3]}, Unreachable)
 	c.Ended(start, Question{}, Unreachable)
 	got := c.Next(start)
-	if got.Peer != list[0] || got.NotBefore.Sub(start) != behindPause {
-		t.Errorf("%+v", got)
+	if got.Peer != list[0] || got.NotBefore.Sub(start) != staleBackoff {
+		t.Errorf("next query %+v does not go to the source with the earliest retry", got)
 	}
 }
 
-func TestATurnedAwayServiceIsAskedAgainWithinHalfASecond(t *testing.T) {
-	c, _ := ranked(6, 0)
+func TestServiceBackoffIsBounded(t *testing.T) {
+	c, _ := chooserAtRank(6, 0)
 	for range 20 {
 		c.Ended(start, Question{}, Unreachable)
 	}
-	if got := c.Next(start); !got.OfService() || got.NotBefore.Sub(start) != lastServicePause {
-		t.Errorf("%+v", got)
+	if got := c.Next(start); !got.OfService() || got.NotBefore.Sub(start) != maxServiceBackoff {
+		t.Errorf("next query %+v does not go to the service after the maximum backoff", got)
 	}
 }
 
-// A member that is gone is asked no more, and its failures are forgotten.
-func TestMembersThatAreGoneAreForgotten(t *testing.T) {
-	c, list := ranked(50, 7)
+// A removed member is no longer queried, and its failures are forgotten.
+func TestRemovedMembersAreForgotten(t *testing.T) {
+	c, list := chooserAtRank(50, 7)
 	c.Ended(start, Question{Peer: list[1]}, Unreachable)
-	rest := slices.DeleteFunc(zone(50), func(m Member) bool { return m.ID == list[1].ID })
+	rest := slices.DeleteFunc(newZone(50), func(m Member) bool { return m.ID == list[1].ID })
 	c.Members(rest)
 	if got := c.Next(start); got.Peer.ID == list[1].ID || got.OfService() {
-		t.Errorf("%+v", got)
+		t.Errorf("next query %+v does not go to a remaining watcher", got)
 	}
 	if len(c.sources) != 0 {
-		t.Errorf("%d sources are kept", len(c.sources))
+		t.Errorf("%d sources kept, want 0", len(c.sources))
 	}
 }
--- a/feed/start_test.go
+++ b/feed/start_test.go
@@ -8,36 +8,35 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Symptom: each of the processes of a fleet that started read the whole state from the
-// service. Sequence: the watchers are there and know nothing yet, all others turn to the
-// service at once. Cause: nobody gave watchers that had started in the same second time.
-func TestAStartingZoneReadsTheStateThroughItsWatchers(t *testing.T) {
-	const known = 700 * time.Millisecond // after the start; when watchers have read all
+// Guards against every process of a starting fleet reading the full state from the service
+// because its watchers, which start at the same time, have no state yet.
+func TestStartingZoneReadsStateThroughWatchers(t *testing.T) {
+	const loaded = 700 * time.Millisecond // after the start: the watchers have the full state
 	settings := Within("", apply, longWait)
-	if known > settings.Start {
-		t.Fatal("the test's watchers are slower than is waited for")
+	if loaded > settings.Start {
+		t.Fatal("the watchers of the test load the state after the startup wait has ended")
 	}
 	for _, members := range []int{100, 200} {
 		calls := 0
 		for rank := range members {
-			c, list := ranked(members, rank)
+			c, list := chooserAtRank(members, rank)
 			now := start
-			for c.answered.IsZero() {
-				question := c.Whole(now)
-				now = later(now, question.NotBefore)
+			for c.lastAnswer.IsZero() {
+				query := c.Whole(now)
+				now = later(now, query.NotBefore)
 				switch {
-				case question.OfService():
+				case query.OfService():
 					calls++
-					c.Ended(now, question, Answered)
-				case now.Sub(start) < known && question.Peer.ID != list[rank].ID:
-					c.Ended(now, question, Behind)
+					c.Ended(now, query, Answered)
+				case now.Sub(start) < loaded && query.Peer.ID != list[rank].ID:
+					c.Ended(now, query, Behind)
 				default:
-					c.Ended(now, question, Answered)
+					c.Ended(now, query, Answered)
 				}
 			}
 		}
-		if calls > watchersOfAZone {
-			t.Errorf("%d of %d processes read the state from the service", calls, members)
+		if calls > watchersPerZone {
+			t.Errorf("%d of %d processes read the full state from the service, want only the watchers", calls, members)
 		}
 	}
 }
@@ -49,51 +48,50 @@
 	return a
 }
 
-// Where watchers stay without an answer of the service, a process that starts asks it in
-// time; one whose watchers do not answer at all asks at once.
-func TestAStartWaitsForWatchersOnlyAWhile(t *testing.T) {
+// A starting process queries the service itself after the startup wait if its watchers have
+// no state, and immediately if they do not answer.
+func TestStartupWaitForWatchersIsBounded(t *testing.T) {
 	tests := []struct {
 		name    string
 		outcome Outcome
 		want    time.Duration
 	}{
-		{"watchers that know nothing yet", Behind, Within("", apply, longWait).Start},
-		{"watchers that do not answer", Unreachable, 0},
+		{"watchers without state", Behind, Within("", apply, longWait).Start},
+		{"unreachable watchers", Unreachable, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c, _ := ranked(50, 7)
+			c, _ := chooserAtRank(50, 7)
 			now := start
 			for {
-				question := c.Whole(now)
-				now = later(now, question.NotBefore)
-				if question.OfService() {
+				query := c.Whole(now)
+				now = later(now, query.NotBefore)
+				if query.OfService() {
 					break
 				}
-				c.Ended(now, question, test.outcome)
+				c.Ended(now, query, test.outcome)
 			}
 			if now.Sub(start) != test.want {
-				t.Errorf("the service is asked after %v, want %v", now.Sub(start), test.want)
+				t.Errorf("service queried after %v, want %v", now.Sub(start), test.want)
 			}
 		})
 	}
 }
 
-// Symptom: each time that the service forgot its history, each of the watchers of a fleet of
-// 10,000 workers read all pages of the state, 54 calls of each. All watchers stand in one
-// order, and one of them reads the service.
-func TestOneWatcherOfTheFleetReadsTheWholeState(t *testing.T) {
+// Guards against every watcher of the fleet reading all pages of the state after the service
+// has compacted its history: one reads them and the others read from it.
+func TestOneWatcherOfFleetReadsFullState(t *testing.T) {
 	const inZone = 50
 	for _, zones := range []int{5, 10} {
 		var fleet [][]Member
 		for z := range zones {
-			members := zone(inZone)
+			members := newZone(inZone)
 			for i := range members {
 				members[i].ID += api.NodeID(fmt.Sprint("-", z))
 			}
 			fleet = append(fleet, members)
 		}
-		reads, told := 0, map[api.NodeID]api.NodeID{}
+		reads, upstreams := 0, map[api.NodeID]api.NodeID{}
 		for z, members := range fleet {
 			var abroad [][]Member
 			for other, list := range fleet {
@@ -108,37 +106,37 @@
 				if !c.Watching() {
 					continue
 				}
-				question := c.Whole(start)
-				if question.OfService() {
+				query := c.Whole(start)
+				if query.OfService() {
 					reads++
 					continue
 				}
-				if teller, ok := c.Teller(start); !ok || teller != question.Peer {
-					t.Errorf("%s waits for %q and asks %q", member.ID, teller.ID, question.Peer.ID)
+				if upstream, ok := c.Teller(start); !ok || upstream != query.Peer {
+					t.Errorf("%s: upstream %q, but the query for the full state goes to %q", member.ID, upstream.ID, query.Peer.ID)
 				}
-				told[member.ID] = question.Peer.ID
+				upstreams[member.ID] = query.Peer.ID
 				if next := c.Next(start); !next.OfService() {
-					t.Errorf("%s asks %q for changes", member.ID, next.Peer.ID)
+					t.Errorf("%s queries %q for changes, want the service", member.ID, next.Peer.ID)
 				}
-				c.Ended(start, question, Unreachable)
-				for range zones + watchersOfAZone {
-					if question = c.Whole(start); !question.OfService() {
-						c.Ended(start, question, Unreachable)
+				c.Ended(start, query, Unreachable)
+				for range zones + watchersPerZone {
+					if query = c.Whole(start); !query.OfService() {
+						c.Ended(start, query, Unreachable)
 					}
 				}
-				if !question.OfService() || question.NotBefore.After(start) {
-					t.Errorf("where no teller answers %s asks %q", member.ID, question.Peer.ID)
+				if !query.OfService() || query.NotBefore.After(start) {
+					t.Errorf("%s queries %q after all upstreams failed, want the service", member.ID, query.Peer.ID)
 				}
 			}
 		}
-		if reads != 1 || len(told) != watchersOfAZone*zones-1 {
-			t.Errorf("%d watchers of %d zones read the state from the service, %d from others", reads, zones, len(told))
+		if reads != 1 || len(upstreams) != watchersPerZone*zones-1 {
+			t.Errorf("%d watchers of %d zones read the full state from the service and %d from upstreams; want 1 and all others", reads, zones, len(upstreams))
 		}
-		for id := range told { // nobody waits for one that waits for it
+		for id := range upstreams { // must be free of cycles
 			seen := map[api.NodeID]bool{}
-			for at := id; at != ""; at = told[at] {
+			for at := id; at != ""; at = upstreams[at] {
 				if seen[at] {
-					t.Fatalf("a ring at %s", at)
+					t.Fatalf("cycle of upstreams at %s", at)
 				}
 				seen[at] = true
 			}
