--- a/internal/relay/mirror.go
+++ b/internal/relay/mirror.go
@@ -10,95 +10,93 @@
 	"github.com/dykewing/dykewing/internal/kv"
 )
 
-// Bounds of the changes that are kept for others; who is further behind is given the
-// whole state. They cover the start of some hundreds of workers, or a few large
-// configurations. Where the state itself is larger, changes are kept up to its size: with
-// a bound beside it, the start of thousands of workers sent the whole state to every
-// process after each round of changes, workers times processes.
+// Limits of the changes that are kept for peers; a peer that is further behind reads the full
+// state. A larger state raises them to its own size: changes are dropped only when sending
+// them would cost more than the full state.
 const (
-	mostEvents     = 1024
-	mostEventBytes = 2 << 20
+	baseEventLimit      = 1024
+	baseEventBytesLimit = 2 << 20
 )
 
-// mirror is the newest known state of the service with its last changes, kept while
-// others may ask for it.
+// mirror holds the newest known state of the service and its last changes while peers may
+// query this process. It is safe for concurrent use.
 type mirror struct {
-	mutex     sync.Mutex // guards all below
-	keeps     bool       // others may ask this process, or might a moment ago
-	unasked   time.Time  // since when nobody may; zero while others may
-	pairs     map[string]kv.Pair
-	size      int        // bytes of the values of pairs
-	events    []kv.Event // after floor, in order
-	bytes     int        // of the values of events
-	floor     int64      // changes up to here are forgotten
-	revision  int64
-	known     bool          // pairs are a whole state
-	contact   time.Time     // when the service last answered this process
-	changed   chan struct{} // closed at each change and each contact
-	withdrawn bool          // this process leaves; others must ask elsewhere
+	mutex             sync.Mutex // guards all below
+	serving           bool       // peers may query this process, or could until recently
+	idleSince         time.Time  // since when no peer may; zero while they may
+	pairs             map[string]kv.Pair
+	pairBytes         int        // of the values of pairs
+	events            []kv.Event // after compactedRevision, in order
+	eventBytes        int        // of the values of events
+	compactedRevision int64      // changes up to here are no longer held
+	revision          int64
+	complete          bool          // pairs are a full state
+	lastContact       time.Time     // last answer of the service to this process
+	updated           chan struct{} // closed on each change and each contact
+	withdrawn         bool          // this process is shutting down; peers must query elsewhere
 }
 
 func newMirror() *mirror {
-	return &mirror{keeps: true, pairs: map[string]kv.Pair{}, changed: make(chan struct{})}
+	return &mirror{serving: true, pairs: map[string]kv.Pair{}, updated: make(chan struct{})}
 }
 
-// unaskedLife is for how long state is kept though nobody asks: longer than a member that
-// was suspected takes to refute, so that a zone at the edge of sharing does not read
-// everything anew each time.
-const unaskedLife = 3 * time.Second
+// idleRetention is how long the state is kept while no peer may query this process. It exceeds
+// the time in which a suspected member refutes, so that a brief suspicion does not cost a
+// full read.
+const idleRetention = 3 * time.Second
 
-// keep tells whether others may ask this process. One that nobody asks holds no state: a
-// copy of all workers' entries was a third of the memory of a process that uses them.
-func (m *mirror) keep(keeps bool, now time.Time) {
+// setServing sets whether peers may query this process. The state is released once they may
+// not for idleRetention, since it is a second copy of all entries.
+func (m *mirror) setServing(serving bool, now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	switch {
-	case keeps:
-		m.keeps, m.unasked = true, time.Time{}
-	case m.unasked.IsZero():
-		m.unasked = now
-	case m.keeps && now.Sub(m.unasked) >= unaskedLife:
-		m.keeps, m.known = false, false
-		m.drop()
+	case serving:
+		m.serving, m.idleSince = true, time.Time{}
+	case m.idleSince.IsZero():
+		m.idleSince = now
+	case m.serving && now.Sub(m.idleSince) >= idleRetention:
+		m.serving, m.complete = false, false
+		m.clear()
 	}
 }
 
-// lacks tells that others may ask this process, and that it has no whole state for them.
-func (m *mirror) lacks() bool {
+// needsFullState reports whether peers may query this process while it holds no full state.
+func (m *mirror) needsFullState() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.keeps && !m.known
+	return m.serving && !m.complete
 }
 
-// drop forgets all pairs and changes; the mutex is held.
-func (m *mirror) drop() {
-	m.pairs, m.size = map[string]kv.Pair{}, 0
-	m.events, m.bytes = nil, 0
+// clear drops all pairs and changes; the mutex must be held.
+func (m *mirror) clear() {
+	m.pairs, m.pairBytes = map[string]kv.Pair{}, 0
+	m.events, m.eventBytes = nil, 0
 }
 
-// reset takes a whole state; contact tells whether the service itself gave it. Others that
-// knew the state before it are told what differs: where the service had forgotten its
-// history, every process of the zone was sent all workers' entries instead.
+// reset replaces the state; contact is whether it comes from the service itself. If the new
+// state is not older, the differences are kept as changes, so that peers need no full read
+// after the service has compacted its history.
 func (m *mirror) reset(state kv.RangeResult, contact bool, now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.keeps && m.known && state.Revision >= m.revision {
-		for _, event := range m.differences(state) {
-			m.take(event)
+	if m.serving && m.complete && state.Revision >= m.revision {
+		for _, event := range m.diff(state) {
+			m.applyEvent(event)
 		}
 		m.revision = state.Revision
-		m.forget()
+		m.trimEvents()
 	} else {
-		m.begin(state)
+		m.load(state)
 	}
-	m.note(contact, now)
+	m.notify(contact, now)
 }
 
-// begin knows nothing but a state; the mutex is held.
-func (m *mirror) begin(state kv.RangeResult) {
-	m.drop()
-	m.floor, m.revision, m.known = state.Revision, state.Revision, m.keeps
-	if !m.keeps {
+// load replaces the state and drops all changes; the mutex must be held.
+func (m *mirror) load(state kv.RangeResult) {
+	m.clear()
+	m.compactedRevision, m.revision, m.complete = state.Revision, state.Revision, m.serving
+	if !m.serving {
 		return
 	}
 	for _, pair := range state.Pairs {
@@ -106,18 +104,19 @@
 	}
 }
 
-// differences are the changes that lead from what is known to a state, in order; the mutex
-// is held. Of a pair that went no more is known than that it had by the state's revision.
-func (m *mirror) differences(state kv.RangeResult) (events []kv.Event) {
-	listed := make(map[string]bool, len(state.Pairs))
+// diff returns the changes from the current state to a new one, in order of revision; the
+// mutex must be held. The revision of a deletion is not known and is set to that of the new
+// state.
+func (m *mirror) diff(state kv.RangeResult) (events []kv.Event) {
+	present := make(map[string]bool, len(state.Pairs))
 	for _, pair := range state.Pairs {
-		listed[pair.Key] = true
+		present[pair.Key] = true
 		if pair.Revision > m.pairs[pair.Key].Revision {
 			events = append(events, kv.Event{Pair: pair})
 		}
 	}
 	for key := range m.pairs {
-		if !listed[key] {
+		if !present[key] {
 			events = append(events, kv.Event{Pair: kv.Pair{Key: key, Revision: state.Revision}, Deleted: true})
 		}
 	}
@@ -127,114 +126,114 @@
 	return events
 }
 
-// apply takes changes.
+// apply applies a batch of changes; contact is whether it comes from the service itself.
 func (m *mirror) apply(batch kv.Batch, contact bool, now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for _, event := range batch.Events {
-		// A whole state read page by page is no snapshot: changes made meanwhile
-		// come again.
-		if !m.keeps || event.Pair.Revision <= m.floor {
+		// A paged full read is not a snapshot: it may already contain changes that are
+		// delivered again here.
+		if !m.serving || event.Pair.Revision <= m.compactedRevision {
 			continue
 		}
-		m.take(event)
+		m.applyEvent(event)
 	}
 	m.revision = max(m.revision, batch.Revision)
-	m.forget()
-	m.note(contact, now)
+	m.trimEvents()
+	m.notify(contact, now)
 }
 
-// take takes one change; the mutex is held.
-func (m *mirror) take(event kv.Event) {
+// applyEvent applies and records one change; the mutex must be held.
+func (m *mirror) applyEvent(event kv.Event) {
 	if event.Pair.Revision < m.pairs[event.Pair.Key].Revision {
 		return
 	}
 	if event.Deleted {
-		m.size -= len(m.pairs[event.Pair.Key].Value)
+		m.pairBytes -= len(m.pairs[event.Pair.Key].Value)
 		delete(m.pairs, event.Pair.Key)
 	} else {
 		m.put(event.Pair)
 	}
 	m.events = append(m.events, event)
-	m.bytes += len(event.Pair.Value)
+	m.eventBytes += len(event.Pair.Value)
 }
 
-// put lists a pair; the mutex is held.
+// put stores a pair; the mutex must be held.
 func (m *mirror) put(pair kv.Pair) {
-	m.size += len(pair.Value) - len(m.pairs[pair.Key].Value)
+	m.pairBytes += len(pair.Value) - len(m.pairs[pair.Key].Value)
 	m.pairs[pair.Key] = pair
 }
 
-// forget drops the oldest changes over the bounds; the mutex is held. The newest one
-// is always kept.
-func (m *mirror) forget() {
-	most, mostBytes := max(mostEvents, len(m.pairs)), max(mostEventBytes, m.size)
+// trimEvents drops the oldest changes beyond the limits, but never the newest one; the mutex
+// must be held.
+func (m *mirror) trimEvents() {
+	maxEvents, maxBytes := max(baseEventLimit, len(m.pairs)), max(baseEventBytesLimit, m.pairBytes)
 	dropped := 0
-	for dropped < len(m.events)-1 && (len(m.events)-dropped > most || m.bytes > mostBytes) {
-		m.bytes -= len(m.events[dropped].Pair.Value)
-		m.floor = max(m.floor, m.events[dropped].Pair.Revision)
+	for dropped < len(m.events)-1 && (len(m.events)-dropped > maxEvents || m.eventBytes > maxBytes) {
+		m.eventBytes -= len(m.events[dropped].Pair.Value)
+		m.compactedRevision = max(m.compactedRevision, m.events[dropped].Pair.Revision)
 		dropped++
 	}
 	m.events = slices.Delete(m.events, 0, dropped)
 }
 
-// note wakes those that wait; the mutex is held.
-func (m *mirror) note(contact bool, now time.Time) {
+// notify records a contact and wakes all waiters; the mutex must be held.
+func (m *mirror) notify(contact bool, now time.Time) {
 	if contact {
-		m.contact = now
+		m.lastContact = now
 	}
-	close(m.changed)
-	m.changed = make(chan struct{})
+	close(m.updated)
+	m.updated = make(chan struct{})
 }
 
-// withdraw lets others ask elsewhere from now on.
+// withdraw makes the state unusable for peers and wakes those that wait.
 func (m *mirror) withdraw() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.withdrawn = true
-	m.note(false, time.Time{})
+	m.notify(false, time.Time{})
 }
 
-// whole gives the state.
-func (m *mirror) whole() answer {
+// fullState returns the state in order of keys.
+func (m *mirror) fullState() response {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	state := answer{Revision: m.revision}
+	state := response{Revision: m.revision}
 	for _, key := range slices.Sorted(maps.Keys(m.pairs)) {
 		state.Pairs = append(state.Pairs, m.pairs[key])
 	}
 	return state
 }
 
-// standing is what a question that waits is answered by.
-type standing struct {
-	contact   time.Time
-	usable    bool // a whole state is known, and the process doesn't leave
-	changed   chan struct{}
-	compacted bool // changes after the revision are forgotten
-	news      bool // there are changes after the revision
-	revision  int64
+// status describes the mirror relative to a revision.
+type status struct {
+	lastContact time.Time
+	usable      bool // a full state is held and not withdrawn
+	updated     chan struct{}
+	compacted   bool // changes after the revision are no longer held
+	hasChanges  bool // there are changes after the revision
+	revision    int64
 }
 
-// after tells how the service stands for one that knows a revision.
-func (m *mirror) after(revision int64) standing {
+// statusAfter returns the status for a peer that is at a revision.
+func (m *mirror) statusAfter(revision int64) status {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	result := standing{
-		contact: m.contact, usable: m.known && !m.withdrawn, changed: m.changed,
-		compacted: revision < m.floor, revision: max(m.revision, revision),
+	result := status{
+		lastContact: m.lastContact, usable: m.complete && !m.withdrawn, updated: m.updated,
+		compacted: revision < m.compactedRevision, revision: max(m.revision, revision),
 	}
 	if n := len(m.events); n > 0 {
-		result.news = m.events[n-1].Pair.Revision > revision
+		result.hasChanges = m.events[n-1].Pair.Revision > revision
 	}
 	return result
 }
 
-// changes gives the changes after a revision.
-func (m *mirror) changes(revision int64) answer {
+// changesAfter returns the changes after a revision.
+func (m *mirror) changesAfter(revision int64) response {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	found := answer{Revision: max(m.revision, revision), Compacted: revision < m.floor}
+	found := response{Revision: max(m.revision, revision), Compacted: revision < m.compactedRevision}
 	first := slices.IndexFunc(m.events, func(event kv.Event) bool { return event.Pair.Revision > revision })
 	if first >= 0 && !found.Compacted {
 		found.Events = slices.Clone(m.events[first:])
--- a/internal/relay/peer.go
+++ b/internal/relay/peer.go
@@ -14,59 +14,58 @@
 	"github.com/dykewing/dykewing/internal/transport"
 )
 
-// answer is the body of PathChanges.
-type answer struct {
+// response is the JSON body of PathChanges.
+type response struct {
 	Revision  int64      `json:"revision"`
-	Pairs     []kv.Pair  `json:"pairs,omitempty"`     // of a whole state
-	Events    []kv.Event `json:"events,omitempty"`    // after the revision that was asked for
-	Compacted bool       `json:"compacted,omitempty"` // changes after it are forgotten here
+	Pairs     []kv.Pair  `json:"pairs,omitempty"`     // of a full state
+	Events    []kv.Event `json:"events,omitempty"`    // after the requested revision
+	Compacted bool       `json:"compacted,omitempty"` // changes after the requested revision are no longer held
 }
 
-// wholeOf reads a peer's whole state. It may take as long as bytes come: a bound on the whole
-// was passed again and again by processes with a fifth of a core once there were 10,000
-// workers, and each try loaded the watchers anew.
-func (r *Relay) wholeOf(ctx context.Context, peer feed.Member) (kv.RangeResult, error) {
-	ctx, cancel := context.WithTimeout(ctx, longestWhole)
+// readStateFromPeer reads the full state of a peer. Besides the overall bound only stalls are
+// bounded: a tight one would make slow processes repeat the read and overload the watchers.
+func (r *Relay) readStateFromPeer(ctx context.Context, peer feed.Member) (kv.RangeResult, error) {
+	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	var state answer
+	var state response
 	if err := r.get(ctx, peer, url.Values{}, &state); err != nil {
 		return kv.RangeResult{}, err
 	}
 	return kv.RangeResult{Pairs: state.Pairs, Revision: state.Revision}, nil
 }
 
-func (r *Relay) changesOf(ctx context.Context, question feed.Question, revision int64) (kv.Batch, error) {
-	ctx, cancel := context.WithTimeout(ctx, question.Wait+longestWhole)
+func (r *Relay) changesFromPeer(ctx context.Context, query feed.Question, revision int64) (kv.Batch, error) {
+	ctx, cancel := context.WithTimeout(ctx, query.Wait+transferTimeout)
 	defer cancel()
-	var changes answer
-	err := r.getWithin(ctx, question.Wait+peerGrace, question.Peer, url.Values{
+	var changes response
+	err := r.getWithin(ctx, query.Wait+peerTimeoutMargin, query.Peer, url.Values{
 		parameterAfter: {strconv.FormatInt(revision, 10)},
-		parameterWait:  {strconv.FormatInt(question.Wait.Milliseconds(), 10)},
+		parameterWait:  {strconv.FormatInt(query.Wait.Milliseconds(), 10)},
 	}, &changes)
 	if err != nil {
 		return kv.Batch{}, err
 	}
 	if changes.Compacted {
-		return kv.Batch{}, fmt.Errorf("changes from %s after %d: %w", question.Peer.Address, revision, kv.ErrCompacted)
+		return kv.Batch{}, fmt.Errorf("changes from %s after revision %d: %w", query.Peer.Address, revision, kv.ErrCompacted)
 	}
 	return kv.Batch{Events: changes.Events, Revision: changes.Revision}, nil
 }
 
-func (r *Relay) get(ctx context.Context, peer feed.Member, query url.Values, into *answer) error {
-	return r.getWithin(ctx, wholeHead, peer, query, into)
+func (r *Relay) get(ctx context.Context, peer feed.Member, query url.Values, into *response) error {
+	return r.getWithin(ctx, fullReadHeaderTimeout, peer, query, into)
 }
 
-// getWithin asks a peer. Its answer is to begin within head, and then to go on without a
-// pause over mostPause.
-func (r *Relay) getWithin(ctx context.Context, head time.Duration, peer feed.Member, query url.Values, into *answer) error {
+// getWithin sends a query to a peer. The response must start within header and then proceed
+// without a stall longer than stallTimeout.
+func (r *Relay) getWithin(ctx context.Context, header time.Duration, peer feed.Member, query url.Values, into *response) error {
 	path := PathChanges
 	if len(query) > 0 {
 		path += "?" + query.Encode()
 	}
-	err := transport.GetSteadily(ctx, r.client, "ask for changes", peer.Address, path, head, mostPause, into)
+	err := transport.GetSteadily(ctx, r.client, "ask for changes", peer.Address, path, header, stallTimeout, into)
 	var failure *api.Error
 	if errors.As(err, &failure) && failure.Code == api.CodeNoContact {
-		return fmt.Errorf("%w: %w", errBehind, err)
+		return fmt.Errorf("%w: %w", errNoContact, err)
 	}
 	return err
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -25,79 +25,78 @@
 )
 
 const (
-	patience = 30 * time.Second
-	apply    = time.Second
-	longWait = 2 * time.Second // so short that a zone of members shares
-	watchers = 2
-	deputies = 2
-	silence  = 500 * time.Millisecond // beyond its wait until a silent watch is given up
+	testTimeout        = 30 * time.Second
+	apply              = time.Second
+	longWait           = 2 * time.Second // short enough for the zone to use watchers
+	watchers           = 2
+	standbys           = 2
+	watchTimeoutMargin = 500 * time.Millisecond // beyond its wait, until a silent watch times out
 )
 
-// zone is some relays before one stand-in of the platform's store.
+// zone is a set of relays in front of one stand-in of the platform's store.
 type zone struct {
-	t     *testing.T
-	store *standin.Store
-	// watches counts the store's calls of watches.
-	watches atomic.Int64
-	refuse  sync.Map    // ids of members whose calls the store turns away
-	silent  atomic.Bool // the store answers no watch
-	members []feed.Member
-	nodes   []*node
+	t        *testing.T
+	store    *standin.Store
+	watches  atomic.Int64 // polls of the store
+	rejected sync.Map     // ids of members whose calls the store rejects
+	silent   atomic.Bool  // the store does not answer polls
+	members  []feed.Member
+	nodes    []*node
 }
 
 type node struct {
-	id     string
-	relay  *relay.Relay
-	server *httptest.Server
-	frozen atomic.Bool
-	asked  atomic.Int64 // by other members
-	wholes atomic.Int64 // of these, for the whole state
+	id        string
+	relay     *relay.Relay
+	server    *httptest.Server
+	frozen    atomic.Bool
+	requests  atomic.Int64 // from other members
+	fullReads atomic.Int64 // of these, for the full state
 
 	mutex    sync.Mutex
 	revision int64
-	seen     map[string]string
+	state    map[string]string
 }
 
-// turnedAway is the store as a member whose calls may be refused sees it.
-type turnedAway struct {
+// rejectingService is the store as one member sees it; its calls may be rejected.
+type rejectingService struct {
 	relay.Service
 	zone *zone
 	id   string
 }
 
-func (s turnedAway) refused() bool {
-	_, refused := s.zone.refuse.Load(s.id)
-	return refused
+func (s rejectingService) rejected() bool {
+	_, rejected := s.zone.rejected.Load(s.id)
+	return rejected
 }
 
-func (s turnedAway) Poll(ctx context.Context, prefix string, revision int64, wait time.Duration) (kv.Batch, error) {
+func (s rejectingService) Poll(ctx context.Context, prefix string, revision int64, wait time.Duration) (kv.Batch, error) {
 	s.zone.watches.Add(1)
-	if s.refused() {
-		return kv.Batch{}, errors.New("turned away")
+	if s.rejected() {
+		return kv.Batch{}, errors.New("rejected")
 	}
 	if s.zone.silent.Load() {
-		ctx, cancel := context.WithTimeout(ctx, wait+silence)
+		ctx, cancel := context.WithTimeout(ctx, wait+watchTimeoutMargin)
 		defer cancel()
 		<-ctx.Done()
 		return kv.Batch{}, ctx.Err()
 	}
 	batch, err := s.Service.Poll(ctx, prefix, revision, wait)
-	if s.refused() {
-		return kv.Batch{}, errors.New("turned away")
+	if s.rejected() {
+		return kv.Batch{}, errors.New("rejected")
 	}
 	return batch, err
 }
 
-func (s turnedAway) Range(ctx context.Context, prefix string) (kv.RangeResult, error) {
-	if s.refused() {
-		return kv.RangeResult{}, errors.New("turned away")
+func (s rejectingService) Range(ctx context.Context, prefix string) (kv.RangeResult, error) {
+	if s.rejected() {
+		return kv.RangeResult{}, errors.New("rejected")
 	}
 	return s.Service.Range(ctx, prefix)
 }
 
 func newZone(t *testing.T, count int) *zone { return newZoneOf(t, standin.NewStore(), "node-", count) }
 
-// newZoneOf is a zone before a store that others may share.
+// newZoneOf returns a zone in front of a store that other zones may share.
 func newZoneOf(t *testing.T, store *standin.Store, prefix string, count int) *zone {
 	t.Helper()
 	z := &zone{t: t, store: store}
@@ -106,11 +105,11 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	for i := range count {
-		n := &node{id: fmt.Sprint(prefix, i), seen: map[string]string{}}
+		n := &node{id: fmt.Sprint(prefix, i), state: map[string]string{}}
 		n.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			n.asked.Add(1)
+			n.requests.Add(1)
 			if !r.URL.Query().Has("after") {
-				n.wholes.Add(1)
+				n.fullReads.Add(1)
 			}
 			for n.frozen.Load() && r.Context().Err() == nil {
 				time.Sleep(time.Millisecond)
@@ -121,13 +120,13 @@
 		z.members = append(z.members, feed.Member{ID: api.NodeID(n.id), Address: strings.TrimPrefix(n.server.URL, "http://"), Strong: i < watchers})
 		client := platform.NewKeyValue(strings.TrimPrefix(server.URL, "http://"), time.Second, time.Second)
 		settings := feed.Within(api.NodeID(n.id), apply, longWait)
-		n.relay = relay.New(turnedAway{Service: client, zone: z, id: n.id}, settings, func() []feed.Member { return z.members }, logrus.NewEntry(log))
+		n.relay = relay.New(rejectingService{Service: client, zone: z, id: n.id}, settings, func() []feed.Member { return z.members }, logrus.NewEntry(log))
 		z.nodes = append(z.nodes, n)
 	}
 	return z
 }
 
-// start lets all members follow the store until the test ends.
+// start runs all members until the test ends.
 func (z *zone) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -140,45 +139,45 @@
 	})
 }
 
-// follow reads everything and watches, as package catalog does.
+// follow reads the full state and watches, as package catalog does.
 func (n *node) follow(ctx context.Context) {
-	whole := true
+	full := true
 	for ctx.Err() == nil {
-		if whole {
+		if full {
 			result, err := n.relay.Range(ctx, "")
 			if err != nil {
 				time.Sleep(time.Millisecond)
 				continue
 			}
-			n.takeWhole(result)
+			n.load(result)
 		}
 		n.mutex.Lock()
 		revision := n.revision
 		n.mutex.Unlock()
-		err := n.relay.Watch(ctx, "", revision, n.take)
-		whole = errors.Is(err, kv.ErrCompacted)
+		err := n.relay.Watch(ctx, "", revision, n.apply)
+		full = errors.Is(err, kv.ErrCompacted)
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func (n *node) takeWhole(result kv.RangeResult) {
+func (n *node) load(result kv.RangeResult) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.revision = result.Revision
-	clear(n.seen)
+	clear(n.state)
 	for _, pair := range result.Pairs {
-		n.seen[pair.Key] = string(pair.Value)
+		n.state[pair.Key] = string(pair.Value)
 	}
 }
 
-func (n *node) take(batch kv.Batch) {
+func (n *node) apply(batch kv.Batch) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for _, event := range batch.Events {
 		if event.Deleted {
-			delete(n.seen, event.Pair.Key)
+			delete(n.state, event.Pair.Key)
 		} else {
-			n.seen[event.Pair.Key] = string(event.Pair.Value)
+			n.state[event.Pair.Key] = string(event.Pair.Value)
 		}
 	}
 	n.revision = max(n.revision, batch.Revision)
@@ -187,33 +186,34 @@
 func (n *node) value(key string) string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.seen[key]
+	return n.state[key]
 }
 
 func (z *zone) await(what string, done func() bool) {
 	z.t.Helper()
-	for deadline := time.Now().Add(patience); !done(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			z.t.Fatalf("waited in vain for %s", what)
+			z.t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// awaitCalm waits until the watchers have asked some times more: no source is in a pause.
-func (z *zone) awaitCalm() {
-	calm := z.store.Calls("/-/kv-watch") + 3*watchers
-	z.await("calm watches", func() bool { return z.store.Calls("/-/kv-watch") >= calm })
+// awaitSteadyWatches waits for some more polls of the watchers, after which no source is in
+// backoff.
+func (z *zone) awaitSteadyWatches() {
+	steady := z.store.Calls("/-/kv-watch") + 3*watchers
+	z.await("steady watches", func() bool { return z.store.Calls("/-/kv-watch") >= steady })
 }
 
-// allKnow waits until the members hold a value; those that skip names are left out.
-func (z *zone) allKnow(key, value string, skip ...int) {
+// awaitValue waits until all members except those in skip hold a value.
+func (z *zone) awaitValue(key, value string, skip ...int) {
 	z.t.Helper()
 	for i, n := range z.nodes {
-		left := false
+		skipped := false
 		for _, each := range skip {
-			left = left || each == i
+			skipped = skipped || each == i
 		}
-		if !left {
+		if !skipped {
 			z.await(fmt.Sprintf("%s=%q at %s", key, value, n.id), func() bool { return n.value(key) == value })
 		}
 	}
@@ -221,19 +221,18 @@
 
 const members = 24
 
-// Symptom: after the loss of all processes callers were turned away for half a second more.
-// Sequence: all start at once, nobody knows the others yet, each waits for its zone. Cause:
-// the wait that spares the service the reads of a large state was kept for a small one, too.
-func TestAStartThatKnowsNobodyReadsASmallStateAtOnce(t *testing.T) {
+// Guards against rejecting requests for longer than needed after the loss of all processes:
+// a process that knows no peers must not wait for its zone to read a small state.
+func TestStartupWithoutPeersReadsSmallStateImmediately(t *testing.T) {
 	tests := []struct {
 		name  string
 		keys  int
-		known int // the look for others that finds some; the wait looks many times
-		looks int
-		calls int
+		known int // number of the check for members that succeeds
+		looks int // expected checks for members
+		calls int // expected calls of the store
 	}{
-		{"a small state", 10, 9, 1, 1},
-		{"a state of several pages", 600, 3, 3, 1 + 2},
+		{"small state", 10, 9, 1, 1},
+		{"state of several pages", 600, 3, 3, 1 + 2},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -248,42 +247,42 @@
 			}
 			result, err := z.nodes[0].relay.Range(t.Context(), "")
 			if err != nil || len(result.Pairs) != test.keys {
-				t.Fatalf("%d pairs, %v", len(result.Pairs), err)
+				t.Fatalf("got %d pairs, error %v", len(result.Pairs), err)
 			}
 			if calls := z.store.Calls("/-/kv-range"); calls != test.calls || looks != test.looks {
-				t.Errorf("%d calls, %d looks for others; want %d, %d", calls, looks, test.calls, test.looks)
+				t.Errorf("%d calls and %d checks for members, want %d and %d", calls, looks, test.calls, test.looks)
 			}
 		})
 	}
 }
 
-func TestFewMembersAskTheStore(t *testing.T) {
+func TestOnlyWatchersPollStore(t *testing.T) {
 	z := newZone(t, members)
 	z.start()
 	z.store.Put("op/config", []byte("1"))
-	z.allKnow("op/config", "1")
-	// From now on only the watchers ask: one call for a change each, and those that
-	// end without a change.
-	z.await("all members at a watcher", func() bool { return z.nodes[0].asked.Load()+z.nodes[1].asked.Load() > 2*members })
+	z.awaitValue("op/config", "1")
+	// From now on only the watchers poll the store: once per change, and the polls that end
+	// without one.
+	z.await("queries of all members to a watcher", func() bool { return z.nodes[0].requests.Load()+z.nodes[1].requests.Load() > 2*members })
 	before, changes := z.watches.Load(), 20
 	for i := range changes {
 		value := fmt.Sprint(i + 2)
 		z.store.Put("op/config", []byte(value))
-		z.allKnow("op/config", value)
+		z.awaitValue("op/config", value)
 	}
 	if calls := z.watches.Load() - before; calls > int64(members*changes)/4 {
-		t.Errorf("%d calls for %d changes at %d members", calls, changes, members)
+		t.Errorf("%d calls for %d changes and %d members", calls, changes, members)
 	}
 }
 
-func TestDeletionsAndLargeValuesReachAll(t *testing.T) {
+func TestDeletionsAndLargeValuesReachAllMembers(t *testing.T) {
 	z := newZone(t, members)
 	z.start()
 	large := strings.Repeat("a route and another, ", 20_000)
 	z.store.Put("op/config", []byte(large))
-	z.allKnow("op/config", large)
+	z.awaitValue("op/config", large)
 	z.store.Remove("op/config")
-	z.allKnow("op/config", "")
+	z.awaitValue("op/config", "")
 }
 
 func TestLostWatchersAreReplaced(t *testing.T) {
@@ -293,8 +292,8 @@
 	}{
 		{"killed", func(z *zone, i int) { z.nodes[i].server.CloseClientConnections(); z.nodes[i].server.Listener.Close() }},
 		{"frozen", func(z *zone, i int) { z.nodes[i].frozen.Store(true) }},
-		{"leaving", func(z *zone, i int) { z.nodes[i].relay.Withdraw() }},
-		{"turned away by the store", func(z *zone, i int) { z.refuse.Store(z.nodes[i].id, true) }},
+		{"shutting down", func(z *zone, i int) { z.nodes[i].relay.Withdraw() }},
+		{"rejected by the store", func(z *zone, i int) { z.rejected.Store(z.nodes[i].id, true) }},
 	}
 	for _, test := range tests {
 		for _, lost := range []int{1, watchers} {
@@ -302,68 +301,66 @@
 				z := newZone(t, members)
 				z.start()
 				z.store.Put("op/config", []byte("1"))
-				z.allKnow("op/config", "1")
+				z.awaitValue("op/config", "1")
 				for i := range lost {
 					test.lose(z, i)
 				}
 				z.store.Put("op/config", []byte("2"))
 				var skip []int
-				if lost == watchers && test.name == "turned away by the store" {
-					skip = []int{0, 1} // they have only each other; they learn it below
+				if lost == watchers && test.name == "rejected by the store" {
+					skip = []int{0, 1} // they query only each other and the store
 				}
-				z.allKnow("op/config", "2", skip...)
+				z.awaitValue("op/config", "2", skip...)
 				for _, n := range z.nodes {
 					n.frozen.Store(false)
-					z.refuse.Delete(n.id)
+					z.rejected.Delete(n.id)
 				}
 				z.store.Put("op/config", []byte("3"))
-				z.allKnow("op/config", "3")
+				z.awaitValue("op/config", "3")
 			})
 		}
 	}
 }
 
-// pauseOfOlder is longer than the pause after which a peer that was behind is asked again.
-const pauseOfOlder = 400 * time.Millisecond
+// staleRetryDelay is longer than the backoff for a peer with stale state.
+const staleRetryDelay = 400 * time.Millisecond
 
-// A watcher whose state is older than what a member knows is not believed: a worker that
-// has left would be listed again.
-func TestAnOlderStateIsNotTaken(t *testing.T) {
+// Guards against accepting a watcher's state that is older than the local one, which would
+// list workers that have left.
+func TestOlderStateOfPeerIsRejected(t *testing.T) {
 	z := newZone(t, members)
 	const changes = 10
 	for i := range changes {
 		z.store.Put("op/config", []byte(fmt.Sprint(i)))
 	}
-	var tells atomic.Int64 // the revision that watchers tell
+	var served atomic.Int64 // revision that the watchers serve
 	for i := range watchers {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			fmt.Fprintf(w, `{"revision":%d,"pairs":[{"Key":"servers/a","Revision":%d}]}`, tells.Load(), tells.Load())
+			fmt.Fprintf(w, `{"revision":%d,"pairs":[{"Key":"servers/a","Revision":%d}]}`, served.Load(), served.Load())
 		}))
 		t.Cleanup(server.Close)
 		z.members[i].Address = strings.TrimPrefix(server.URL, "http://")
 	}
 	follower := z.nodes[members-1].relay
-	for _, test := range []struct{ tells, want int64 }{{changes, changes}, {changes - 1, changes}, {changes + 5, changes + 5}} {
-		tells.Store(test.tells)
-		time.Sleep(pauseOfOlder) // peers that told an older state are asked again after it
+	for _, test := range []struct{ served, want int64 }{{changes, changes}, {changes - 1, changes}, {changes + 5, changes + 5}} {
+		served.Store(test.served)
+		time.Sleep(staleRetryDelay) // until peers that served an older state are retried
 		result, err := follower.Range(t.Context(), "")
 		if err != nil || result.Revision != test.want {
-			t.Errorf("watchers tell revision %d: got %d (%v), want %d", test.tells, result.Revision, err, test.want)
+			t.Errorf("watchers serve revision %d: got %d (error %v), want %d", test.served, result.Revision, err, test.want)
 		}
 	}
 }
 
-// Symptom: at the start of the whole fleet 986 processes read all pages of the state from the
-// service at once, and most had no configuration when callers came. Sequence: each asks a
-// watcher that knows nothing yet. Cause: a peer that failed was followed by the service,
-// whatever the order of sources says.
-func TestAPeerThatKnowsNothingYetIsAskedAgain(t *testing.T) {
+// Guards against a starting fleet reading all pages from the service at once: a watcher that
+// has no state yet must be retried according to the order of sources.
+func TestPeerWithoutStateIsRetried(t *testing.T) {
 	z := newZone(t, members)
 	z.store.Put("op/config", []byte("1"))
-	var asked atomic.Int64
+	var requests atomic.Int64
 	for i := range z.members[:members-1] {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			if asked.Add(1) <= 4 { // watchers and deputies, once each
+			if requests.Add(1) <= 4 { // watchers and standbys, once each
 				transport.WriteError(w, api.NewError("tell changes", "", api.CodeNoContact, api.OutcomeNotRun, "not yet"))
 				return
 			}
@@ -374,39 +371,38 @@
 	}
 	result, err := z.nodes[members-1].relay.Range(t.Context(), "")
 	if err != nil || result.Revision != 7 {
-		t.Errorf("revision %d, %v", result.Revision, err)
+		t.Errorf("got revision %d, error %v", result.Revision, err)
 	}
 	if reads := z.store.Calls("/-/kv-range"); reads != 0 {
-		t.Errorf("the service was read %d times", reads)
+		t.Errorf("%d full reads from the service, want 0", reads)
 	}
 }
 
-// A member that asks for changes that the watcher has forgotten reads everything.
-func TestWhoIsFarBehindReadsTheWholeState(t *testing.T) {
-	const changes = 3000 // more than a watcher keeps
+// A member that requests changes that the watcher no longer holds reads the full state.
+func TestMemberFarBehindReadsFullState(t *testing.T) {
+	const changes = 3000 // more than a watcher holds
 	z := newZone(t, members)
 	z.store.Put("op/config", []byte("0"))
 	z.start()
-	z.allKnow("op/config", "0")
-	sleeper := z.nodes[members-1]
-	sleeper.mutex.Lock() // its take waits
+	z.awaitValue("op/config", "0")
+	delayed := z.nodes[members-1]
+	delayed.mutex.Lock() // blocks delivery of changes
 	for i := range changes {
 		z.store.Put(fmt.Sprint("key/", i%7), []byte(fmt.Sprint(i)))
 	}
 	z.store.Put("op/config", []byte("1"))
-	z.allKnow("op/config", "1", members-1)
-	if body := z.nodes[0].tell(t, "?after=1&wait_ms=0"); !strings.Contains(body, `"compacted":true`) {
-		t.Errorf("%d changes later the watcher tells %.200s", changes, body)
+	z.awaitValue("op/config", "1", members-1)
+	if body := z.nodes[0].get(t, "?after=1&wait_ms=0"); !strings.Contains(body, `"compacted":true`) {
+		t.Errorf("after %d changes the watcher responds %.200s", changes, body)
 	}
-	sleeper.mutex.Unlock()
-	z.allKnow("op/config", "1")
-	z.allKnow("key/3", fmt.Sprint(changes-1))
+	delayed.mutex.Unlock()
+	z.awaitValue("op/config", "1")
+	z.awaitValue("key/3", fmt.Sprint(changes-1))
 }
 
-// Symptom: each time that the service forgot its history, every watcher of the fleet read
-// all pages of the state. One of them reads it, and all others learn what changed
-// meanwhile.
-func TestAForgottenHistoryIsReadOnce(t *testing.T) {
+// Guards against every watcher of the fleet reading all pages of the state after the service
+// has compacted its history: one reads them, and the others learn the changes from it.
+func TestCompactedHistoryIsReadOnce(t *testing.T) {
 	store := standin.NewStore()
 	zones := []*zone{newZoneOf(t, store, "a-", members), newZoneOf(t, store, "b-", members), newZoneOf(t, store, "c-", members)}
 	for i, z := range zones {
@@ -424,95 +420,88 @@
 	store.Put("op/config", []byte("1"))
 	for _, z := range zones {
 		z.start()
-		z.allKnow("op/config", "1")
+		z.awaitValue("op/config", "1")
 	}
-	calm := store.Calls("/-/kv-watch") + 3*watchers*len(zones) // no source is in a pause any more
-	zones[0].await("calm watches", func() bool { return store.Calls("/-/kv-watch") >= calm })
-	const forgotten = 3
+	steady := store.Calls("/-/kv-watch") + 3*watchers*len(zones) // no source is in backoff any more
+	zones[0].await("steady watches", func() bool { return store.Calls("/-/kv-watch") >= steady })
+	const compactions = 3
 	before := store.Calls("/-/kv-range")
-	for i := range forgotten {
+	for i := range compactions {
 		store.Put("gone", []byte("x"))
 		store.Forget()
 		value := fmt.Sprint(i + 2)
 		store.Put("op/config", []byte(value))
 		for _, z := range zones {
-			z.allKnow("op/config", value)
+			z.awaitValue("op/config", value)
 		}
 	}
-	// A watcher whose teller is late may read for itself.
-	if reads := store.Calls("/-/kv-range") - before; reads > 2*forgotten {
-		t.Errorf("%d reads of the whole state for %d forgotten histories", reads, forgotten)
+	// A watcher whose upstream is late may read for itself.
+	if reads := store.Calls("/-/kv-range") - before; reads > 2*compactions {
+		t.Errorf("%d full reads for %d compactions", reads, compactions)
 	}
 }
 
-// Symptom: each time that the service forgot its history, every process was sent the whole
-// state. Sequence and cause: as in TestAStateReadAnewIsToldByItsDifferences.
-func TestAForgottenHistoryIsToldByItsChanges(t *testing.T) {
+// Guards against sending the full state to every process after the service has compacted its
+// history; see TestFullReadIsServedAsChanges.
+func TestCompactedHistoryIsServedAsChanges(t *testing.T) {
 	for _, count := range []int{members, 2 * members} {
 		z := newZone(t, count)
 		z.store.Put("op/config", []byte("1"))
 		z.start()
-		z.allKnow("op/config", "1")
-		z.awaitCalm()
-		told := func() (wholes int64) {
+		z.awaitValue("op/config", "1")
+		z.awaitSteadyWatches()
+		fullReads := func() (sum int64) {
 			for _, n := range z.nodes {
-				wholes += n.wholes.Load()
+				sum += n.fullReads.Load()
 			}
-			return wholes
+			return sum
 		}
-		const forgotten = 3
-		before := told()
-		for i := range forgotten {
+		const compactions = 3
+		before := fullReads()
+		for i := range compactions {
 			z.store.Put("gone", []byte("x"))
 			z.store.Forget()
 			value := fmt.Sprint(i + 2)
 			z.store.Put("op/config", []byte(value))
-			z.allKnow("op/config", value)
+			z.awaitValue("op/config", value)
 		}
-		if wholes := told() - before; wholes > forgotten*watchers {
-			t.Errorf("%d members: the whole state was told %d times for %d forgotten histories", count, wholes, forgotten)
+		if reads := fullReads() - before; reads > compactions*watchers {
+			t.Errorf("%d members: %d full reads from peers for %d compactions", count, reads, compactions)
 		}
 	}
 }
 
-// Symptom: 387 of 986 processes read all pages of the state from the service at once, which
-// took its link 11 s; meanwhile a configuration was not in force there. Sequence: watchers
-// have no contact for a while, the others turn to the service, which has forgotten its
-// history. Cause: who was told so read everything for himself, though his watchers were
-// about to.
-func TestWhoFollowsLeavesTheStateToItsWatchers(t *testing.T) {
+// Guards against followers reading all pages from the service at once: if they find its
+// history compacted while their watchers have lost contact, the watchers will read the state.
+func TestFollowersLeaveFullReadToWatchers(t *testing.T) {
 	for _, count := range []int{members, 2 * members} {
 		z := newZone(t, count)
 		z.store.Put("op/config", []byte("1"))
 		z.start()
-		z.allKnow("op/config", "1")
-		z.awaitCalm()
-		leading := z.nodes[:watchers+deputies]
-		for _, n := range leading {
-			z.refuse.Store(n.id, true)
+		z.awaitValue("op/config", "1")
+		z.awaitSteadyWatches()
+		servers := z.nodes[:watchers+standbys]
+		for _, n := range servers {
+			z.rejected.Store(n.id, true)
 		}
 		reads, watches := z.store.Calls("/-/kv-range"), z.store.Calls("/-/kv-watch")
 		z.store.Put("gone", []byte("x"))
 		z.store.Forget()
 		z.store.Put("op/config", []byte("2"))
-		z.await("followers at the service", func() bool { return z.store.Calls("/-/kv-watch") >= watches+count/2 })
-		for _, n := range leading {
-			z.refuse.Delete(n.id)
+		z.await("polls of followers", func() bool { return z.store.Calls("/-/kv-watch") >= watches+count/2 })
+		for _, n := range servers {
+			z.rejected.Delete(n.id)
 		}
-		z.allKnow("op/config", "2")
-		if more := z.store.Calls("/-/kv-range") - reads; more > 2*(watchers+deputies) {
-			t.Errorf("%d members: the whole state was read %d times", count, more)
+		z.awaitValue("op/config", "2")
+		if more := z.store.Calls("/-/kv-range") - reads; more > 2*(watchers+standbys) {
+			t.Errorf("%d members: %d full reads from the service", count, more)
 		}
 	}
 }
 
-// Symptom: in the worst moment of the service, which told its watches nothing for five
-// seconds and then forgot its history, hundreds of processes asked it for themselves and
-// read all pages of the state: 24,842 calls, and a configuration that was not in force
-// everywhere in time. Sequence: watchers have no word, so that they tell the others that
-// they have no contact; these turn to the service. Cause: a silent watch was taken for a
-// lost service, and everybody stood in for the watchers.
-func TestSilentWatchesAreNoStorm(t *testing.T) {
+// Guards against treating silent watches as a lost service: all followers would fall back to
+// the service and read all pages of the state.
+func TestSilentWatchesDoNotCauseReadStorm(t *testing.T) {
 	for _, count := range []int{members, 2 * members} {
 		z := newZone(t, count)
 		for _, n := range z.nodes {
@@ -520,8 +509,8 @@
 		}
 		z.store.Put("op/config", []byte("1"))
 		z.start()
-		z.allKnow("op/config", "1")
-		z.awaitCalm()
+		z.awaitValue("op/config", "1")
+		z.awaitSteadyWatches()
 		z.silent.Store(true)
 		reads := z.store.Calls("/-/kv-range")
 		const changes = 4
@@ -530,18 +519,18 @@
 			z.store.Forget()
 			value := fmt.Sprint(i + 2)
 			z.store.Put("op/config", []byte(value))
-			z.allKnow("op/config", value)
+			z.awaitValue("op/config", value)
 		}
-		// Watchers and for a moment deputies; all members would be twice the bound and more.
-		// feed's fleet counts on a virtual clock.
+		// Watchers and briefly standbys may read; reads by all members would exceed the bound
+		// at least twice.
 		if more := z.store.Calls("/-/kv-range") - reads; more > count*changes/2 {
-			t.Errorf("%d members: the whole state was read %d times for %d changes", count, more, changes)
+			t.Errorf("%d members: %d full reads for %d changes", count, more, changes)
 		}
 	}
 }
 
-// tell asks a member as others do.
-func (n *node) tell(t *testing.T, query string) string {
+// get sends a query to a member and returns the body of the response.
+func (n *node) get(t *testing.T, query string) string {
 	t.Helper()
 	response, err := http.Get(n.server.URL + relay.PathChanges + query)
 	if err != nil {
@@ -555,7 +544,7 @@
 	return string(body)
 }
 
-func TestAQuestionThatCannotBeReadIsRefused(t *testing.T) {
+func TestInvalidQueryIsRejected(t *testing.T) {
 	z := newZone(t, members)
 	tests := []struct{ query string }{{"?after=x&wait_ms=0"}, {"?after=1"}, {"?after=1&wait_ms=-1"}, {"?after=1&wait_ms=soon"}}
 	for _, test := range tests {
@@ -570,8 +559,8 @@
 	}
 }
 
-// A process that the service has not answered tells nothing.
-func TestWithoutContactNothingIsTold(t *testing.T) {
+// A process that has not had an answer from the service rejects queries.
+func TestNothingIsServedWithoutContact(t *testing.T) {
 	z := newZone(t, members)
 	for _, query := range []string{"", "?after=0&wait_ms=0"} {
 		response, err := http.Get(z.nodes[0].server.URL + relay.PathChanges + query)
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -12,13 +12,14 @@
 	"github.com/dykewing/dykewing/internal/transport"
 )
 
-// ServeChanges answers PathChanges: changes after a revision as soon as there are
-// any, or the whole state. It answers only what the service itself has told this
-// process, and only while that is fresh, so that nobody relies on a chain.
+// ServeChanges handles PathChanges: it responds with the full state, or with the changes
+// after a revision as soon as there are any. It serves only what this process has received
+// and only while its own contact with the service is recent, so that staleness does not
+// add up along a chain of processes.
 func (r *Relay) ServeChanges(w http.ResponseWriter, request *http.Request) {
 	query := request.URL.Query()
 	if !query.Has(parameterAfter) {
-		r.serveWhole(w, request)
+		r.serveFullState(w, request)
 		return
 	}
 	revision, err := strconv.ParseInt(query.Get(parameterAfter), 10, 64)
@@ -28,46 +29,46 @@
 	}
 	milliseconds, err := strconv.ParseInt(query.Get(parameterWait), 10, 64)
 	if err != nil || milliseconds < 0 {
-		transport.WriteError(w, api.NewError("read question for changes", "", api.CodeBadRequest, api.OutcomeNotRun, "%s is no number of milliseconds", parameterWait))
+		transport.WriteError(w, api.NewError("read question for changes", "", api.CodeBadRequest, api.OutcomeNotRun, "%s is not a number of milliseconds", parameterWait))
 		return
 	}
 	wait := min(time.Duration(milliseconds)*time.Millisecond, r.settings.Fresh)
 	r.serveChanges(w, request, revision, wait)
 }
 
-func (r *Relay) serveWhole(w http.ResponseWriter, request *http.Request) {
-	state := r.mirror.after(0)
-	if !r.serves(state, clock.Now()) {
+func (r *Relay) serveFullState(w http.ResponseWriter, request *http.Request) {
+	state := r.mirror.statusAfter(0)
+	if !r.isFresh(state, clock.Now()) {
 		r.refuse(w, state)
 		return
 	}
-	r.tell(w, request, asked{whole: true, revision: state.revision}, r.mirror.whole)
+	r.respondCached(w, request, cacheKey{full: true, revision: state.revision}, r.mirror.fullState)
 }
 
-// serveChanges answers at the latest after wait; without changes, as soon as the
-// service has answered this process since the question came.
+// serveChanges responds within wait. Without changes it responds as soon as the service has
+// answered this process since the query arrived.
 func (r *Relay) serveChanges(w http.ResponseWriter, request *http.Request, revision int64, wait time.Duration) {
-	came := clock.Now()
+	arrived := clock.Now()
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for expired := wait == 0; ; {
-		state := r.mirror.after(revision)
+		state := r.mirror.statusAfter(revision)
 		switch {
-		case state.compacted && r.serves(state, clock.Now()):
-			r.write(w, request, answer{Revision: state.revision, Compacted: true})
+		case state.compacted && r.isFresh(state, clock.Now()):
+			r.respond(w, request, response{Revision: state.revision, Compacted: true})
 			return
-		case state.news && r.serves(state, clock.Now()):
-			r.tell(w, request, asked{after: revision, revision: state.revision}, func() answer { return r.mirror.changes(revision) })
+		case state.hasChanges && r.isFresh(state, clock.Now()):
+			r.respondCached(w, request, cacheKey{after: revision, revision: state.revision}, func() response { return r.mirror.changesAfter(revision) })
 			return
-		case !state.usable || expired && !r.serves(state, clock.Now()):
+		case !state.usable || expired && !r.isFresh(state, clock.Now()):
 			r.refuse(w, state)
 			return
-		case expired || state.contact.After(came):
-			r.write(w, request, answer{Revision: state.revision})
+		case expired || state.lastContact.After(arrived):
+			r.respond(w, request, response{Revision: state.revision})
 			return
 		}
 		select {
-		case <-state.changed:
+		case <-state.updated:
 		case <-timer.C:
 			expired = true
 		case <-request.Context().Done():
@@ -76,47 +77,47 @@
 	}
 }
 
-// serves tells whether others may rely on what this process knows.
-func (r *Relay) serves(state standing, now time.Time) bool {
-	return state.usable && now.Sub(state.contact) <= r.settings.Fresh
+// isFresh reports whether peers may rely on the state of this process.
+func (r *Relay) isFresh(state status, now time.Time) bool {
+	return state.usable && now.Sub(state.lastContact) <= r.settings.Fresh
 }
 
-func (r *Relay) refuse(w http.ResponseWriter, state standing) {
+func (r *Relay) refuse(w http.ResponseWriter, state status) {
 	transport.WriteError(w, api.NewError("tell changes", "", api.CodeNoContact, api.OutcomeNotRun,
-		"the service answered this process last %v ago", clock.Since(state.contact).Round(time.Millisecond)))
+		"last answer of the service was %v ago", clock.Since(state.lastContact).Round(time.Millisecond)))
 }
 
-// tell answers a question that all processes of the zone ask alike.
-func (r *Relay) tell(w http.ResponseWriter, request *http.Request, question asked, build func() answer) {
-	body, err := r.told.answer(question, build)
+// respondCached responds to a query that all processes of the zone send alike.
+func (r *Relay) respondCached(w http.ResponseWriter, request *http.Request, key cacheKey, build func() response) {
+	body, err := r.responses.get(key, build)
 	if err != nil {
-		r.fail(w, err)
+		r.respondError(w, err)
 		return
 	}
-	r.send(w, request, body)
+	r.writeBody(w, request, body)
 }
 
-// write answers a question with a body that is its own.
-func (r *Relay) write(w http.ResponseWriter, request *http.Request, body answer) {
+// respond encodes a body for one request.
+func (r *Relay) respond(w http.ResponseWriter, request *http.Request, body response) {
 	raw, err := json.Marshal(body)
 	if err != nil {
-		r.fail(w, err)
+		r.respondError(w, err)
 		return
 	}
-	r.send(w, request, encoded{plain: raw})
+	r.writeBody(w, request, encoded{plain: raw})
 }
 
-func (r *Relay) fail(w http.ResponseWriter, err error) {
-	transport.WriteError(w, api.NewError("tell changes", "", api.CodeInternal, api.OutcomeNotRun, "encode: %w", err))
+func (r *Relay) respondError(w http.ResponseWriter, err error) {
+	transport.WriteError(w, api.NewError("tell changes", "", api.CodeInternal, api.OutcomeNotRun, "encode response: %w", err))
 }
 
-// send gives the body, compressed where it is and the asker reads that.
-func (r *Relay) send(w http.ResponseWriter, request *http.Request, body encoded) {
+// writeBody writes a body, compressed if it is available so and the client accepts gzip.
+func (r *Relay) writeBody(w http.ResponseWriter, request *http.Request, body encoded) {
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
 	raw := body.plain
-	if body.packed != nil && strings.Contains(request.Header.Get("Accept-Encoding"), gzipEncoding) {
-		raw = body.packed
+	if body.gzipped != nil && strings.Contains(request.Header.Get("Accept-Encoding"), gzipEncoding) {
+		raw = body.gzipped
 		header.Set("Content-Encoding", gzipEncoding)
 	}
 	header.Set("Content-Length", strconv.Itoa(len(raw)))
--- a/internal/relay/start.go
+++ b/internal/relay/start.go
@@ -11,37 +11,36 @@
 )
 
 const (
-	// joinWait is for how long a process that starts does not read a large state from the
-	// service before it knows the others of its zone: a live one answers within a round
-	// trip, one that starts at the same time within a heartbeat. Longer it must not be: a
-	// process whose zone is lost has no configuration until then.
-	joinWait = 500 * time.Millisecond
-	joinPoll = 20 * time.Millisecond
+	// zoneWaitTimeout bounds how long a starting process waits to learn the members of its
+	// zone before it reads a large state from the service. A process whose zone is lost has
+	// no configuration until then.
+	zoneWaitTimeout  = 500 * time.Millisecond
+	zonePollInterval = 20 * time.Millisecond
 )
 
-// awaitJoined waits until this process knows the others of its zone, once.
-func (r *Relay) awaitJoined(ctx context.Context) {
-	if r.joined || r.Joined == nil {
+// awaitZone waits, on its first call only, until the members of the zone are known.
+func (r *Relay) awaitZone(ctx context.Context) {
+	if r.zoneAwaited || r.Joined == nil {
 		return
 	}
-	r.joined = true
-	for deadline := clock.Now().Add(joinWait); !r.Joined() && clock.Until(deadline) > 0 && ctx.Err() == nil; {
-		pause.For(ctx, joinPoll)
+	r.zoneAwaited = true
+	for deadline := clock.Now().Add(zoneWaitTimeout); !r.Joined() && clock.Until(deadline) > 0 && ctx.Err() == nil; {
+		pause.For(ctx, zonePollInterval)
 	}
 }
 
-// smallOfService reads a state that fits one call, where this process starts and does not
-// know its zone yet. After the loss of all processes there is nobody who could tell it, and
-// callers were turned away for the whole joinWait. The call is the price: one a process.
-func (r *Relay) smallOfService(ctx context.Context) (kv.RangeResult, bool) {
-	if r.joined || r.Joined == nil || r.Joined() {
+// readSmallState reads a state that fits one call while this process starts and does not know
+// its zone yet. It saves the wait for the zone after the loss of all processes, at the price
+// of one call per process.
+func (r *Relay) readSmallState(ctx context.Context) (kv.RangeResult, bool) {
+	if r.zoneAwaited || r.Joined == nil || r.Joined() {
 		return kv.RangeResult{}, false
 	}
-	result, whole, err := r.Service.RangeOnce(ctx, "")
-	if err == nil && !whole {
+	result, complete, err := r.Service.RangeOnce(ctx, "")
+	if err == nil && !complete {
 		return kv.RangeResult{}, false
 	}
-	r.ended(feed.Question{}, result.Revision, err)
+	r.record(feed.Question{}, result.Revision, err)
 	if err != nil {
 		return kv.RangeResult{}, false
 	}
--- a/internal/relay/told.go
+++ b/internal/relay/told.go
@@ -10,77 +10,76 @@
 )
 
 const (
-	// compressFrom is the size of a body from which gzip pays for itself: a
-	// configuration goes over the watcher's link once for each process of its zone.
-	compressFrom = 1 << 10
-	gzipEncoding = "gzip"
-	// mostTold answers are kept: processes that ask at once are a round of changes apart
-	// at the most, and some read the whole state meanwhile.
-	mostTold = 3
+	// minCompressBytes is the size of a body from which gzip is worthwhile.
+	minCompressBytes = 1 << 10
+	gzipEncoding     = "gzip"
+	// maxCachedResponses covers processes that are one batch of changes apart, and full
+	// reads at the same time.
+	maxCachedResponses = 3
 )
 
-// asked names what a process was asked for.
-type asked struct {
-	whole           bool
+// cacheKey identifies a response: the full state, or the changes after a revision, as of
+// another revision.
+type cacheKey struct {
+	full            bool
 	after, revision int64
 }
 
-// encoded is an answer as it travels.
+// encoded is the JSON encoding of a response.
 type encoded struct {
-	plain  []byte
-	packed []byte // nil where it does not pay
+	plain   []byte
+	gzipped []byte // nil for small bodies
 }
 
-// told keeps the last answers, encoded: all processes of a zone are told the same, and
-// each answer is built once and not once a process. The zero value is empty.
-type told struct {
-	mutex sync.Mutex // guards all below, and lets the others wait while one builds
-	last  []toldAnswer
+// responseCache holds the last encoded responses, since all processes of a zone send the same
+// queries. The zero value is empty. It is safe for concurrent use.
+type responseCache struct {
+	mutex   sync.Mutex // guards all below; held during a build, so that each response is built once
+	entries []cachedResponse
 }
 
-type toldAnswer struct {
-	question asked
-	body     encoded
+type cachedResponse struct {
+	key  cacheKey
+	body encoded
 }
 
-// answer gives the answer to a question, and builds it where it is not kept.
-func (t *told) answer(question asked, build func() answer) (encoded, error) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	known := slices.IndexFunc(t.last, func(each toldAnswer) bool { return each.question == question })
+// get returns the response for key, and builds it if it is not cached.
+func (c *responseCache) get(key cacheKey, build func() response) (encoded, error) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	known := slices.IndexFunc(c.entries, func(each cachedResponse) bool { return each.key == key })
 	if known >= 0 {
-		return t.last[known].body, nil
+		return c.entries[known].body, nil
 	}
 	body, err := encode(build())
 	if err != nil {
 		return encoded{}, err
 	}
-	t.last = append(t.last[max(len(t.last)-mostTold+1, 0):], toldAnswer{question: question, body: body})
+	c.entries = append(c.entries[max(len(c.entries)-maxCachedResponses+1, 0):], cachedResponse{key: key, body: body})
 	return body, nil
 }
 
-// forget drops what is kept, where nobody asks any more.
-func (t *told) forget() {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.last = nil
+func (c *responseCache) clear() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.entries = nil
 }
 
-func encode(body answer) (encoded, error) {
+func encode(body response) (encoded, error) {
 	plain, err := json.Marshal(body)
-	if err != nil || len(plain) < compressFrom {
+	if err != nil || len(plain) < minCompressBytes {
 		return encoded{plain: plain}, err
 	}
 	var buffer bytes.Buffer
-	writer, err := gzip.NewWriterLevel(&buffer, gzip.BestSpeed) // 13 ms for 22 of 2.5 MB, 8% more bytes (one run)
+	writer, err := gzip.NewWriterLevel(&buffer, gzip.BestSpeed)
 	if err != nil {
-		return encoded{}, fmt.Errorf("compress answer: %w", err)
+		return encoded{}, fmt.Errorf("compress response: %w", err)
 	}
 	if _, err := writer.Write(plain); err != nil {
-		return encoded{}, fmt.Errorf("compress answer: %w", err)
+		return encoded{}, fmt.Errorf("compress response: %w", err)
 	}
 	if err := writer.Close(); err != nil {
-		return encoded{}, fmt.Errorf("compress answer: %w", err)
+		return encoded{}, fmt.Errorf("compress response: %w", err)
 	}
-	return encoded{plain: plain, packed: buffer.Bytes()}, nil
+	return encoded{plain: plain, gzipped: buffer.Bytes()}, nil
 }
