--- a/internal/relayed/relayed.go
+++ b/internal/relayed/relayed.go
@@ -1,7 +1,7 @@
-// Package relayed asks processes that may be out of reach: straight, or through one peer
-// that reaches them, as package detour decides. A question that a peer passes on goes to
-// the process that it names and no further: the paths that are passed on are listed, and
-// the one that passes on is not among them.
+// Package relayed sends requests to processes that this one may not reach: directly, or
+// through one peer that reaches them, as package detour decides. A peer forwards a request
+// only to the process named in it and only under listed paths, which exclude the forwarding
+// path itself, so that a request takes at most one hop.
 package relayed
 
 import (
@@ -21,278 +21,282 @@
 	"github.com/dykewing/dykewing/internal/transport"
 )
 
-// Settings of an Asker.
+// Settings configure an Asker.
 type Settings struct {
 	Self     func() api.Node
-	Nodes    func() []api.Node // the live view
-	Paths    []string          // that this process passes on for others
+	Nodes    func() []api.Node // the known processes
+	Paths    []string          // HTTP paths that this process forwards for peers
 	Log      *logrus.Entry
 	Registry Registerer
-	// DialTimeout is until a connection is up; 0: dialTimeout.
+	// DialTimeout bounds the time to establish a connection; 0: 50 ms.
 	DialTimeout time.Duration
 }
 
-// Asker asks for one process, and passes on what its peers ask. It may be used from
-// anywhere.
+// Asker sends requests of this process and forwards those of its peers. It is safe for
+// concurrent use.
 type Asker struct {
 	settings Settings
 	client   *http.Client
 	metrics  *metrics
-	room     chan struct{} // a token for each question that is passed on
+	slots    chan struct{} // holds a token per forwarded request
 
-	mutex   sync.Mutex // guards all below
-	ways    *detour.Ways
-	peers   []api.NodeID
-	peersAt time.Time
+	mutex        sync.Mutex // guards all below
+	paths        *detour.Ways
+	peers        []api.NodeID
+	peersUpdated time.Time
 }
 
-// Question is what is asked.
+// Question is a request to a process.
 type Question struct {
-	Step   string // for errors
+	Step   string // operation, for errors
 	Target api.Node
 	Path   string
 	Body   any
-	// Within is for how long an answer is of use, over all ways.
+	// Within is the timeout, over all attempts.
 	Within time.Duration
-	// Repeatable: the process knows copies of a question, so that it may go by several
-	// ways at once. Any other one goes by the next way only when it has provably not
-	// arrived by the one before.
+	// Repeatable requests may be sent over several paths at once, since the process detects
+	// duplicates. Others are retried only if the previous attempt certainly did not arrive.
 	Repeatable bool
 }
 
 const (
-	// mostPassedOn at once: about what comes in the time of one at the busiest frontend
-	// when a third of its zone asks through it.
-	mostPassedOn = 64
-	// wayMargin of a question's time is left for a peer's own answer.
-	wayMargin = 10 * time.Millisecond
-	// leastTime must be left for a way after the first one to begin: with less a peer that works could not
-	// answer, and would be left alone for it.
-	leastTime = wayMargin + 10*time.Millisecond
-	// peersLife is how long the order of peers is kept: to make it costs a hash a process.
-	peersLife = 250 * time.Millisecond
-	// connections kept to each process, how long, and until one is up: within the time
-	// that an owner of limits has.
-	connections        = 2
+	// maxForwarded bounds the requests that are forwarded concurrently. It covers the load of
+	// the busiest frontend when a third of its zone sends through it.
+	maxForwarded = 64
+	// forwardMargin is subtracted from the timeout of a forwarded request, so that the peer can
+	// still reply.
+	forwardMargin = 10 * time.Millisecond
+	// minAttemptTime must be left to start another attempt. With less a healthy peer could not
+	// reply in time, and would be backed off from.
+	minAttemptTime = forwardMargin + 10*time.Millisecond
+	// peersTTL is how long the order of peers is cached, which costs a hash per process.
+	peersTTL    = 250 * time.Millisecond
+	connections = 2 // per process
+	// dialTimeout is within the time that a request to an owner of rate limits has.
 	dialTimeout        = 50 * time.Millisecond
 	connectionLifetime = 30 * time.Second
 	silenceLimit       = time.Second
 )
 
-// New gives an asker; ServeHTTP is to be served under Path.
+// New returns an Asker. Its ServeHTTP must be served under Path.
 func New(settings Settings) *Asker {
 	return &Asker{
-		settings: settings, metrics: newMetrics(settings.Registry), room: make(chan struct{}, mostPassedOn), ways: detour.New(),
+		settings: settings, metrics: newMetrics(settings.Registry), slots: make(chan struct{}, maxForwarded), paths: detour.New(),
 		client: transport.NewProbingClient(transport.Options{
 			ConnectionsPerHost: connections, DialTimeout: cmp.Or(settings.DialTimeout, dialTimeout), IdleLifetime: connectionLifetime, SilenceLimit: silenceLimit,
 		}),
 	}
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (a *Asker) Close() { a.client.CloseIdleConnections() }
 
-// Apart tells whether this process reaches none of those that it asks straight.
+// Apart reports whether this process reaches none of the processes that it sends requests to
+// directly.
 func (a *Asker) Apart() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return a.ways.Apart(clock.Now())
+	return a.paths.Apart(clock.Now())
 }
 
-// outcome is what one way brought.
-type outcome struct {
-	way    detour.Way
-	result detour.Result
+// attemptResult is the result of one attempt.
+type attemptResult struct {
+	path   detour.Way
+	status detour.Result
 	body   json.RawMessage
 	err    error
 }
 
-// Ask decodes the first answer that comes by any way, and tells by which peer (empty:
-// straight). What comes later by the others only tells which ways work.
-func (a *Asker) Ask(ctx context.Context, question Question, answer any) (api.NodeID, error) {
-	body, err := json.Marshal(question.Body)
+// Ask sends a request and decodes the first answer of any attempt into answer. It returns the
+// peer that forwarded the request; empty: it was sent directly. Later results only update the
+// state of the paths. Errors of an *api.Error type carry what is known of the request's
+// effect; if ctx ends first, its error is returned.
+func (a *Asker) Ask(ctx context.Context, request Question, answer any) (api.NodeID, error) {
+	body, err := json.Marshal(request.Body)
 	if err != nil {
-		return "", api.NewError(question.Step, question.Target.Address, api.CodeInternal, api.OutcomeNotRun, "encode: %w", err)
+		return "", api.NewError(request.Step, request.Target.Address, api.CodeInternal, api.OutcomeNotRun, "encode request: %w", err)
 	}
-	// Ways are not cut when another has answered: their end tells whether they work.
-	within, cancel := context.WithTimeout(context.WithoutCancel(ctx), question.Within)
-	run := &asking{Asker: a, question: question, body: body, ends: make(chan outcome, mostWays), ctx: within}
-	won, err := run.run(ctx)
-	go run.finish(cancel)
+	// Other attempts go on after the first answer, since their results show which paths work.
+	within, cancel := context.WithTimeout(context.WithoutCancel(ctx), request.Within)
+	c := &call{Asker: a, request: request, body: body, results: make(chan attemptResult, maxAttempts), ctx: within}
+	first, err := c.run(ctx)
+	go c.drain(cancel)
 	if err != nil {
-		a.metrics.asked.WithLabelValues("none").Inc()
+		a.metrics.requests.WithLabelValues("none").Inc()
 		return "", err
 	}
-	if err := json.Unmarshal(won.body, answer); err != nil {
-		return "", api.NewError(question.Step, question.Target.Address, api.CodeUpstream, api.OutcomeUnknown, "read answer: %w", err)
+	if err := json.Unmarshal(first.body, answer); err != nil {
+		return "", api.NewError(request.Step, request.Target.Address, api.CodeUpstream, api.OutcomeUnknown, "decode answer: %w", err)
 	}
-	a.metrics.asked.WithLabelValues(label(won.way)).Inc()
-	return won.way.Via, nil
+	a.metrics.requests.WithLabelValues(label(first.path)).Inc()
+	return first.path.Via, nil
 }
 
-func label(way detour.Way) string {
-	if way.Straight() {
+func label(path detour.Way) string {
+	if path.Straight() {
 		return "straight"
 	}
 	return "peer"
 }
 
-// mostWays of one question: the straight one and detour's peers, with room.
-const mostWays = 8
+// maxAttempts bounds the concurrent attempts of one request. It exceeds the direct one and the
+// peers that detour selects.
+const maxAttempts = 8
 
-// asking is one question under way.
-type asking struct {
+// call is a request in progress.
+type call struct {
 	*Asker
-	question Question
+	request  Question
 	body     []byte
-	ends     chan outcome
+	results  chan attemptResult
 	ctx      context.Context
-	machine  *detour.Question
-	begun    int // ways
-	open     int // of them under way
+	attempts *detour.Question
+	started  int // attempts
+	pending  int // attempts in progress
 }
 
-// run tries ways until one answers, none is left or the time is over.
-func (r *asking) run(caller context.Context) (outcome, error) {
+// run starts attempts until one is answered, none is left or the time is over.
+func (r *call) run(caller context.Context) (attemptResult, error) {
 	r.mutex.Lock()
-	r.machine = r.ways.Begin(clock.Now(), r.question.Target.ID, r.question.Repeatable)
+	r.attempts = r.paths.Begin(clock.Now(), r.request.Target.ID, r.request.Repeatable)
 	r.mutex.Unlock()
-	var failed error // of all ways that ended
-	more := r.next()
+	var failed error // errors of all attempts
+	more := r.startNext()
 	for {
 		var due <-chan time.Time
-		if more && r.question.Repeatable {
-			due = time.After(r.due())
+		if more && r.request.Repeatable {
+			due = time.After(r.untilDue())
 		}
 		select {
-		case end := <-r.ends:
-			r.note(end)
-			if end.err == nil {
-				return end, nil
+		case result := <-r.results:
+			r.record(result)
+			if result.err == nil {
+				return result, nil
 			}
-			failed = errors.Join(failed, end.err)
-			if more = more && r.mayGoOn(end); more {
-				more = r.next()
+			failed = errors.Join(failed, result.err)
+			if more = more && r.mayRetry(result); more {
+				more = r.startNext()
 			}
 		case <-due:
-			more = r.next()
+			more = r.startNext()
 		case <-r.ctx.Done():
-			return outcome{}, errors.Join(failed, api.NewError(r.question.Step, r.question.Target.Address, api.CodeDeadline, api.OutcomeUnknown, "no answer by any way within %v", r.question.Within))
+			return attemptResult{}, errors.Join(failed, api.NewError(r.request.Step, r.request.Target.Address, api.CodeDeadline, api.OutcomeUnknown, "no answer on any path within %v", r.request.Within))
 		case <-caller.Done():
-			return outcome{}, caller.Err()
+			return attemptResult{}, caller.Err()
 		}
-		if r.open == 0 && !more {
-			return outcome{}, failed
+		if r.pending == 0 && !more {
+			return attemptResult{}, failed
 		}
 	}
 }
 
-// mayGoOn tells whether the question may go by another way after one failed.
-func (r *asking) mayGoOn(end outcome) bool {
-	if end.result == detour.Answered {
-		return false // the process itself said no
+// mayRetry reports whether another attempt may follow a failed one.
+func (r *call) mayRetry(result attemptResult) bool {
+	if result.status == detour.Answered {
+		return false // the process itself returned the error
 	}
 	var failure *api.Error
-	return r.question.Repeatable || errors.As(end.err, &failure) && failure.Outcome == api.OutcomeNotRun
+	return r.request.Repeatable || errors.As(result.err, &failure) && failure.Outcome == api.OutcomeNotRun
 }
 
-func (r *asking) due() time.Duration {
+func (r *call) untilDue() time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return max(r.machine.Due().Sub(clock.Now()), 0)
+	return max(r.attempts.Due().Sub(clock.Now()), 0)
 }
 
-// next begins the next way; false without one.
-func (r *asking) next() bool {
-	if deadline, _ := r.ctx.Deadline(); r.begun > 0 && time.Until(deadline) < leastTime {
+// startNext starts the next attempt and reports whether it did.
+func (r *call) startNext() bool {
+	if deadline, _ := r.ctx.Deadline(); r.started > 0 && time.Until(deadline) < minAttemptTime {
 		return false
 	}
 	now := clock.Now()
 	r.mutex.Lock()
-	way, ok := r.machine.Next(now, func() []api.NodeID { return r.listPeers(now) })
+	path, ok := r.attempts.Next(now, func() []api.NodeID { return r.listPeers(now) })
 	r.mutex.Unlock()
-	if !ok || r.open == mostWays {
+	if !ok || r.pending == maxAttempts {
 		return false
 	}
-	r.begun, r.open = r.begun+1, r.open+1
-	go func() { r.ends <- r.send(r.ctx, way, r.question, r.body) }()
+	r.started, r.pending = r.started+1, r.pending+1
+	go func() { r.results <- r.send(r.ctx, path, r.request, r.body) }()
 	return true
 }
 
-// note takes the end of one way.
-func (r *asking) note(end outcome) {
-	r.open--
-	r.changed(r.question.Target.ID, end, func(now time.Time) bool { return r.machine.Ended(now, end.way, end.result) })
+// record records the result of an attempt.
+func (r *call) record(result attemptResult) {
+	r.pending--
+	r.updatePath(r.request.Target.ID, result, func(now time.Time) bool { return r.attempts.Ended(now, result.path, result.status) })
 }
 
-// changed logs it when what a way's end tells changes the way to a process.
-func (a *Asker) changed(target api.NodeID, end outcome, take func(now time.Time) bool) {
+// updatePath calls apply, which reports whether the path to target has changed, and logs a
+// change.
+func (a *Asker) updatePath(target api.NodeID, result attemptResult, apply func(now time.Time) bool) {
 	now := clock.Now()
 	a.mutex.Lock()
-	before := a.ways.Changed(target)
-	changed := take(now)
+	before := a.paths.Changed(target)
+	changed := apply(now)
 	a.mutex.Unlock()
 	if !changed {
 		return
 	}
 	entry := a.settings.Log.WithFields(logrus.Fields{
-		"event": "way_changed", "target": target, "via": end.way.Via, "answered": end.result == detour.Answered,
+		"event": "way_changed", "target": target, "via": result.path.Via, "answered": result.status == detour.Answered,
 	})
 	if !before.IsZero() {
 		entry = entry.WithField("age_ms", now.Sub(before).Milliseconds())
 	}
-	entry.Info("A process is asked by another way than before.")
+	entry.Info("Path to a process has changed.")
 }
 
-// finish takes the ends of the ways that were not waited for.
-func (r *asking) finish(cancel context.CancelFunc) {
+// drain records the results of the attempts that were still running when run returned.
+func (r *call) drain(cancel context.CancelFunc) {
 	defer cancel()
-	for r.open > 0 {
-		r.note(<-r.ends)
+	for r.pending > 0 {
+		r.record(<-r.results)
 	}
 }
 
-// listPeers is the order of peers; the mutex is held.
+// listPeers returns the peers in order of preference; the mutex must be held.
 func (a *Asker) listPeers(now time.Time) []api.NodeID {
-	if now.Sub(a.peersAt) > peersLife || a.peers == nil {
-		a.peers, a.peersAt = detour.Peers(a.settings.Self(), a.settings.Nodes()), now
+	if now.Sub(a.peersUpdated) > peersTTL || a.peers == nil {
+		a.peers, a.peersUpdated = detour.Peers(a.settings.Self(), a.settings.Nodes()), now
 	}
 	return a.peers
 }
 
-// send asks by one way.
-func (a *Asker) send(ctx context.Context, way detour.Way, question Question, body json.RawMessage) outcome {
-	end := outcome{way: way}
-	if way.Straight() {
-		end.err = transport.Call(ctx, a.client, question.Step, question.Target.Address, question.Path, body, &end.body)
-		end.result = resultOf(end.err)
-		return end
+// send makes one attempt.
+func (a *Asker) send(ctx context.Context, path detour.Way, request Question, body json.RawMessage) attemptResult {
+	result := attemptResult{path: path}
+	if path.Straight() {
+		result.err = transport.Call(ctx, a.client, request.Step, request.Target.Address, request.Path, body, &result.body)
+		result.status = resultOf(result.err)
+		return result
 	}
-	peer, known := find(a.settings.Nodes(), way.Via)
+	peer, known := findNode(a.settings.Nodes(), path.Via)
 	if !known {
-		end.result, end.err = detour.Silent, api.NewError(question.Step, string(way.Via), api.CodeNoContact, api.OutcomeNotRun, "the peer is gone")
-		return end
+		result.status, result.err = detour.Silent, api.NewError(request.Step, string(path.Via), api.CodeNoContact, api.OutcomeNotRun, "peer is no longer a member")
+		return result
 	}
 	deadline, _ := ctx.Deadline()
-	message := Message{Target: question.Target.ID, Path: question.Path, Body: body, Within: max(time.Until(deadline)-wayMargin, 0)}
+	message := Message{Target: request.Target.ID, Path: request.Path, Body: body, Within: max(time.Until(deadline)-forwardMargin, 0)}
 	var reply Reply
-	if end.err = transport.Call(ctx, a.client, question.Step, peer.Address, Path, message, &reply); end.err != nil {
-		end.result = detour.Silent
-		return end
+	if result.err = transport.Call(ctx, a.client, request.Step, peer.Address, Path, message, &reply); result.err != nil {
+		result.status = detour.Silent
+		return result
 	}
-	end.result, end.body = detour.Answered, reply.Body
+	result.status, result.body = detour.Answered, reply.Body
 	switch {
 	case !reply.Reached:
-		end.result = detour.Unreached
-		end.err = api.NewError(question.Step, string(way.Via), api.CodeNoContact, reply.outcome(), "the peer does not reach %s: %s", question.Target.ID, reply.Failure)
+		result.status = detour.Unreached
+		result.err = api.NewError(request.Step, string(path.Via), api.CodeNoContact, reply.outcomeOrUnknown(), "peer does not reach %s: %s", request.Target.ID, reply.Failure)
 	case reply.Failure != "":
-		end.err = api.NewError(question.Step, string(question.Target.ID), api.CodeUpstream, reply.outcome(), "%s", reply.Failure)
+		result.err = api.NewError(request.Step, string(request.Target.ID), api.CodeUpstream, reply.outcomeOrUnknown(), "%s", reply.Failure)
 	}
-	return end
+	return result
 }
 
-// resultOf tells what the end of a straight question says of the way: an answer that is
-// an error is one.
+// resultOf classifies the error of a direct request for its path: an error that the process
+// itself returned is an answer.
 func resultOf(err error) detour.Result {
 	var failure *api.Error
 	if err == nil || errors.As(err, &failure) && failure.Code != api.CodeUpstream && failure.Code != api.CodeDeadline && failure.Code != api.CodeClientCancelled {
@@ -301,7 +305,7 @@
 	return detour.Silent
 }
 
-func find(nodes []api.Node, id api.NodeID) (api.Node, bool) {
+func findNode(nodes []api.Node, id api.NodeID) (api.Node, bool) {
 	for _, node := range nodes {
 		if node.ID == id {
 			return node, true
--- a/internal/relayed/relayed_test.go
+++ b/internal/relayed/relayed_test.go
@@ -22,15 +22,15 @@
 	"github.com/dykewing/dykewing/internal/transport"
 )
 
-const path = "/internal/v1/question"
+const testPath = "/internal/v1/question"
 
-// ample time for an answer; the tests judge by whom it comes, not when.
-const ample = 20 * time.Second
+// testTimeout is generous: the tests check which path answers, not how fast.
+const testTimeout = 20 * time.Second
 
-// handler is how a process behaves.
-type handler func(w http.ResponseWriter, r *http.Request)
+// handlerFunc is the behaviour of a process.
+type handlerFunc func(w http.ResponseWriter, r *http.Request)
 
-func (h handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h(w, r) }
+func (h handlerFunc) ServeHTTP(w http.ResponseWriter, r *http.Request) { h(w, r) }
 
 func serve(t *testing.T, h http.Handler) string {
 	server := httptest.NewServer(h)
@@ -38,50 +38,50 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// gone is an address where nobody listens any more.
-func gone(t *testing.T) string {
+// closedAddress returns an address on which nothing listens.
+func closedAddress(t *testing.T) string {
 	server := httptest.NewServer(http.NotFoundHandler())
 	defer server.Close()
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// fixture is processes that ask a store; each has its own address of it, so that one can
-// be cut off.
+// fixture is a set of processes that send requests to a store. Each uses its own address of the
+// store, so that one of them can be disconnected.
 type fixture struct {
-	t       *testing.T
-	mutex   sync.Mutex
-	peers   []api.Node
-	asked   atomic.Int64 // the store, by any way
-	release chan struct{}
-	free    func() // lets all that hangs go on
+	t        *testing.T
+	mutex    sync.Mutex
+	peers    []api.Node
+	received atomic.Int64 // requests that arrived at the store
+	release  chan struct{}
+	unblock  func() // releases all hanging handlers
 }
 
 func newFixture(t *testing.T) *fixture {
 	f := &fixture{t: t, release: make(chan struct{})}
-	f.free = sync.OnceFunc(func() { close(f.release) })
+	f.unblock = sync.OnceFunc(func() { close(f.release) })
 	return f
 }
 
-// The addresses of a store.
-func (f *fixture) answers() string {
-	return serve(f.t, handler(func(w http.ResponseWriter, r *http.Request) {
-		f.asked.Add(1)
+// answeringStore, hangingStore and abortingStore return the address of a store.
+func (f *fixture) answeringStore() string {
+	return serve(f.t, handlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		f.received.Add(1)
 		transport.WriteJSON(w, http.StatusOK, "yes")
 	}))
 }
 
-func (f *fixture) hangs() string {
-	address := serve(f.t, handler(func(http.ResponseWriter, *http.Request) { <-f.release }))
-	f.t.Cleanup(f.free) // before the server is closed
+func (f *fixture) hangingStore() string {
+	address := serve(f.t, handlerFunc(func(http.ResponseWriter, *http.Request) { <-f.release }))
+	f.t.Cleanup(f.unblock) // must run before the server is closed
 	return address
 }
 
-func (f *fixture) breaks() string {
-	return serve(f.t, handler(func(http.ResponseWriter, *http.Request) { f.asked.Add(1); panic(http.ErrAbortHandler) }))
+func (f *fixture) abortingStore() string {
+	return serve(f.t, handlerFunc(func(http.ResponseWriter, *http.Request) { f.received.Add(1); panic(http.ErrAbortHandler) }))
 }
 
-// asker is a process that has the store at an address.
-func (f *fixture) asker(id api.NodeID, store string) *Asker {
+// newAsker returns an Asker that reaches the store at an address.
+func (f *fixture) newAsker(id api.NodeID, store string) *Asker {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	a := New(Settings{
@@ -91,8 +91,8 @@
 			defer f.mutex.Unlock()
 			return append([]api.Node{{ID: "store", Role: api.RoleStore, Address: store}}, f.peers...)
 		},
-		Paths: []string{path}, Log: logrus.NewEntry(logger), Registry: prometheus.NewRegistry(),
-		DialTimeout: ample, // a busy machine is no cut
+		Paths: []string{testPath}, Log: logrus.NewEntry(logger), Registry: prometheus.NewRegistry(),
+		DialTimeout: testTimeout, // a busy machine must not look like a partition
 	})
 	f.t.Cleanup(a.Close)
 	return a
@@ -104,39 +104,39 @@
 	f.peers = append(f.peers, api.Node{ID: id, Role: api.RoleFrontend, Address: address})
 }
 
-func (f *fixture) ask(a *Asker, store string, within time.Duration, repeatable bool) (api.NodeID, string, error) {
+func (f *fixture) send(a *Asker, store string, timeout time.Duration, repeatable bool) (api.NodeID, string, error) {
 	var answer string
 	via, err := a.Ask(f.t.Context(), Question{
-		Step: "ask", Target: api.Node{ID: "store", Address: store}, Path: path, Body: 1, Within: within, Repeatable: repeatable,
+		Step: "ask", Target: api.Node{ID: "store", Address: store}, Path: testPath, Body: 1, Within: timeout, Repeatable: repeatable,
 	}, &answer)
 	return via, answer, err
 }
 
-func TestAQuestionIsAnsweredByTheWayThatWorks(t *testing.T) {
+func TestRequestIsAnsweredOverWorkingPath(t *testing.T) {
 	peer := func(store func(*fixture) string) func(*fixture) string {
-		return func(f *fixture) string { return serve(f.t, f.asker("peer", store(f))) }
+		return func(f *fixture) string { return serve(f.t, f.newAsker("peer", store(f))) }
 	}
 	tests := []struct {
-		name   string
-		store  func(*fixture) string
-		peers  []func(*fixture) string
-		peered bool // it comes through a peer
-		failed bool
+		name    string
+		store   func(*fixture) string
+		peers   []func(*fixture) string
+		viaPeer bool
+		failed  bool
 	}{
-		{"straight", (*fixture).answers, nil, false, false},
-		{"silent store", (*fixture).hangs, []func(*fixture) string{peer((*fixture).answers)}, true, false},
-		{"store that refuses", func(f *fixture) string { return gone(f.t) }, []func(*fixture) string{peer((*fixture).answers)}, true, false},
-		{"the answer is lost", (*fixture).breaks, []func(*fixture) string{peer((*fixture).answers)}, true, false},
+		{"direct", (*fixture).answeringStore, nil, false, false},
+		{"silent store", (*fixture).hangingStore, []func(*fixture) string{peer((*fixture).answeringStore)}, true, false},
+		{"store refuses connections", func(f *fixture) string { return closedAddress(f.t) }, []func(*fixture) string{peer((*fixture).answeringStore)}, true, false},
+		{"response lost", (*fixture).abortingStore, []func(*fixture) string{peer((*fixture).answeringStore)}, true, false},
 		{
-			"a peer that is cut off as well", (*fixture).hangs,
-			[]func(*fixture) string{peer(func(f *fixture) string { return gone(f.t) }), peer((*fixture).answers)}, true, false,
+			"first peer disconnected as well", (*fixture).hangingStore,
+			[]func(*fixture) string{peer(func(f *fixture) string { return closedAddress(f.t) }), peer((*fixture).answeringStore)}, true, false,
 		},
-		{"a peer that is slow", (*fixture).hangs, []func(*fixture) string{(*fixture).hangs, peer((*fixture).answers)}, true, false},
-		{"a peer that restarts", (*fixture).hangs, []func(*fixture) string{func(f *fixture) string { return gone(f.t) }, peer((*fixture).answers)}, true, false},
-		{"a peer of an older version", (*fixture).hangs, []func(*fixture) string{
-			func(f *fixture) string { return serve(f.t, http.NotFoundHandler()) }, peer((*fixture).answers),
+		{"first peer hangs", (*fixture).hangingStore, []func(*fixture) string{(*fixture).hangingStore, peer((*fixture).answeringStore)}, true, false},
+		{"first peer restarting", (*fixture).hangingStore, []func(*fixture) string{func(f *fixture) string { return closedAddress(f.t) }, peer((*fixture).answeringStore)}, true, false},
+		{"first peer of an older version", (*fixture).hangingStore, []func(*fixture) string{
+			func(f *fixture) string { return serve(f.t, http.NotFoundHandler()) }, peer((*fixture).answeringStore),
 		}, true, false},
-		{"nobody", func(f *fixture) string { return gone(f.t) }, []func(*fixture) string{peer(func(f *fixture) string { return gone(f.t) })}, false, true},
+		{"no working path", func(f *fixture) string { return closedAddress(f.t) }, []func(*fixture) string{peer(func(f *fixture) string { return closedAddress(f.t) })}, false, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -145,75 +145,74 @@
 				f.addPeer(api.NodeID(fmt.Sprint("peer-", i)), each(f))
 			}
 			store := test.store(f)
-			via, answer, err := f.ask(f.asker("self", store), store, ample, true)
-			if (err != nil) != test.failed || (via != "") != test.peered || err == nil && answer != "yes" {
-				t.Errorf("%q through %q, %v", answer, via, err)
+			via, answer, err := f.send(f.newAsker("self", store), store, testTimeout, true)
+			if (err != nil) != test.failed || (via != "") != test.viaPeer || err == nil && answer != "yes" {
+				t.Errorf("got answer %q via %q, error %v", answer, via, err)
 			}
 		})
 	}
 }
 
-// Nobody waits longer than the question is of use.
-func TestAQuestionThatNobodyAnswersEnds(t *testing.T) {
+// A request without an answer ends at its timeout, or when the caller cancels it.
+func TestUnansweredRequestTimesOut(t *testing.T) {
 	f := newFixture(t)
-	f.addPeer("peer", f.hangs())
-	store := f.hangs()
-	_, _, err := f.ask(f.asker("self", store), store, 60*time.Millisecond, true)
+	f.addPeer("peer", f.hangingStore())
+	store := f.hangingStore()
+	_, _, err := f.send(f.newAsker("self", store), store, 60*time.Millisecond, true)
 	var failure *api.Error
 	if !errors.As(err, &failure) {
-		t.Fatalf("%v", err)
+		t.Fatalf("got error %v, want an *api.Error", err)
 	}
-	ctx, leave := context.WithCancel(t.Context())
-	leave()
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
 	var answer string
-	if _, err := f.asker("other", store).Ask(ctx, Question{Target: api.Node{ID: "store", Address: store}, Path: path, Within: ample}, &answer); !errors.Is(err, context.Canceled) {
-		t.Errorf("a caller that left: %v", err)
+	if _, err := f.newAsker("other", store).Ask(ctx, Question{Target: api.Node{ID: "store", Address: store}, Path: testPath, Within: testTimeout}, &answer); !errors.Is(err, context.Canceled) {
+		t.Errorf("cancelled request: got error %v, want context.Canceled", err)
 	}
 }
 
-// A peer that could not answer in what is left is not asked: it would be left alone for
-// it.
-func TestNoWayBeginsWithoutTime(t *testing.T) {
+// Guards against backing off from a healthy peer that had no time to answer.
+func TestNoAttemptStartsWithoutTime(t *testing.T) {
 	f := newFixture(t)
-	f.addPeer("peer", f.answers())
-	store := gone(t)
-	a := f.asker("self", store)
-	if _, _, err := f.ask(a, store, leastTime/2, true); err == nil || f.asked.Load() != 0 {
-		t.Errorf("%v, the peer was asked %d times", err, f.asked.Load())
+	f.addPeer("peer", f.answeringStore())
+	store := closedAddress(t)
+	a := f.newAsker("self", store)
+	if _, _, err := f.send(a, store, minAttemptTime/2, true); err == nil || f.received.Load() != 0 {
+		t.Errorf("got error %v after %d requests to the peer, want an error and none", err, f.received.Load())
 	}
 }
 
-// A question that may not be repeated goes by another way only when it did not arrive.
-func TestAQuestionThatMayNotBeRepeatedIsAskedOnce(t *testing.T) {
+// A request that is not repeatable takes another path only if it certainly did not arrive.
+func TestNonRepeatableRequestRunsOnce(t *testing.T) {
 	tests := []struct {
 		name  string
 		store func(*fixture) string
 		want  string
 	}{
-		{"it did not arrive", func(f *fixture) string { return gone(f.t) }, "yes"},
-		{"it may have run", (*fixture).breaks, ""},
+		{"request did not arrive", func(f *fixture) string { return closedAddress(f.t) }, "yes"},
+		{"request may have run", (*fixture).abortingStore, ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
-			f.addPeer("peer", serve(t, f.asker("peer", f.answers())))
+			f.addPeer("peer", serve(t, f.newAsker("peer", f.answeringStore())))
 			store := test.store(f)
-			if _, answer, _ := f.ask(f.asker("self", store), store, ample, false); answer != test.want || f.asked.Load() != 1 {
-				t.Errorf("%q, asked %d times", answer, f.asked.Load())
+			if _, answer, _ := f.send(f.newAsker("self", store), store, testTimeout, false); answer != test.want || f.received.Load() != 1 {
+				t.Errorf("got answer %q after %d requests, want one request", answer, f.received.Load())
 			}
 		})
 	}
 }
 
-// What a process itself refuses is not asked for by other ways.
-func TestARefusalIsAnAnswer(t *testing.T) {
+// A request that the process itself refuses is not sent over other paths.
+func TestRefusalIsAnAnswer(t *testing.T) {
 	f := newFixture(t)
-	f.addPeer("peer", serve(t, f.asker("peer", f.answers())))
-	store := serve(t, handler(func(w http.ResponseWriter, _ *http.Request) {
+	f.addPeer("peer", serve(t, f.newAsker("peer", f.answeringStore())))
+	store := serve(t, handlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		transport.WriteError(w, api.NewError("ask", "", api.CodeBadRequest, api.OutcomeNotRun, "no"))
 	}))
-	if _, _, err := f.ask(f.asker("self", store), store, ample, false); err == nil || f.asked.Load() != 0 {
-		t.Errorf("%v, asked %d times through the peer", err, f.asked.Load())
+	if _, _, err := f.send(f.newAsker("self", store), store, testTimeout, false); err == nil || f.received.Load() != 0 {
+		t.Errorf("got error %v and %d requests through the peer, want an error and none", err, f.received.Load())
 	}
 }
 
@@ -224,24 +223,24 @@
 	return recorder
 }
 
-func TestOnlyListedQuestionsArePassedOn(t *testing.T) {
+func TestOnlyListedPathsAreForwarded(t *testing.T) {
 	tests := []struct {
 		name    string
 		message any
 		status  int
 	}{
-		{"a listed path", Message{Target: "store", Path: path, Body: []byte("1"), Within: ample}, http.StatusOK},
-		{"another path", Message{Target: "store", Path: "/internal/v1/other", Body: []byte("1"), Within: ample}, http.StatusBadRequest},
-		{"the path that passes on", Message{Target: "store", Path: Path, Body: []byte("1"), Within: ample}, http.StatusBadRequest},
-		{"nobody", Message{Path: path, Body: []byte("1"), Within: ample}, http.StatusBadRequest},
-		{"no time", Message{Target: "store", Path: path, Body: []byte("1")}, http.StatusBadRequest},
-		{"fields of a later version", map[string]any{"target": "store", "path": path, "body": 1, "within": ample, "new": "x"}, http.StatusOK},
-		{"no message", "x", http.StatusBadRequest},
+		{"listed path", Message{Target: "store", Path: testPath, Body: []byte("1"), Within: testTimeout}, http.StatusOK},
+		{"unlisted path", Message{Target: "store", Path: "/internal/v1/other", Body: []byte("1"), Within: testTimeout}, http.StatusBadRequest},
+		{"forwarding path", Message{Target: "store", Path: Path, Body: []byte("1"), Within: testTimeout}, http.StatusBadRequest},
+		{"no target", Message{Path: testPath, Body: []byte("1"), Within: testTimeout}, http.StatusBadRequest},
+		{"no timeout", Message{Target: "store", Path: testPath, Body: []byte("1")}, http.StatusBadRequest},
+		{"unknown fields", map[string]any{"target": "store", "path": testPath, "body": 1, "within": testTimeout, "new": "x"}, http.StatusOK},
+		{"not a message", "x", http.StatusBadRequest},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
-			a := f.asker("peer", f.answers())
+			a := f.newAsker("peer", f.answeringStore())
 			a.settings.Paths = append(a.settings.Paths, Path)
 			if recorder := post(a, test.message); recorder.Code != test.status {
 				t.Errorf("status %d: %s", recorder.Code, recorder.Body)
@@ -250,46 +249,46 @@
 	}
 }
 
-// A question goes one hop: who does not reach the process says so, and asks no peer of
-// its own, also when it knows one that would.
-func TestAQuestionGoesOneHop(t *testing.T) {
+// A forwarding peer that cannot reach the target reports so and does not forward the request
+// to a peer of its own.
+func TestRequestIsForwardedOnce(t *testing.T) {
 	f := newFixture(t)
-	f.addPeer("third", serve(t, f.asker("third", f.answers())))
-	a := f.asker("second", gone(t))
+	f.addPeer("third", serve(t, f.newAsker("third", f.answeringStore())))
+	a := f.newAsker("second", closedAddress(t))
 	for i := range 3 {
-		recorder := post(a, Message{Target: "store", Path: path, Body: []byte("1"), Within: ample})
+		recorder := post(a, Message{Target: "store", Path: testPath, Body: []byte("1"), Within: testTimeout})
 		var reply Reply
-		if err := json.Unmarshal(recorder.Body.Bytes(), &reply); err != nil || reply.Reached || f.asked.Load() != 0 {
-			t.Errorf("%d: %s, asked %d times", i, recorder.Body, f.asked.Load())
+		if err := json.Unmarshal(recorder.Body.Bytes(), &reply); err != nil || reply.Reached || f.received.Load() != 0 {
+			t.Errorf("attempt %d: got %s and %d requests to the target", i, recorder.Body, f.received.Load())
 		}
 	}
 }
 
-// One that found out that it does not reach a process says so at once.
-func TestAPeerThatIsCutOffSaysSoAtOnce(t *testing.T) {
+// A peer that is known not to reach the target reports so without sending the request.
+func TestDisconnectedPeerRepliesImmediately(t *testing.T) {
 	f := newFixture(t)
-	a := f.asker("peer", f.answers())
-	a.passed("store", detour.Silent)
+	a := f.newAsker("peer", f.answeringStore())
+	a.recordForwarded("store", detour.Silent)
 	var reply Reply
-	if err := json.Unmarshal(post(a, Message{Target: "store", Path: path, Body: []byte("1"), Within: ample}).Body.Bytes(), &reply); err != nil || reply.Reached || reply.Outcome != api.OutcomeNotRun || f.asked.Load() != 0 {
-		t.Errorf("%+v, %v, asked %d times", reply, err, f.asked.Load())
+	if err := json.Unmarshal(post(a, Message{Target: "store", Path: testPath, Body: []byte("1"), Within: testTimeout}).Body.Bytes(), &reply); err != nil || reply.Reached || reply.Outcome != api.OutcomeNotRun || f.received.Load() != 0 {
+		t.Errorf("got reply %+v, error %v and %d requests to the target", reply, err, f.received.Load())
 	}
 }
 
-func TestQuestionsThatArePassedOnAreBounded(t *testing.T) {
+func TestForwardedRequestsAreBounded(t *testing.T) {
 	f := newFixture(t)
-	a := f.asker("peer", f.answers())
-	message := Message{Target: "store", Path: path, Body: []byte("1"), Within: ample}
-	for range mostPassedOn {
-		a.room <- struct{}{} // one that is under way
+	a := f.newAsker("peer", f.answeringStore())
+	message := Message{Target: "store", Path: testPath, Body: []byte("1"), Within: testTimeout}
+	for range maxForwarded {
+		a.slots <- struct{}{} // a request in progress
 	}
-	if recorder := post(a, message); recorder.Code != http.StatusServiceUnavailable || recorder.Header().Get(api.HeaderOutcome) != string(api.OutcomeNotRun) || f.asked.Load() != 0 {
-		t.Errorf("status %d, outcome %q, asked %d times", recorder.Code, recorder.Header().Get(api.HeaderOutcome), f.asked.Load())
+	if recorder := post(a, message); recorder.Code != http.StatusServiceUnavailable || recorder.Header().Get(api.HeaderOutcome) != string(api.OutcomeNotRun) || f.received.Load() != 0 {
+		t.Errorf("at the limit: status %d, outcome %q and %d requests to the target", recorder.Code, recorder.Header().Get(api.HeaderOutcome), f.received.Load())
 	}
-	<-a.room
+	<-a.slots
 	for range 3 {
 		if recorder := post(a, message); recorder.Code != http.StatusOK {
-			t.Errorf("with room: status %d", recorder.Code)
+			t.Errorf("below the limit: status %d", recorder.Code)
 		}
 	}
 }
