--- a/feed/feed.go
+++ b/feed/feed.go
@@ -78,7 +78,7 @@
 	return Settings{Self: self, Watchers: watchersPerZone, Deputies: standbysPerZone, LongWait: longWait, ShortWait: part(shortWaitShare), Fresh: part(maxStalenessShare), Start: part(startupShare), Alone: part(fallbackShare)}
 }
 
-// GatherPause is the delay between two polls of a watcher that has received changes, so
+// GatherPause is the delay before a watcher's next poll after one that returned changes, so
 // that further changes arrive in one batch.
 func (s Settings) GatherPause() time.Duration {
 	return time.Duration(batchDelayShare / shortWaitShare * float64(s.ShortWait))
@@ -161,7 +161,7 @@
 	}
 }
 
-// compareRank orders strong members first and the rest by a hash of the id.
+// compareRank orders members with spare capacity first, and then by a hash of the id.
 func compareRank(a, b Member) int {
 	return cmp.Or(-compareBool(a.Strong, b.Strong), cmp.Compare(xxhash.Sum64String(string(a.ID)), xxhash.Sum64String(string(b.ID))), cmp.Compare(a.ID, b.ID))
 }
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -168,7 +168,7 @@
 	}
 }
 
-// runRestartable runs call until it fails or Renew cancels it, and reports which.
+// runRestartable runs call until it fails or a restart is requested, and reports which.
 func (c *Catalog) runRestartable(ctx context.Context, call func(context.Context) error) (restarted bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/catalog/workers.go
+++ b/internal/catalog/workers.go
@@ -14,10 +14,10 @@
 	"github.com/dykewing/dykewing/worker"
 )
 
-// Change is one change of the list of workers: an entry written, or removed if Gone.
+// Change is one change of the list of workers.
 type Change struct {
 	ID     string
-	Worker worker.Worker
+	Worker worker.Worker // zero for a removal
 	Gone   bool
 	reason reason
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -227,9 +227,9 @@
 // state to serve.
 var errNoLocalState = errors.New("this process has to serve the full state and holds none")
 
-// watchTimeoutDivisor gives the margin after which a poll of the service times out: its wait
-// divided by this, in addition to the wait. Both and the batch delay before the poll together
-// must stay below the maximum staleness.
+// watchTimeoutDivisor sets the margin after which a poll of the service counts as silent: its
+// wait divided by this, in addition to the wait. Both and the batch delay before the poll must
+// together stay below the maximum staleness.
 const watchTimeoutDivisor = 6
 
 // poll polls the service for changes. If there is no answer in time, it reads the service's
@@ -253,15 +253,15 @@
 	timer := time.NewTimer(wait + wait/watchTimeoutDivisor)
 	defer timer.Stop()
 	select {
-	case end := <-polled:
-		return end.batch, end.err
+	case answer := <-polled:
+		return answer.batch, answer.err
 	case <-timer.C:
 	}
 	at, err := r.serviceRevision(ctx)
 	switch {
 	case err != nil:
-		end := <-polled
-		return end.batch, end.err
+		answer := <-polled
+		return answer.batch, answer.err
 	case at > revision:
 		return kv.Batch{}, fmt.Errorf("the service sends no changes and is at revision %d, this process at %d: %w", at, revision, kv.ErrCompacted)
 	}
--- a/internal/relayed/relayed.go
+++ b/internal/relayed/relayed.go
@@ -21,7 +21,7 @@
 	"github.com/dykewing/dykewing/internal/transport"
 )
 
-// Settings configure an Asker.
+// Settings are the parameters of New.
 type Settings struct {
 	Self     func() api.Node
 	Nodes    func() []api.Node // the known processes
@@ -78,7 +78,7 @@
 	silenceLimit       = time.Second
 )
 
-// New returns an Asker. Its ServeHTTP must be served under Path.
+// New creates a client, whose ServeHTTP must be served under Path.
 func New(settings Settings) *Asker {
 	return &Asker{
 		settings: settings, metrics: newMetrics(settings.Registry), slots: make(chan struct{}, maxForwarded), paths: detour.New(),
--- a/internal/relayed/relayed_test.go
+++ b/internal/relayed/relayed_test.go
@@ -80,8 +80,8 @@
 	return serve(f.t, handlerFunc(func(http.ResponseWriter, *http.Request) { f.received.Add(1); panic(http.ErrAbortHandler) }))
 }
 
-// newAsker returns an Asker that reaches the store at an address.
-func (f *fixture) newAsker(id api.NodeID, store string) *Asker {
+// newAsker returns a client that reaches the store at an address.
+func (f *fixture) newClient(id api.NodeID, store string) *Asker {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	a := New(Settings{
@@ -114,7 +114,7 @@
 
 func TestRequestIsAnsweredOverWorkingPath(t *testing.T) {
 	peer := func(store func(*fixture) string) func(*fixture) string {
-		return func(f *fixture) string { return serve(f.t, f.newAsker("peer", store(f))) }
+		return func(f *fixture) string { return serve(f.t, f.newClient("peer", store(f))) }
 	}
 	tests := []struct {
 		name    string
@@ -145,7 +145,7 @@
 				f.addPeer(api.NodeID(fmt.Sprint("peer-", i)), each(f))
 			}
 			store := test.store(f)
-			via, answer, err := f.send(f.newAsker("self", store), store, testTimeout, true)
+			via, answer, err := f.send(f.newClient("self", store), store, testTimeout, true)
 			if (err != nil) != test.failed || (via != "") != test.viaPeer || err == nil && answer != "yes" {
 				t.Errorf("got answer %q via %q, error %v", answer, via, err)
 			}
@@ -158,7 +158,7 @@
 	f := newFixture(t)
 	f.addPeer("peer", f.hangingStore())
 	store := f.hangingStore()
-	_, _, err := f.send(f.newAsker("self", store), store, 60*time.Millisecond, true)
+	_, _, err := f.send(f.newClient("self", store), store, 60*time.Millisecond, true)
 	var failure *api.Error
 	if !errors.As(err, &failure) {
 		t.Fatalf("got error %v, want an *api.Error", err)
@@ -166,7 +166,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	var answer string
-	if _, err := f.newAsker("other", store).Ask(ctx, Question{Target: api.Node{ID: "store", Address: store}, Path: testPath, Within: testTimeout}, &answer); !errors.Is(err, context.Canceled) {
+	if _, err := f.newClient("other", store).Ask(ctx, Question{Target: api.Node{ID: "store", Address: store}, Path: testPath, Within: testTimeout}, &answer); !errors.Is(err, context.Canceled) {
 		t.Errorf("cancelled request: got error %v, want context.Canceled", err)
 	}
 }
@@ -176,7 +176,7 @@
 	f := newFixture(t)
 	f.addPeer("peer", f.answeringStore())
 	store := closedAddress(t)
-	a := f.newAsker("self", store)
+	a := f.newClient("self", store)
 	if _, _, err := f.send(a, store, minAttemptTime/2, true); err == nil || f.received.Load() != 0 {
 		t.Errorf("got error %v after %d requests to the peer, want an error and none", err, f.received.Load())
 	}
@@ -195,9 +195,9 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
-			f.addPeer("peer", serve(t, f.newAsker("peer", f.answeringStore())))
+			f.addPeer("peer", serve(t, f.newClient("peer", f.answeringStore())))
 			store := test.store(f)
-			if _, answer, _ := f.send(f.newAsker("self", store), store, testTimeout, false); answer != test.want || f.received.Load() != 1 {
+			if _, answer, _ := f.send(f.newClient("self", store), store, testTimeout, false); answer != test.want || f.received.Load() != 1 {
 				t.Errorf("got answer %q after %d requests, want one request", answer, f.received.Load())
 			}
 		})
@@ -207,11 +207,11 @@
 // A request that the process itself refuses is not sent over other paths.
 func TestRefusalIsAnAnswer(t *testing.T) {
 	f := newFixture(t)
-	f.addPeer("peer", serve(t, f.newAsker("peer", f.answeringStore())))
+	f.addPeer("peer", serve(t, f.newClient("peer", f.answeringStore())))
 	store := serve(t, handlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		transport.WriteError(w, api.NewError("ask", "", api.CodeBadRequest, api.OutcomeNotRun, "no"))
 	}))
-	if _, _, err := f.send(f.newAsker("self", store), store, testTimeout, false); err == nil || f.received.Load() != 0 {
+	if _, _, err := f.send(f.newClient("self", store), store, testTimeout, false); err == nil || f.received.Load() != 0 {
 		t.Errorf("got error %v and %d requests through the peer, want an error and none", err, f.received.Load())
 	}
 }
@@ -240,7 +240,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
-			a := f.newAsker("peer", f.answeringStore())
+			a := f.newClient("peer", f.answeringStore())
 			a.settings.Paths = append(a.settings.Paths, Path)
 			if recorder := post(a, test.message); recorder.Code != test.status {
 				t.Errorf("status %d: %s", recorder.Code, recorder.Body)
@@ -253,8 +253,8 @@
 // to a peer of its own.
 func TestRequestIsForwardedOnce(t *testing.T) {
 	f := newFixture(t)
-	f.addPeer("third", serve(t, f.newAsker("third", f.answeringStore())))
-	a := f.newAsker("second", closedAddress(t))
+	f.addPeer("third", serve(t, f.newClient("third", f.answeringStore())))
+	a := f.newClient("second", closedAddress(t))
 	for i := range 3 {
 		recorder := post(a, Message{Target: "store", Path: testPath, Body: []byte("1"), Within: testTimeout})
 		var reply Reply
@@ -267,7 +267,7 @@
 // A peer that is known not to reach the target reports so without sending the request.
 func TestDisconnectedPeerRepliesImmediately(t *testing.T) {
 	f := newFixture(t)
-	a := f.newAsker("peer", f.answeringStore())
+	a := f.newClient("peer", f.answeringStore())
 	a.recordForwarded("store", detour.Silent)
 	var reply Reply
 	if err := json.Unmarshal(post(a, Message{Target: "store", Path: testPath, Body: []byte("1"), Within: testTimeout}).Body.Bytes(), &reply); err != nil || reply.Reached || reply.Outcome != api.OutcomeNotRun || f.received.Load() != 0 {
@@ -277,7 +277,7 @@
 
 func TestForwardedRequestsAreBounded(t *testing.T) {
 	f := newFixture(t)
-	a := f.newAsker("peer", f.answeringStore())
+	a := f.newClient("peer", f.answeringStore())
 	message := Message{Target: "store", Path: testPath, Body: []byte("1"), Within: testTimeout}
 	for range maxForwarded {
 		a.slots <- struct{}{} // a request in progress
--- a/internal/relayed/serve.go
+++ b/internal/relayed/serve.go
@@ -14,7 +14,7 @@
 	"github.com/dykewing/dykewing/internal/transport"
 )
 
-// Path is the HTTP path that accepts a Message and returns a Reply.
+// Path is the HTTP path under which requests of peers are forwarded.
 const Path = "/internal/v1/relayed"
 
 const (
@@ -26,15 +26,15 @@
 	minConclusiveTime = 20 * time.Millisecond
 )
 
-// Message is a request to forward to the process Target under Path. Within is its timeout.
+// Message is the JSON body of a request to forward.
 type Message struct {
-	Target api.NodeID      `json:"target"`
+	Target api.NodeID      `json:"target"` // the process to send it to
 	Path   string          `json:"path"`
 	Body   json.RawMessage `json:"body"`
-	Within time.Duration   `json:"within"`
+	Within time.Duration   `json:"within"` // timeout, in nanoseconds on the wire
 }
 
-// Reply is the reply to a Message.
+// Reply is the JSON body of the response to a forwarded request.
 type Reply struct {
 	Reached bool            `json:"reached"` // the process answered
 	Body    json.RawMessage `json:"body,omitempty"`
