--- a/feed/feed.go
+++ b/feed/feed.go
@@ -296,9 +296,9 @@
 
 func (c *Chooser) query(now time.Time, peer Member) Question {
 	query := Question{Peer: peer, NotBefore: now}
-	known := c.sources[peer.ID]
-	if known != nil && known.notBefore.After(now) {
-		query.NotBefore = known.notBefore
+	state := c.sources[peer.ID]
+	if state != nil && state.notBefore.After(now) {
+		query.NotBefore = state.notBefore
 	}
 	if earliest := c.serviceNotBefore(); query.OfService() && earliest.After(query.NotBefore) {
 		query.NotBefore = earliest
@@ -308,7 +308,7 @@
 		query.Wait = c.settings.ShortWait
 	case query.OfService():
 		query.Wait = c.settings.LongWait
-	case known != nil && known.failures == 0 && c.lastSource == peer.ID:
+	case state != nil && state.failures == 0 && c.lastSource == peer.ID:
 		query.Wait = c.settings.Fresh
 	}
 	return query
@@ -330,21 +330,21 @@
 
 // Ended records the outcome of a query.
 func (c *Chooser) Ended(now time.Time, query Question, outcome Outcome) {
-	known := c.sources[query.Peer.ID]
-	if known == nil {
-		known = &sourceState{}
-		c.sources[query.Peer.ID] = known
+	state := c.sources[query.Peer.ID]
+	if state == nil {
+		state = &sourceState{}
+		c.sources[query.Peer.ID] = state
 	}
 	if outcome == Answered {
-		*known = sourceState{}
+		*state = sourceState{}
 		c.lastSource, c.lastAnswer, c.staleSince = query.Peer.ID, now, time.Time{}
 		return
 	}
 	if outcome == Behind && c.staleSince.IsZero() {
 		c.staleSince = now
 	}
-	known.failures++
-	known.notBefore = now.Add(c.backoff(query, outcome, known.failures))
+	state.failures++
+	state.notBefore = now.Add(c.backoff(query, outcome, state.failures))
 }
 
 func (c *Chooser) backoff(query Question, outcome Outcome, failures int) time.Duration {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -225,11 +225,11 @@
 // a process that knows no peers must not wait for its zone to read a small state.
 func TestStartupWithoutPeersReadsSmallStateImmediately(t *testing.T) {
 	tests := []struct {
-		name  string
-		keys  int
-		known int // number of the check for members that succeeds
-		looks int // expected checks for members
-		calls int // expected calls of the store
+		name    string
+		keys    int
+		knownAt int // number of the check for members that succeeds
+		checks  int // expected checks for members
+		calls   int // expected calls of the store
 	}{
 		{"small state", 10, 9, 1, 1},
 		{"state of several pages", 600, 3, 3, 1 + 2},
@@ -240,17 +240,17 @@
 			for i := range test.keys {
 				z.store.Put(fmt.Sprintf("servers/%04d", i), []byte("an entry"))
 			}
-			looks := 0
+			checks := 0
 			z.nodes[0].relay.Joined = func() bool {
-				looks++
-				return looks >= test.known
+				checks++
+				return checks >= test.knownAt
 			}
 			result, err := z.nodes[0].relay.Range(t.Context(), "")
 			if err != nil || len(result.Pairs) != test.keys {
 				t.Fatalf("got %d pairs, error %v", len(result.Pairs), err)
 			}
-			if calls := z.store.Calls("/-/kv-range"); calls != test.calls || looks != test.looks {
-				t.Errorf("%d calls and %d checks for members, want %d and %d", calls, looks, test.calls, test.looks)
+			if calls := z.store.Calls("/-/kv-range"); calls != test.calls || checks != test.checks {
+				t.Errorf("%d calls and %d checks for members, want %d and %d", calls, checks, test.calls, test.checks)
 			}
 		})
 	}
