--- a/jobs/bench_test.go
+++ b/jobs/bench_test.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// fillJob uploads, submits and completes one job of the largest size.
+// fillJob uploads and submits one job of the maximum size and completes all but one of
+// its items.
 func fillJob(b *testing.B, state *testState, number int) {
 	id, file := JobID(fmt.Sprint("job-", number)), FileID(fmt.Sprint("file-", number))
 	state.apply(Command{CreateFile: &CreateFile{File: file, Tenant: "t"}})
@@ -57,9 +58,8 @@
 	}
 }
 
-// BenchmarkStoredItems stores a million items with their results, all but one
-// of each job, and reports the disk and the heap that they take. The file is not
-// synced: it measures the machine, not the disk.
+// BenchmarkStoredItems stores about a million items with results and reports disk and
+// heap use. The database is not synced, so the disk is not measured.
 func BenchmarkStoredItems(b *testing.B) {
 	const jobs = 13
 	for b.Loop() {
@@ -103,7 +103,7 @@
 	return float64(memory.HeapAlloc)
 }
 
-// BenchmarkDispatch hands out and settles the items of many jobs without a disk.
+// BenchmarkDispatch measures granting and completing items of many jobs in memory.
 func BenchmarkDispatch(b *testing.B) {
 	for _, count := range []int{1, 45, 200} {
 		b.Run(fmt.Sprintf("jobs=%d", count), func(b *testing.B) {
@@ -136,7 +136,7 @@
 	}
 }
 
-// benchmarkRound submits a job over each file.
+// benchmarkRound submits a job over each file and returns a new dispatcher.
 func benchmarkRound(b *testing.B, state *testState, count, round int) *Dispatcher {
 	for number := range count {
 		state.apply(Command{Submit: &Submit{
--- a/jobs/bolt.go
+++ b/jobs/bolt.go
@@ -6,14 +6,14 @@
 	"go.etcd.io/bbolt"
 )
 
-// BoltStorage is a Storage in one bucket of a bbolt database. The database stays
-// its owner's to close.
+// BoltStorage is a Storage in one bucket of a bbolt database. The caller keeps
+// ownership of the database and closes it.
 type BoltStorage struct {
 	database *bbolt.DB
 	bucket   []byte
 }
 
-// NewBoltStorage makes the bucket when it is not there.
+// NewBoltStorage creates the bucket if it does not exist.
 func NewBoltStorage(database *bbolt.DB, bucket string) (*BoltStorage, error) {
 	storage := &BoltStorage{database: database, bucket: []byte(bucket)}
 	err := database.Update(func(transaction *bbolt.Tx) error {
@@ -26,14 +26,14 @@
 	return storage, nil
 }
 
-// View reads one version.
+// View runs read in a read-only transaction.
 func (b *BoltStorage) View(read func(Reader) error) error {
 	return b.database.View(func(transaction *bbolt.Tx) error {
 		return read(&boltTransaction{bucket: transaction.Bucket(b.bucket)})
 	})
 }
 
-// Update changes all or nothing and syncs.
+// Update runs change in a read-write transaction, which is synced on commit.
 func (b *BoltStorage) Update(change func(Writer) error) error {
 	return b.database.Update(func(transaction *bbolt.Tx) error {
 		writer := &boltTransaction{bucket: transaction.Bucket(b.bucket)}
@@ -46,7 +46,7 @@
 
 type boltTransaction struct {
 	bucket *bbolt.Bucket
-	err    error // the first failed change
+	err    error // of the first failed write
 }
 
 func (t *boltTransaction) Get(key []byte) []byte { return t.bucket.Get(key) }
@@ -60,11 +60,11 @@
 	}
 }
 
-func (t *boltTransaction) Put(key, value []byte) { t.keep(t.bucket.Put(key, value)) }
+func (t *boltTransaction) Put(key, value []byte) { t.recordErr(t.bucket.Put(key, value)) }
 
-func (t *boltTransaction) Delete(key []byte) { t.keep(t.bucket.Delete(key)) }
+func (t *boltTransaction) Delete(key []byte) { t.recordErr(t.bucket.Delete(key)) }
 
-func (t *boltTransaction) keep(err error) {
+func (t *boltTransaction) recordErr(err error) {
 	if t.err == nil && err != nil {
 		t.err = fmt.Errorf("change state: %w", err)
 	}
--- a/jobs/check.go
+++ b/jobs/check.go
@@ -5,25 +5,27 @@
 	"fmt"
 )
 
-// Bounds of an inline job.
+// Limits of an inline job.
 const (
-	// MostInlineItems of one job; the users' pages name it.
+	// MostInlineItems is the maximum number of items of one job. It is documented
+	// for users.
 	MostInlineItems = 200
-	// mostItemTokens keeps sums over a job's items, and over all that wait, within
-	// their numbers; it is over the memory of any engine by far.
-	mostItemTokens = 1 << 31
+	// maxItemTokens keeps the token sums of jobs and queues from overflowing. It is
+	// far above what any engine can hold.
+	maxItemTokens = 1 << 31
 )
 
-// CheckInline tells why a job can't be taken; nil when it can. An item without tokens
-// counts for nothing in its queue.
+// CheckInline validates an inline job: its ID, the number of items, and each item's ID,
+// which must be unique, and token count. An item may have 0 tokens; it then does not
+// count in its queue.
 func CheckInline(job JobID, items []InlineItem) error {
 	switch {
 	case job == "":
-		return errors.New("the job has no id")
+		return errors.New("job has no id")
 	case len(items) == 0:
-		return errors.New("the job has no items")
+		return errors.New("job has no items")
 	case len(items) > MostInlineItems:
-		return fmt.Errorf("the job has %d items, over %d", len(items), MostInlineItems)
+		return fmt.Errorf("job has %d items, maximum is %d", len(items), MostInlineItems)
 	}
 	known := make(map[string]bool, len(items))
 	for i, item := range items {
@@ -31,9 +33,9 @@
 		case item.ID == "":
 			return fmt.Errorf("item %d has no id", i)
 		case known[item.ID]:
-			return fmt.Errorf("item %d: id %q stands twice", i, item.ID)
-		case item.Tokens < 0 || item.Tokens > mostItemTokens:
-			return fmt.Errorf("item %d: %d tokens, not within 0 to %d", i, item.Tokens, mostItemTokens)
+			return fmt.Errorf("item %d: duplicate id %q", i, item.ID)
+		case item.Tokens < 0 || item.Tokens > maxItemTokens:
+			return fmt.Errorf("item %d: %d tokens, must be between 0 and %d", i, item.Tokens, maxItemTokens)
 		}
 		known[item.ID] = true
 	}
--- a/jobs/command.go
+++ b/jobs/command.go
@@ -1,10 +1,12 @@
-// Package jobs keeps files, batch jobs and the claims of requests that may not
-// be repeated, as a deterministic state machine over a replicated log (State),
-// and hands the leader's waiting items to routers (Dispatcher).
+// Package jobs stores files, batch jobs and idempotency claims of non-repeatable
+// requests in a deterministic state machine over a replicated log (State). The
+// leader hands waiting items to routers (Dispatcher), which run them (Runner).
 //
-// Invariants: an item has one terminal record, the first committed one. After
-// a committed cancel no item of the job starts. A non-repeatable item is sent
-// only after its start was committed, and never twice.
+// Invariants:
+//   - An item has at most one terminal record: the first one committed.
+//   - No item of a job starts after the job's cancellation is committed.
+//   - A non-repeatable item is sent only after its start is committed, and at
+//     most once.
 package jobs
 
 import (
@@ -14,21 +16,21 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// FileID names a file; it contains the id of the group that holds it.
+// FileID identifies a file. It contains the ID of the group that stores it.
 type FileID string
 
-// JobID names a batch job; it contains the id of the group that holds it.
+// JobID identifies a batch job. It contains the ID of the group that stores it.
 type JobID string
 
-// ItemRef names one item of a job by its line number in the input, from 0.
+// ItemRef identifies an item of a job by its zero-based line number in the input.
 type ItemRef struct {
 	Job  JobID `json:"job"`
 	Item int   `json:"item"`
 }
 
-// Command is one entry of a group's log; exactly one field besides Time is set.
+// Command is an entry of a group's log. Exactly one field besides Time is set.
 type Command struct {
-	Time       time.Time        `json:"time"` // of the proposing leader; orders nothing
+	Time       time.Time        `json:"time"` // clock of the proposing leader; not monotonic
 	CreateFile *CreateFile      `json:"create_file,omitempty"`
 	AppendFile *AppendFile      `json:"append_file,omitempty"`
 	SealFile   *SealFile        `json:"seal_file,omitempty"`
@@ -60,22 +62,22 @@
 	Purpose string       `json:"purpose"`
 }
 
-// AppendFile adds whole lines. Line is the index of the first one, so that a
-// resent append has no second effect.
+// AppendFile appends complete lines. Line is the index of the first one, which
+// makes retries idempotent.
 type AppendFile struct {
 	File  FileID            `json:"file"`
 	Line  int               `json:"line"`
 	Lines []json.RawMessage `json:"lines"`
 }
 
-// SealFile ends a file with the number of lines that it must have.
+// SealFile completes a file. It is rejected unless the file has Lines lines.
 type SealFile struct {
 	File  FileID `json:"file"`
 	Lines int    `json:"lines"`
 	Bytes int64  `json:"bytes"`
 }
 
-// DeleteFile removes a file and frees its space.
+// DeleteFile hides a file at once and frees its space when no job uses it.
 type DeleteFile struct {
 	File FileID `json:"file"`
 }
@@ -94,20 +96,20 @@
 	Metadata   map[string]string `json:"metadata,omitempty"`
 }
 
-// Cancel stops a job for good.
+// Cancel cancels a job permanently.
 type Cancel struct {
 	Job JobID `json:"job"`
 }
 
-// ExpireJobs ends those of the jobs whose deadline is not after the command's
-// time.
+// ExpireJobs expires those of the jobs whose deadline is at or before the
+// command's time.
 type ExpireJobs struct {
 	Jobs []JobID `json:"jobs"`
 }
 
-// Start records, before it is sent, that a non-repeatable item is sent. It is
-// refused when a start of the same or a later grant was ever committed, unless
-// it is the same start sent again, and once the job or the item has ended.
+// Start records that a non-repeatable item is about to be sent. It is rejected if a
+// start under the same or a later grant was committed before, unless it is a retry of
+// that start, or if the job or the item has ended.
 type Start struct {
 	Item    ItemRef       `json:"item"`
 	Router  api.NodeID    `json:"router"`
@@ -115,13 +117,13 @@
 	Epoch   uint64        `json:"epoch"` // of the grant
 }
 
-// Release takes a start back: the request is known not to have run.
+// Release revokes a start whose request is known not to have run.
 type Release struct {
 	Item    ItemRef       `json:"item"`
 	Request api.RequestID `json:"request"`
 }
 
-// Complete brings results and releases of many items.
+// Complete records results and releases of any number of items.
 type Complete struct {
 	Results  []ItemResult `json:"results,omitempty"`
 	Released []Release    `json:"released,omitempty"`
@@ -134,36 +136,36 @@
 	Outcome  api.Outcome     `json:"outcome"`
 	Status   int             `json:"status"` // HTTP status of the answer
 	Body     json.RawMessage `json:"body,omitempty"`
-	Code     api.ErrorCode   `json:"code,omitempty"` // why there is no answer
+	Code     api.ErrorCode   `json:"code,omitempty"` // set if there is no answer
 	Error    string          `json:"error,omitempty"`
 	Request  api.RequestID   `json:"request"`
 }
 
-// Failed tells whether the item has no answer or one of status 400 or more.
+// Failed reports whether the item has no answer or one with status 400 or above.
 func (r ItemResult) Failed() bool {
 	return r.Outcome != api.OutcomeRan || r.Status == 0 || r.Status >= 400
 }
 
-// The codes of items that their job left without a result; the words are the
-// OpenAI API's.
+// Codes of items without a result whose job was cancelled or expired, as defined
+// by the OpenAI API.
 const (
 	CodeExpired   api.ErrorCode = "batch_expired"
 	CodeCancelled api.ErrorCode = "batch_cancelled"
 )
 
-// ClaimRequest reserves an idempotency key for an online request that may not
-// be repeated, before it is sent.
+// ClaimRequest reserves an idempotency key for a non-repeatable online request
+// before it is sent.
 type ClaimRequest struct {
 	Tenant   api.TenantID  `json:"tenant"`
 	Key      string        `json:"key"`
 	BodyHash string        `json:"body_hash"`
 	Request  api.RequestID `json:"request"`
-	// Holder is the address of the sidecar that works on the request.
+	// Holder is the address of the sidecar that handles the request.
 	Holder string `json:"holder,omitempty"`
 }
 
-// RecordRequest keeps the answer of a claimed request. An outcome of not run
-// gives the key free again.
+// RecordRequest stores the answer of a claimed request. The outcome "not run"
+// releases the key instead.
 type RecordRequest struct {
 	Tenant  api.TenantID  `json:"tenant"`
 	Key     string        `json:"key"`
@@ -174,29 +176,29 @@
 	Body    []byte        `json:"body,omitempty"`
 }
 
-// ExpireRetention drops jobs, files and claims that ended before Before, and
-// uploads that were begun before UploadsBefore and never sealed. One command
-// removes a bounded part; Result.More asks for another.
+// ExpireRetention deletes jobs, files and claims that ended before Before, and
+// unsealed uploads created before UploadsBefore. One command deletes a bounded
+// number; Result.More reports whether to send another.
 type ExpireRetention struct {
 	Before        time.Time `json:"before"`
 	UploadsBefore time.Time `json:"uploads_before"`
 }
 
-// Result answers a command once it is applied.
+// Result is the outcome of an applied command.
 type Result struct {
 	Job       *Job           `json:"job,omitempty"`
 	File      *File          `json:"file,omitempty"`
-	Duplicate bool           `json:"duplicate,omitempty"` // the same command took effect before
-	Accepted  int            `json:"accepted,omitempty"`  // Complete: records that were first
-	More      bool           `json:"more,omitempty"`      // ExpireRetention: there is more to remove
-	Recorded  *RecordRequest `json:"recorded,omitempty"`  // Claim: the answer that stands
-	Claimed   *ClaimRequest  `json:"claimed,omitempty"`   // Claim: whose claim stands in the way
-	Inline    *InlineJob     `json:"inline,omitempty"`    // SubmitInline, EndInline: the job
+	Duplicate bool           `json:"duplicate,omitempty"` // the command was applied before
+	Accepted  int            `json:"accepted,omitempty"`  // Complete: number of results stored
+	More      bool           `json:"more,omitempty"`      // ExpireRetention: more remains to be deleted
+	Recorded  *RecordRequest `json:"recorded,omitempty"`  // Claim, Record: the stored answer
+	Claimed   *ClaimRequest  `json:"claimed,omitempty"`   // Claim: the conflicting claim
+	Inline    *InlineJob     `json:"inline,omitempty"`    // SubmitInline, EndInline
 	Code      api.ErrorCode  `json:"code,omitempty"`      // empty on success
 	Message   string         `json:"message,omitempty"`
 }
 
-// File is a file's state.
+// File describes a file without its lines.
 type File struct {
 	ID      FileID       `json:"id"`
 	Tenant  api.TenantID `json:"tenant"`
@@ -206,33 +208,33 @@
 	Lines   int          `json:"lines"`
 	Bytes   int64        `json:"bytes"`
 	Sealed  bool         `json:"sealed"`
-	// Services counts the lines by the service that they are for.
+	// Services is the number of lines by service.
 	Services map[api.ServiceName]int `json:"services,omitempty"`
-	// Jobs counts the jobs over the file that are still kept.
+	// Jobs is the number of stored jobs that use the file.
 	Jobs int `json:"jobs,omitempty"`
-	// Deleted files are not shown; their lines stay while Jobs is not 0.
+	// Deleted files are hidden; their lines are kept while Jobs is not 0.
 	Deleted bool `json:"deleted,omitempty"`
 }
 
-// JobStatus is a job's state; the words are the OpenAI API's.
+// JobStatus is the state of a job, as defined by the OpenAI API.
 type JobStatus string
 
 // The states of a job; the last three are terminal.
 const (
 	JobInProgress JobStatus = "in_progress"
-	JobCancelling JobStatus = "cancelling" // cancelled; started non-repeatable items are not settled yet
-	JobFinalizing JobStatus = "finalizing" // past its deadline; started non-repeatable items are not settled yet
+	JobCancelling JobStatus = "cancelling" // cancelled, with started non-repeatable items outstanding
+	JobFinalizing JobStatus = "finalizing" // past its deadline, with started non-repeatable items outstanding
 	JobCompleted  JobStatus = "completed"
 	JobCancelled  JobStatus = "cancelled"
 	JobExpired    JobStatus = "expired"
 )
 
-// Ended tells whether the state is terminal.
+// Ended reports whether the state is terminal.
 func (s JobStatus) Ended() bool {
 	return s == JobCompleted || s == JobCancelled || s == JobExpired
 }
 
-// Job is a batch job's state without its items. Of an ended job, Completed,
+// Job describes a batch job without its items. Once the job has ended, Completed,
 // Failed and Unfinished add up to Total.
 type Job struct {
 	Submit
@@ -241,18 +243,17 @@
 	Cancelling time.Time `json:"cancelling"` // when the cancel was committed; zero otherwise
 	Ended      time.Time `json:"ended"`
 	Total      int       `json:"total"`
-	Completed  int       `json:"completed"`  // ended with an answer of status below 400
-	Failed     int       `json:"failed"`     // ended otherwise
-	Unknown    int       `json:"unknown"`    // of Failed: the outcome could not be learned
+	Completed  int       `json:"completed"`  // answered with a status below 400
+	Failed     int       `json:"failed"`     // all other items with a result
+	Unknown    int       `json:"unknown"`    // part of Failed: the outcome is unknown
 	Unfinished int       `json:"unfinished"` // cancelled or expired without a result
-	Started    int       `json:"started"`    // non-repeatable items that are sent and not settled
-	Dropped    int       `json:"dropped"`    // late answers that were not taken
-	// Services counts the items by service.
+	Started    int       `json:"started"`    // non-repeatable items started, without a result
+	Dropped    int       `json:"dropped"`    // late results that were rejected
+	// Services is the number of items by service.
 	Services map[api.ServiceName]int `json:"services,omitempty"`
 }
 
-// ID is the job's id.
 func (j Job) ID() JobID { return j.Submit.Job }
 
-// Ended items have a record.
+// settled is the number of items with a result.
 func (j Job) settled() int { return j.Completed + j.Failed }
--- a/jobs/dispatch.go
+++ b/jobs/dispatch.go
@@ -6,40 +6,41 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Bounds of one Grant.
+// Limits of one Grant.
 const (
-	maximumGrantItems = 512
-	maximumGrantBytes = 4 << 20
+	maxGrantItems = 512
+	maxGrantBytes = 4 << 20
 )
 
-// DispatcherSettings set a Dispatcher.
+// DispatcherSettings configure a Dispatcher.
 type DispatcherSettings struct {
-	// Term of the leadership; later grants have a higher epoch.
+	// Term is the leader's term. Grants of a later term have a higher epoch.
 	Term uint64
-	// Lifetime of a grant that is not renewed.
+	// Lifetime is how long a grant is valid without renewal.
 	Lifetime time.Duration
-	// AdoptWait is how long a new leader grants nothing, so that routers can
-	// renew the grants of the leader before and their items run only once.
+	// AdoptWait is how long a new leader issues no grants, so that routers can renew
+	// grants of the previous leader and their items run only once.
 	AdoptWait time.Duration
-	// MaximumAttempts bounds how often an item may fail before its last
-	// answer stands.
+	// MaximumAttempts is how often an item may fail before its last answer
+	// becomes its result.
 	MaximumAttempts int
-	// Backoff before an item that failed is handed out again; it doubles with
-	// each attempt up to MaximumBackoff.
+	// Backoff is the delay before a failed item is granted again. It doubles
+	// with each attempt up to MaximumBackoff.
 	Backoff        time.Duration
 	MaximumBackoff time.Duration
-	// UnknownServiceGrace is how long items wait for a service that the table
-	// does not have, before they end with an error.
+	// UnknownServiceGrace is how long items wait for a service that is missing
+	// from the table before they fail.
 	UnknownServiceGrace time.Duration
-	// Retention of ended jobs, files and claims, and of unsealed uploads.
+	// Retention is how long ended jobs, files and claims are kept, and
+	// UploadRetention how long unsealed uploads are.
 	Retention       time.Duration
 	UploadRetention time.Duration
-	// SweepInterval between looks for what is past its retention.
+	// SweepInterval is how often expired data is deleted.
 	SweepInterval time.Duration
 	Faults        Faults
 }
 
-// DefaultDispatcherSettings suit a group in one region.
+// DefaultDispatcherSettings are suitable for a group within one region.
 func DefaultDispatcherSettings() DispatcherSettings {
 	return DispatcherSettings{
 		Lifetime: time.Minute, AdoptWait: 200 * time.Millisecond,
@@ -49,42 +50,43 @@
 	}
 }
 
-// DispatchMessage is what a Dispatcher is stepped with.
+// DispatchMessage is an input of Dispatcher.Step.
 type DispatchMessage interface{ dispatchMessage() }
 
-// ClaimArrived asks for items. Granted answers it, at once or when work comes.
+// ClaimArrived asks for items. It is answered by Granted, at once or when work
+// arrives.
 type ClaimArrived struct {
 	Token uint64
 	Claim ClaimItems
 }
 
-// ClaimGone says that nobody waits for the claim's answer any more.
+// ClaimGone withdraws a claim whose caller has gone away.
 type ClaimGone struct{ Token uint64 }
 
-// ItemsReturned brings items back, after the releases in the same Settle were
-// committed. Noticed answers it.
+// ItemsReturned returns items without a result, after the releases of the same
+// Settle were committed. It is answered by Noticed.
 type ItemsReturned struct {
 	Token    uint64
 	Router   api.NodeID
 	Returned []ReturnedItem
 }
 
-// RenewArrived lengthens grants. Noticed answers it.
+// RenewArrived renews grants. It is answered by Noticed.
 type RenewArrived struct {
 	Token uint64
 	Renew Renew
 }
 
-// Applied tells of each command that was applied while this replica leads.
+// Applied reports a command that was applied while this replica leads.
 type Applied struct {
 	Command Command
 	Result  Result
 }
 
-// KnownServices tells which services the table in force has.
+// KnownServices lists the services in the current table.
 type KnownServices struct{ Services []api.ServiceName }
 
-// DispatchTick lets time pass; the shell sends it several times a second.
+// DispatchTick drives timeouts. The caller sends it several times a second.
 type DispatchTick struct{}
 
 func (ClaimArrived) dispatchMessage()  {}
@@ -95,7 +97,7 @@
 func (KnownServices) dispatchMessage() {}
 func (DispatchTick) dispatchMessage()  {}
 
-// DispatchAction is what a Dispatcher asks for.
+// DispatchAction is an output of Dispatcher.Step, which the caller executes.
 type DispatchAction interface{ dispatchAction() }
 
 // Granted answers a claim.
@@ -110,12 +112,12 @@
 	Notice Notice
 }
 
-// ProposeCommand asks for a command to be committed. It may be lost: the
-// Dispatcher asks again while there is a need.
+// ProposeCommand asks the caller to propose a command to the log. The proposal
+// may be lost: the Dispatcher repeats it as long as necessary.
 type ProposeCommand struct{ Command Command }
 
-// DispatchFailed says that the state could not be read: the replica must stop
-// leading.
+// DispatchFailed reports that the state could not be read. The replica must give
+// up leadership.
 type DispatchFailed struct{ Err error }
 
 func (Granted) dispatchAction()        {}
--- a/jobs/dispatcher.go
+++ b/jobs/dispatcher.go
@@ -9,44 +9,48 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// epochBits is how many grants a term can give.
+// epochBits is the number of low bits of an epoch that count grants within a
+// term; the term is stored above them.
 const epochBits = 32
 
-// grantQuantum is how many items a tenant is served in turn.
+// grantQuantum is the maximum number of items granted to a tenant in one turn.
 const grantQuantum = 8
 
-// Dispatcher hands a leader's waiting items to routers. It keeps only what may
-// be lost: after a change of leader the waiting items are found again in the
-// State, and running ones are adopted when their routers renew them or else run
-// a second time, with one result. Its memory grows with jobs and grants, not
-// with items.
+// Dispatcher grants a leader's waiting items to routers. It holds soft state only:
+// a new leader reads the waiting items from the State and adopts running ones
+// when their routers renew the grants. A repeatable item that is not adopted may
+// run a second time, with one result. Memory use grows with the number of jobs
+// and grants, not of items.
+//
+// A Dispatcher is not safe for concurrent use.
 type Dispatcher struct {
-	state     *State
-	settings  DispatcherSettings
-	epoch     uint64
-	grantFrom time.Time // nothing is granted before
-	jobs      map[JobID]*trackedJob
-	services  map[api.ServiceName]*serviceQueue
-	grants    *grantTable
-	parked    []parkedClaim
-	known     map[api.ServiceName]bool // nil until told
-	nextSweep time.Time
-	nextDue   time.Time // next look for jobs past their deadline
-	err       error
+	state             *State
+	settings          DispatcherSettings
+	epoch             uint64
+	grantNotBefore    time.Time // no grants are issued earlier
+	jobs              map[JobID]*trackedJob
+	services          map[api.ServiceName]*serviceQueue
+	grants            *grantTable
+	pending           []pendingClaim
+	knownServices     map[api.ServiceName]bool // nil until KnownServices arrives
+	nextSweep         time.Time
+	nextDeadlineCheck time.Time
+	err               error
 }
 
-type parkedClaim struct {
-	token uint64
-	claim ClaimItems
-	until time.Time
+type pendingClaim struct {
+	token    uint64
+	claim    ClaimItems
+	deadline time.Time
 }
 
-// NewDispatcher finds the waiting and the started items of the state. A started
-// item whose router does not renew it ends as unknown after a lifetime.
+// NewDispatcher reads the active jobs and their started items from the state. A
+// started item whose grant is not renewed within Lifetime ends with an unknown
+// outcome.
 func NewDispatcher(state *State, settings DispatcherSettings, now time.Time) (*Dispatcher, error) {
 	dispatcher := &Dispatcher{
 		state: state, settings: settings, epoch: settings.Term << epochBits,
-		grantFrom: now.Add(settings.AdoptWait), nextSweep: now, nextDue: now,
+		grantNotBefore: now.Add(settings.AdoptWait), nextSweep: now, nextDeadlineCheck: now,
 		jobs: map[JobID]*trackedJob{}, services: map[api.ServiceName]*serviceQueue{}, grants: newGrantTable(),
 	}
 	active, err := state.ActiveJobs()
@@ -55,7 +59,7 @@
 	}
 	for _, job := range active {
 		dispatcher.addJob(job)
-		if err := dispatcher.addStarted(now, job); err != nil {
+		if err := dispatcher.adoptStarted(now, job); err != nil {
 			return nil, err
 		}
 	}
@@ -86,106 +90,107 @@
 	return queue
 }
 
-func (d *Dispatcher) addStarted(now time.Time, job Job) error {
+func (d *Dispatcher) adoptStarted(now time.Time, job Job) error {
 	started, err := d.state.startedItems(job)
 	for _, item := range started {
-		service, failed := ServiceOf(item.line.URL, item.line.Body)
-		if failed != nil {
-			return failed
+		service, err := ServiceOf(item.line.URL, item.line.Body)
+		if err != nil {
+			return err
 		}
-		d.grants.add(&standingGrant{
-			item: item.item, epoch: item.start.Epoch, router: item.start.Router, until: now.Add(d.settings.Lifetime),
-			stream: d.jobs[job.ID()].streams[service], started: true, request: item.start.Request, custom: item.line.CustomID,
+		d.grants.add(&activeGrant{
+			item: item.item, epoch: item.start.Epoch, router: item.start.Router, expires: now.Add(d.settings.Lifetime),
+			stream: d.jobs[job.ID()].streams[service], started: true, request: item.start.Request, customID: item.line.CustomID,
 		})
 	}
 	return err
 }
 
-// Step takes one message.
+// Step handles one message and returns the resulting actions.
 func (d *Dispatcher) Step(now time.Time, message DispatchMessage) []DispatchAction {
 	var actions []DispatchAction
 	firstServed := 0
 	switch message := message.(type) {
 	case ClaimArrived:
-		actions = d.claim(now, message)
-		// The older claims were looked at when work last came; a further claim
-		// brings none, and hundreds of routers may wait.
-		firstServed = len(d.parked) - 1
+		actions = d.enqueueClaim(now, message)
+		// A new claim brings no work, so the older claims, possibly hundreds,
+		// need not be evaluated again.
+		firstServed = len(d.pending) - 1
 	case ClaimGone:
-		d.unpark(message.Token)
+		d.removePending(message.Token)
 	case ItemsReturned:
-		actions = d.itemsReturned(now, message)
+		actions = d.handleReturned(now, message)
 	case RenewArrived:
-		actions = d.renew(now, message)
+		actions = d.handleRenew(now, message)
 	case Applied:
-		actions = d.applied(now, message)
+		actions = d.handleApplied(now, message)
 	case KnownServices:
-		d.known = map[api.ServiceName]bool{}
+		d.knownServices = map[api.ServiceName]bool{}
 		for _, service := range message.Services {
-			d.known[service] = true
+			d.knownServices[service] = true
 		}
 	case DispatchTick:
-		actions = d.tick(now)
+		actions = d.handleTick(now)
 	}
-	actions = append(actions, d.serveParked(now, firstServed)...)
+	actions = append(actions, d.servePending(now, firstServed)...)
 	if d.err != nil {
 		return []DispatchAction{DispatchFailed{Err: d.err}}
 	}
 	return actions
 }
 
-// claim answers at once when there is work or something to stop; otherwise the
-// claim waits. A router's new claim takes the place of its older one.
-func (d *Dispatcher) claim(now time.Time, arrived ClaimArrived) []DispatchAction {
+// enqueueClaim adds a claim to the pending ones. A router has at most one pending
+// claim: an older one is answered with an empty grant.
+func (d *Dispatcher) enqueueClaim(now time.Time, arrived ClaimArrived) []DispatchAction {
 	var actions []DispatchAction
-	d.parked = slices.DeleteFunc(d.parked, func(parked parkedClaim) bool {
-		replaced := parked.claim.Router == arrived.Claim.Router
+	d.pending = slices.DeleteFunc(d.pending, func(claim pendingClaim) bool {
+		replaced := claim.claim.Router == arrived.Claim.Router
 		if replaced {
-			actions = append(actions, Granted{Token: parked.token})
+			actions = append(actions, Granted{Token: claim.token})
 		}
 		return replaced
 	})
-	d.parked = append(d.parked, parkedClaim{
+	d.pending = append(d.pending, pendingClaim{
 		token: arrived.Token, claim: arrived.Claim,
-		until: now.Add(time.Duration(arrived.Claim.WaitMs) * time.Millisecond),
+		deadline: now.Add(time.Duration(arrived.Claim.WaitMs) * time.Millisecond),
 	})
 	return actions
 }
 
-func (d *Dispatcher) unpark(token uint64) {
-	d.parked = slices.DeleteFunc(d.parked, func(parked parkedClaim) bool { return parked.token == token })
+func (d *Dispatcher) removePending(token uint64) {
+	d.pending = slices.DeleteFunc(d.pending, func(claim pendingClaim) bool { return claim.token == token })
 }
 
-// serveParked answers the claims that work has come for, the oldest first, and
-// those that have waited long enough. It begins at the given one.
-func (d *Dispatcher) serveParked(now time.Time, first int) []DispatchAction {
+// servePending answers the pending claims from index first on, oldest first, for
+// which there is work or a cancellation, or whose wait time has passed.
+func (d *Dispatcher) servePending(now time.Time, first int) []DispatchAction {
 	var actions []DispatchAction
-	still := d.parked[:first]
-	for _, parked := range d.parked[first:] {
-		grant := Grant{Cancelled: d.cancelled(parked.claim.Router)}
-		if !now.Before(d.grantFrom) {
-			d.fill(now, parked.claim, &grant)
+	remaining := d.pending[:first]
+	for _, pending := range d.pending[first:] {
+		grant := Grant{Cancelled: d.cancelledJobs(pending.claim.Router)}
+		if !now.Before(d.grantNotBefore) {
+			d.fillGrant(now, pending.claim, &grant)
 		}
-		if len(grant.Items) == 0 && len(grant.Cancelled) == 0 && now.Before(parked.until) {
-			still = append(still, parked)
+		if len(grant.Items) == 0 && len(grant.Cancelled) == 0 && now.Before(pending.deadline) {
+			remaining = append(remaining, pending)
 			continue
 		}
-		actions = append(actions, Granted{Token: parked.token, Grant: grant})
+		actions = append(actions, Granted{Token: pending.token, Grant: grant})
 	}
-	d.parked = still
+	d.pending = remaining
 	return actions
 }
 
-// fill adds items for the claim's wants.
-func (d *Dispatcher) fill(now time.Time, claim ClaimItems, grant *Grant) {
+// fillGrant adds waiting items to the grant, up to the claimed room and the limits
+// of one grant.
+func (d *Dispatcher) fillGrant(now time.Time, claim ClaimItems, grant *Grant) {
 	size := 0
 	for _, want := range claim.Wants {
 		queue, ok := d.services[want.Service]
 		if !ok {
 			continue
 		}
-		for room := want.Room; room > 0 && len(grant.Items) < maximumGrantItems && size < maximumGrantBytes; {
-			items := d.take(now, queue, claim.Router, want.Place, min(room, grantQuantum))
+		for room := want.Room; room > 0 && len(grant.Items) < maxGrantItems && size < maxGrantBytes; {
+			items := d.grantItems(now, queue, claim.Router, want.Place, min(room, grantQuantum))
 			if len(items) == 0 {
 				break
 			}
@@ -198,9 +203,9 @@
 	}
 }
 
-// take grants up to count items of the stream whose turn it is. It gives none
-// only when none waits.
-func (d *Dispatcher) take(now time.Time, queue *serviceQueue, router api.NodeID, place api.PlaceName, count int) []GrantedItem {
+// grantItems grants up to count items of the next stream in turn. It returns none
+// only if no item is ready.
+func (d *Dispatcher) grantItems(now time.Time, queue *serviceQueue, router api.NodeID, place api.PlaceName, count int) []GrantedItem {
 	for {
 		tenant, stream := queue.next(now)
 		if stream == nil {
@@ -209,14 +214,14 @@
 		var items []GrantedItem
 		for len(items) < count && d.err == nil {
 			waiting, ok, err := stream.pop(d.state, now, d.grants.has)
-			d.fail(err)
+			d.setErr(err)
 			if !ok {
 				break
 			}
-			items = append(items, d.grant(now, stream, waiting, router, place))
+			items = append(items, d.grantItem(now, stream, waiting, router, place))
 		}
 		if len(items) > 0 {
-			queue.served(tenant, len(items))
+			queue.charge(tenant, len(items))
 			return items
 		}
 		if d.err != nil {
@@ -225,17 +230,17 @@
 	}
 }
 
-func (d *Dispatcher) fail(err error) {
+func (d *Dispatcher) setErr(err error) {
 	if d.err == nil {
 		d.err = err
 	}
 }
 
-func (d *Dispatcher) grant(now time.Time, stream *stream, waiting waitingItem, router api.NodeID, place api.PlaceName) GrantedItem {
+func (d *Dispatcher) grantItem(now time.Time, stream *stream, waiting waitingItem, router api.NodeID, place api.PlaceName) GrantedItem {
 	d.epoch++
 	job := stream.tracked.job
 	item := ItemRef{Job: job.ID(), Item: waiting.item}
-	d.grants.add(&standingGrant{item: item, epoch: d.epoch, router: router, until: now.Add(d.settings.Lifetime), stream: stream})
+	d.grants.add(&activeGrant{item: item, epoch: d.epoch, router: router, expires: now.Add(d.settings.Lifetime), stream: stream})
 	return GrantedItem{
 		Item: item, Epoch: d.epoch, CustomID: waiting.line.CustomID, Tenant: job.Tenant,
 		Service: waiting.service, Place: place, Path: waiting.line.URL, Body: waiting.line.Body,
@@ -244,10 +249,11 @@
 	}
 }
 
-// cancelled lists the jobs whose repeatable items the router should stop.
-func (d *Dispatcher) cancelled(router api.NodeID) []JobID {
+// cancelledJobs lists the jobs of the router's grants that no longer accept results
+// of repeatable items.
+func (d *Dispatcher) cancelledJobs(router api.NodeID) []JobID {
 	var list []JobID
-	for id := range d.grants.held[router] {
+	for id := range d.grants.byRouter[router] {
 		if tracked := d.jobs[id]; tracked != nil && !tracked.active() && tracked.job.Repeatable {
 			list = append(list, id)
 		}
@@ -256,11 +262,12 @@
 	return list
 }
 
-// Backlog counts the items that wait, by service, sorted.
+// Backlog returns the approximate number of waiting items by service, sorted by
+// service. Services without waiting items are omitted.
 func (d *Dispatcher) Backlog() []api.ServiceBacklog {
 	var backlog []api.ServiceBacklog
 	for service, queue := range d.services {
-		if waiting := queue.waiting(); waiting > 0 {
+		if waiting := queue.waitingItems(); waiting > 0 {
 			backlog = append(backlog, api.ServiceBacklog{Service: service, Items: waiting})
 		}
 	}
--- a/jobs/dispatcher_events.go
+++ b/jobs/dispatcher_events.go
@@ -10,19 +10,21 @@
 )
 
 const (
-	// releaseWait is how long a released item waits for its ItemsReturned,
-	// which tells when to try again.
-	releaseWait = time.Second
-	// proposeAgain is when a proposal that was not applied is made again.
-	proposeAgain = 2 * time.Second
-	// roomDelay is how long an item that found no room waits.
-	roomDelay = 50 * time.Millisecond
-	// maximumBackoffShift keeps the doubled backoff within its type.
-	maximumBackoffShift = 16
+	// releaseTimeout is how long a released item waits for its ItemsReturned,
+	// which determines when it is granted again.
+	releaseTimeout = time.Second
+	// proposeRetryInterval is the delay before a proposal that was not applied is
+	// repeated.
+	proposeRetryInterval = 2 * time.Second
+	// noRoomDelay is the minimum delay before an item that found no room is granted
+	// again.
+	noRoomDelay = 50 * time.Millisecond
+	// maxBackoffShift keeps the exponential backoff from overflowing.
+	maxBackoffShift = 16
 )
 
-// applied follows the committed commands.
-func (d *Dispatcher) applied(now time.Time, applied Applied) []DispatchAction {
+// handleApplied updates the tracked jobs and grants after a committed command.
+func (d *Dispatcher) handleApplied(now time.Time, applied Applied) []DispatchAction {
 	command := applied.Command
 	if applied.Result.Duplicate {
 		return nil
@@ -31,29 +33,30 @@
 	case command.Submit != nil && applied.Result.Job != nil:
 		d.addJob(*applied.Result.Job)
 	case command.Cancel != nil:
-		d.refresh(command.Cancel.Job)
+		d.reloadJob(command.Cancel.Job)
 	case command.ExpireJobs != nil:
 		for _, id := range command.ExpireJobs.Jobs {
-			d.refresh(id)
+			d.reloadJob(id)
 		}
 	case command.Start != nil && applied.Result.Code == "":
-		d.started(now, *command.Start)
+		d.handleStart(now, *command.Start)
 	case command.Complete != nil:
-		d.completed(now, *command.Complete)
+		d.handleComplete(now, *command.Complete)
 	case command.Expire != nil && applied.Result.More:
 		return []DispatchAction{d.sweep(now)}
 	}
 	return nil
 }
 
-// refresh reads a job's state again and forgets what has ended.
-func (d *Dispatcher) refresh(id JobID) {
+// reloadJob reads a job from the state, and removes it from the queues if it is no
+// longer active.
+func (d *Dispatcher) reloadJob(id JobID) {
 	tracked, ok := d.jobs[id]
 	if !ok {
 		return
 	}
 	job, found, err := d.state.Job(id)
-	d.fail(err)
+	d.setErr(err)
 	wasActive := tracked.active()
 	if found {
 		tracked.job = job
@@ -66,7 +69,7 @@
 			d.dequeue(service, stream)
 		}
 	}
-	d.forget(tracked)
+	d.removeIfEnded(tracked)
 }
 
 func (d *Dispatcher) dequeue(service api.ServiceName, stream *stream) {
@@ -80,16 +83,16 @@
 	}
 }
 
-// forget drops an ended job once no grant of it stands.
-func (d *Dispatcher) forget(tracked *trackedJob) {
-	if tracked.job.Status.Ended() && tracked.granted == 0 {
+// removeIfEnded stops tracking an ended job that has no active grants.
+func (d *Dispatcher) removeIfEnded(tracked *trackedJob) {
+	if tracked.job.Status.Ended() && tracked.activeGrants == 0 {
 		delete(d.jobs, tracked.job.ID())
 	}
 }
 
-// started marks the grant whose item is being sent, or adds it when it is of a
-// leader before.
-func (d *Dispatcher) started(now time.Time, start Start) {
+// handleStart marks the grant of a started item. A start under a grant of a previous
+// leader adds the grant.
+func (d *Dispatcher) handleStart(now time.Time, start Start) {
 	tracked, ok := d.jobs[start.Item.Job]
 	if !ok {
 		return
@@ -101,20 +104,20 @@
 	}
 	stream, custom := d.streamOf(tracked, start.Item.Item)
 	if grant == nil {
-		grant = &standingGrant{item: start.Item, epoch: start.Epoch, router: start.Router, until: now.Add(d.settings.Lifetime), stream: stream}
+		grant = &activeGrant{item: start.Item, epoch: start.Epoch, router: start.Router, expires: now.Add(d.settings.Lifetime), stream: stream}
 		d.grants.add(grant)
 	}
-	grant.started, grant.request, grant.custom = true, start.Request, custom
-	d.grants.end(grant, now.Add(d.settings.Lifetime))
+	grant.started, grant.request, grant.customID = true, start.Request, custom
+	d.grants.setExpiry(grant, now.Add(d.settings.Lifetime))
 }
 
-// streamOf finds the stream of an item and its custom id.
+// streamOf returns the stream of an item and the item's custom ID.
 func (d *Dispatcher) streamOf(tracked *trackedJob, item int) (*stream, string) {
 	lines, _, err := d.state.Lines(tracked.job.File, item, 1)
-	d.fail(err)
+	d.setErr(err)
 	if len(lines) == 1 {
 		line, err := ParseLine(lines[0])
-		d.fail(err)
+		d.setErr(err)
 		if service, err := ServiceOf(line.URL, line.Body); err == nil && tracked.streams[service] != nil {
 			return tracked.streams[service], line.CustomID
 		}
@@ -123,7 +126,7 @@
 	return tracked.streams[first], ""
 }
 
-func (d *Dispatcher) completed(now time.Time, complete Complete) {
+func (d *Dispatcher) handleComplete(now time.Time, complete Complete) {
 	touched := map[JobID]bool{}
 	for _, result := range complete.Results {
 		touched[result.Item.Job] = true
@@ -134,24 +137,24 @@
 		d.grants.remove(grant)
 		delete(grant.stream.tracked.attempts, result.Item.Item)
 		if queue := d.services[grant.stream.service]; queue != nil {
-			queue.ended++
+			queue.completed++
 		}
 	}
 	for _, release := range complete.Released {
 		touched[release.Item.Job] = true
 		if grant := d.grants.byItem[release.Item]; grant != nil && grant.request == release.Request {
 			grant.started = false
-			d.grants.end(grant, now.Add(releaseWait))
+			d.grants.setExpiry(grant, now.Add(releaseTimeout))
 		}
 	}
 	for id := range touched {
-		d.refresh(id)
+		d.reloadJob(id)
 	}
 }
 
-// settledBy tells whether the result ends the grant. The State refuses a result
-// of a non-repeatable item whose start it does not know.
-func (g *standingGrant) settledBy(result ItemResult) bool {
+// settledBy reports whether the result ends the grant. The State rejects a result
+// of a non-repeatable item without a matching start.
+func (g *activeGrant) settledBy(result ItemResult) bool {
 	if g.stream.tracked.job.Repeatable {
 		return true
 	}
@@ -161,44 +164,44 @@
 	return result.Outcome == api.OutcomeNotRun
 }
 
-func (d *Dispatcher) itemsReturned(now time.Time, message ItemsReturned) []DispatchAction {
+func (d *Dispatcher) handleReturned(now time.Time, message ItemsReturned) []DispatchAction {
 	for _, returned := range message.Returned {
 		grant := d.grants.byItem[returned.Item]
 		if grant == nil || grant.epoch != returned.Epoch || grant.started {
 			continue
 		}
 		d.grants.remove(grant)
-		d.putBack(grant, d.retryAt(now, grant, returned))
+		d.requeue(grant, d.retryAt(now, grant, returned))
 	}
 	return d.notice(message.Token, message.Router, nil)
 }
 
-// retryAt decides when a returned item may be handed out again.
-func (d *Dispatcher) retryAt(now time.Time, grant *standingGrant, returned ReturnedItem) time.Time {
+// retryAt returns when a returned item may be granted again.
+func (d *Dispatcher) retryAt(now time.Time, grant *activeGrant, returned ReturnedItem) time.Time {
 	advice := min(time.Duration(returned.RetryAfterMs)*time.Millisecond, d.settings.MaximumBackoff)
 	switch returned.Reason {
 	case ReturnPreempted:
 		return now
 	case ReturnNoRoom:
-		return now.Add(max(advice, roomDelay))
+		return now.Add(max(advice, noRoomDelay))
 	}
 	attempts := grant.stream.tracked.attempts
 	attempts[returned.Item.Item]++
-	shift := min(attempts[returned.Item.Item]-1, maximumBackoffShift)
+	shift := min(attempts[returned.Item.Item]-1, maxBackoffShift)
 	return now.Add(max(advice, min(d.settings.Backoff<<shift, d.settings.MaximumBackoff)))
 }
 
-func (d *Dispatcher) putBack(grant *standingGrant, notBefore time.Time) {
+func (d *Dispatcher) requeue(grant *activeGrant, notBefore time.Time) {
 	tracked := grant.stream.tracked
 	if tracked.active() && !d.settings.Faults.ForgetReturned {
-		grant.stream.putBack(grant.item.Item, notBefore)
+		grant.stream.requeue(grant.item.Item, notBefore)
 	}
-	d.forget(tracked)
+	d.removeIfEnded(tracked)
 }
 
-// renew lengthens grants. One that no longer stands is adopted when its item
-// still waits, so that work that runs is not thrown away.
-func (d *Dispatcher) renew(now time.Time, message RenewArrived) []DispatchAction {
+// handleRenew extends grants. An unknown grant is adopted if its item is waiting, so
+// that the running request is not wasted.
+func (d *Dispatcher) handleRenew(now time.Time, message RenewArrived) []DispatchAction {
 	var lost []ItemRef
 	for _, renewed := range message.Renew.Items {
 		grant := d.grants.byItem[renewed.Item]
@@ -209,40 +212,40 @@
 			lost = append(lost, renewed.Item)
 			continue
 		}
-		d.grants.end(grant, now.Add(d.settings.Lifetime))
+		d.grants.setExpiry(grant, now.Add(d.settings.Lifetime))
 	}
 	return d.notice(message.Token, message.Renew.Router, lost)
 }
 
-func (d *Dispatcher) adopt(now time.Time, router api.NodeID, renewed RenewedGrant) *standingGrant {
+func (d *Dispatcher) adopt(now time.Time, router api.NodeID, renewed RenewedGrant) *activeGrant {
 	tracked := d.jobs[renewed.Item.Job]
 	if tracked == nil || !tracked.active() {
 		return nil
 	}
-	waiting, found, err := d.state.untaken(tracked.job, waitingItem{item: renewed.Item.Item})
-	d.fail(err)
+	waiting, found, err := d.state.findWaiting(tracked.job, waitingItem{item: renewed.Item.Item})
+	d.setErr(err)
 	if !found || tracked.streams[waiting.service] == nil {
 		return nil
 	}
 	stream := tracked.streams[waiting.service]
 	stream.waiting = max(stream.waiting-1, 0)
-	grant := &standingGrant{item: renewed.Item, epoch: renewed.Epoch, router: router, until: now.Add(d.settings.Lifetime), stream: stream}
+	grant := &activeGrant{item: renewed.Item, epoch: renewed.Epoch, router: router, expires: now.Add(d.settings.Lifetime), stream: stream}
 	d.grants.add(grant)
 	return grant
 }
 
 func (d *Dispatcher) notice(token uint64, router api.NodeID, lost []ItemRef) []DispatchAction {
-	return []DispatchAction{Noticed{Token: token, Notice: Notice{Cancelled: d.cancelled(router), Lost: lost}}}
+	return []DispatchAction{Noticed{Token: token, Notice: Notice{Cancelled: d.cancelledJobs(router), Lost: lost}}}
 }
 
-func (d *Dispatcher) tick(now time.Time) []DispatchAction {
-	actions := d.endGrants(now)
+func (d *Dispatcher) handleTick(now time.Time) []DispatchAction {
+	actions := d.expireGrants(now)
 	for _, service := range slices.Sorted(maps.Keys(d.services)) {
-		d.services[service].measurePace(now)
-		actions = append(actions, d.endUnknown(now, d.services[service])...)
+		d.services[service].updateRate(now)
+		actions = append(actions, d.failUnknownService(now, d.services[service])...)
 	}
-	if !now.Before(d.nextDue) {
-		d.nextDue = now.Add(proposeAgain)
+	if !now.Before(d.nextDeadlineCheck) {
+		d.nextDeadlineCheck = now.Add(proposeRetryInterval)
 		actions = append(actions, d.expireJobs(now)...)
 	}
 	if !now.Before(d.nextSweep) {
@@ -251,20 +254,20 @@
 	return actions
 }
 
-// endGrants takes back what was not renewed. A started item may have run: it
-// ends as unknown, by a result under its own request, which loses against a
-// result that was committed before.
-func (d *Dispatcher) endGrants(now time.Time) []DispatchAction {
+// expireGrants requeues the items of expired grants. A started item may have run: it
+// ends with an unknown outcome instead, under its own request ID, unless a result was
+// committed before.
+func (d *Dispatcher) expireGrants(now time.Time) []DispatchAction {
 	var unknown []ItemResult
-	for _, grant := range d.grants.expired(now) {
+	for _, grant := range d.grants.popExpired(now) {
 		if !grant.started {
 			d.grants.remove(grant)
-			d.putBack(grant, now)
+			d.requeue(grant, now)
 			continue
 		}
-		d.grants.prolong(grant, now.Add(proposeAgain))
+		d.grants.extend(grant, now.Add(proposeRetryInterval))
 		unknown = append(unknown, ItemResult{
-			Item: grant.item, CustomID: grant.custom, Outcome: api.OutcomeUnknown, Request: grant.request, Code: api.CodeOutcomeUnknown,
+			Item: grant.item, CustomID: grant.customID, Outcome: api.OutcomeUnknown, Request: grant.request, Code: api.CodeOutcomeUnknown,
 			Error: fmt.Sprintf("router %s sent the request and did not report; it is not sent again", grant.router),
 		})
 	}
@@ -274,11 +277,11 @@
 	return []DispatchAction{ProposeCommand{Command: Command{Complete: &Complete{Results: unknown}}}}
 }
 
-// endUnknown ends items of a service that the table has not had for the grace,
-// some at a time. A repeatable item may have run before, so that only of others
-// it is known that they did not.
-func (d *Dispatcher) endUnknown(now time.Time, queue *serviceQueue) []DispatchAction {
-	if d.known == nil || d.known[queue.service] {
+// failUnknownService fails waiting items of a service that has been missing from
+// the table for UnknownServiceGrace, a batch at a time. The outcome is "not run" for
+// non-repeatable items only, since a repeatable one may have run before.
+func (d *Dispatcher) failUnknownService(now time.Time, queue *serviceQueue) []DispatchAction {
+	if d.knownServices == nil || d.knownServices[queue.service] {
 		queue.unknownSince = time.Time{}
 		return nil
 	}
@@ -290,7 +293,7 @@
 	}
 	const itemsAtOnce = 256
 	var results []ItemResult
-	for _, item := range d.take(now, queue, "", "", itemsAtOnce) {
+	for _, item := range d.grantItems(now, queue, "", "", itemsAtOnce) {
 		outcome := api.OutcomeUnknown
 		if !item.Repeatable {
 			outcome = api.OutcomeNotRun
--- a/jobs/dispatcher_test.go
+++ b/jobs/dispatcher_test.go
@@ -9,7 +9,7 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// testDispatcher is a dispatcher over a state whose commands it is told of.
+// testDispatcher is a Dispatcher that is notified of all commands applied to its state.
 type testDispatcher struct {
 	*testState
 	dispatcher *Dispatcher
@@ -41,7 +41,7 @@
 	return result
 }
 
-// claim asks for room items and gives those granted at once.
+// claim asks for up to room items and returns those granted at once.
 func (d *testDispatcher) claim(router string, room int) []GrantedItem {
 	d.token++
 	d.actions = nil
@@ -60,7 +60,7 @@
 	return Grant{}
 }
 
-// submitFor submits a job of a tenant.
+// submitFor uploads a file and submits a repeatable job for the tenant.
 func (d *testDispatcher) submitFor(tenant, id string, items int, deadline time.Duration) {
 	d.t.Helper()
 	file := FileID("file-" + id)
@@ -72,12 +72,12 @@
 	}})
 }
 
-func newDispatcherOf(t *testing.T) *testDispatcher {
+func newMemoryDispatcher(t *testing.T) *testDispatcher {
 	return newTestDispatcher(t, 1, newTestState(t, NewMemoryStorage(), Faults{}))
 }
 
-func TestTenantsShareWhateverTheirJobs(t *testing.T) {
-	d := newDispatcherOf(t)
+func TestTenantsShareEquallyRegardlessOfJobCount(t *testing.T) {
+	d := newMemoryDispatcher(t)
 	for i := range 9 {
 		d.submitFor("many", fmt.Sprint("many-", i), 100, time.Hour)
 	}
@@ -89,12 +89,12 @@
 		}
 	}
 	if difference := counts["many"] - counts["one"]; counts["many"]+counts["one"] != 200 || difference > grantQuantum || difference < -grantQuantum {
-		t.Fatalf("the tenants got %v of 200 items", counts)
+		t.Fatalf("got %v of 200 items by tenant", counts)
 	}
 }
 
-func TestAnIdleTenantSavesNothingUp(t *testing.T) {
-	d := newDispatcherOf(t)
+func TestIdleTenantAccumulatesNoCredit(t *testing.T) {
+	d := newMemoryDispatcher(t)
 	d.submitFor("early", "early", 400, time.Hour)
 	d.claim("r", 200)
 	d.submitFor("late", "late", 400, time.Hour)
@@ -103,12 +103,12 @@
 		counts[item.Tenant]++
 	}
 	if counts["early"] < 80-grantQuantum {
-		t.Fatalf("the tenant that came late got %v of 160", counts)
+		t.Fatalf("got %v of 160 items by tenant", counts)
 	}
 }
 
 func TestLeastSlackGoesFirst(t *testing.T) {
-	d := newDispatcherOf(t)
+	d := newMemoryDispatcher(t)
 	d.submitFor("t", "far", 5, 3*time.Hour)
 	d.submitFor("t", "near", 5, time.Hour)
 	d.submitFor("t", "middle", 5, 2*time.Hour)
@@ -121,42 +121,42 @@
 	}
 }
 
-func TestAWaitingClaimIsAnsweredWhenWorkComes(t *testing.T) {
-	d := newDispatcherOf(t)
+func TestPendingClaimIsAnsweredWhenWorkArrives(t *testing.T) {
+	d := newMemoryDispatcher(t)
 	if items := d.claim("r", 3); len(items) != 0 {
-		t.Fatal("there is no work yet")
+		t.Fatal("items were granted before any were submitted")
 	}
 	token := d.token
 	d.submitFor("t", "j", 5, time.Hour)
 	if items := d.granted(token).Items; len(items) != 3 {
-		t.Fatalf("the waiting claim got %d items, want 3", len(items))
+		t.Fatalf("the pending claim got %d items, want 3", len(items))
 	}
 	d.claim("idle", 0)
 	token = d.token
 	d.now = d.now.Add(2 * time.Second)
 	d.step(DispatchTick{})
 	if !slices.ContainsFunc(d.actions, func(a DispatchAction) bool { g, ok := a.(Granted); return ok && g.Token == token }) {
-		t.Fatal("a claim waits longer than it asked for")
+		t.Fatal("the claim was not answered after its wait time")
 	}
 }
 
-func TestCancelReachesAWaitingClaimOfAHolder(t *testing.T) {
-	d := newDispatcherOf(t)
+func TestCancelAnswersPendingClaimOfGrantedRouter(t *testing.T) {
+	d := newMemoryDispatcher(t)
 	d.submitFor("t", "j", 2, time.Hour)
 	d.claim("r", 2)
 	d.claim("r", 2)
 	token := d.token
 	d.commit(Command{Cancel: &Cancel{Job: "j"}})
 	if grant := d.granted(token); !slices.Equal(grant.Cancelled, []JobID{"j"}) {
-		t.Fatalf("the holder was told %+v", grant)
+		t.Fatalf("got grant %+v, want job j cancelled", grant)
 	}
 	if items := d.claim("other", 5); len(items) != 0 {
 		t.Fatalf("%d items of a cancelled job were granted", len(items))
 	}
 }
 
-func TestAGrantThatIsNotRenewedWaitsAgainUnderALaterEpoch(t *testing.T) {
-	d := newDispatcherOf(t)
+func TestExpiredGrantIsReissuedWithLaterEpoch(t *testing.T) {
+	d := newMemoryDispatcher(t)
 	d.submitFor("t", "j", 1, time.Hour)
 	first := d.claim("a", 1)[0]
 	d.now = d.now.Add(2 * d.dispatcher.settings.Lifetime)
@@ -171,8 +171,8 @@
 	}
 }
 
-func TestANewLeaderAdoptsWhatRuns(t *testing.T) {
-	d := newDispatcherOf(t)
+func TestNewLeaderAdoptsRenewedGrants(t *testing.T) {
+	d := newMemoryDispatcher(t)
 	d.submitFor("t", "j", 4, time.Hour)
 	running := d.claim("a", 2)
 	next := newTestDispatcher(t, 2, d.testState)
@@ -187,8 +187,8 @@
 	}
 }
 
-func TestItemsThatFailBackOffAndEndAfterTheirAttempts(t *testing.T) {
-	d := newDispatcherOf(t)
+func TestFailedItemsBackOffUntilLastAttempt(t *testing.T) {
+	d := newMemoryDispatcher(t)
 	d.submitFor("t", "j", 1, time.Hour)
 	for attempt := 1; ; attempt++ {
 		items := d.claim("r", 1)
@@ -202,14 +202,14 @@
 		}
 		d.step(ItemsReturned{Returned: []ReturnedItem{{Item: items[0].Item, Epoch: items[0].Epoch, Reason: ReturnFailed}}})
 		if early := d.claim("r", 1); len(early) != 0 {
-			t.Fatalf("attempt %d followed at once", attempt)
+			t.Fatalf("attempt %d was not followed by a backoff", attempt)
 		}
 		d.now = d.now.Add(d.dispatcher.settings.MaximumBackoff)
 	}
 }
 
-func TestItemsOfAServiceThatIsNotInTheTableEnd(t *testing.T) {
-	d := newDispatcherOf(t)
+func TestItemsOfUnknownServiceFail(t *testing.T) {
+	d := newMemoryDispatcher(t)
 	d.submitFor("t", "j", 300, time.Hour)
 	d.step(KnownServices{Services: []api.ServiceName{"tutor"}})
 	for range 10 {
@@ -232,8 +232,8 @@
 	}
 }
 
-func TestADispatcherHoldsAPageOfALargeJob(t *testing.T) {
-	d := newDispatcherOf(t)
+func TestDispatcherBuffersOnePageOfLargeJob(t *testing.T) {
+	d := newMemoryDispatcher(t)
 	d.submitFor("t", "j", 5000, time.Hour)
 	seen := map[int]bool{}
 	for range 10 {
@@ -243,13 +243,13 @@
 		}
 	}
 	stream := d.dispatcher.jobs["j"].streams["judge"]
-	if len(seen) != 1000 || len(stream.page) > pageLines || len(stream.returned) > 0 || len(d.dispatcher.grants.byItem) > 0 {
+	if len(seen) != 1000 || len(stream.page) > linesPerPage || len(stream.returned) > 0 || len(d.dispatcher.grants.byItem) > 0 {
 		t.Fatalf("%d items seen, page %d, returned %d, grants %d", len(seen), len(stream.page), len(stream.returned), len(d.dispatcher.grants.byItem))
 	}
 }
 
-// TestStaleStartIsFenced: a start of a grant that is over comes late, after the
-// item was started and released under the next grant.
+// TestStaleStartIsFenced guards against accepting a delayed start of an expired grant
+// after the item was started and released under the next grant.
 func TestStaleStartIsFenced(t *testing.T) {
 	for _, ignore := range []bool{false, true} {
 		state := newTestState(t, NewMemoryStorage(), Faults{IgnoreEpoch: ignore})
--- a/jobs/grant.go
+++ b/jobs/grant.go
@@ -7,14 +7,14 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// ClaimItems is a router's wish for work.
+// ClaimItems is a router's request for work.
 type ClaimItems struct {
 	Router api.NodeID  `json:"router"`
 	Wants  []ClaimWant `json:"wants"`
-	WaitMs int         `json:"wait_ms"` // how long to wait for the first item
+	WaitMs int         `json:"wait_ms"` // maximum wait for the first item
 }
 
-// ClaimWant is the idle room of one row.
+// ClaimWant is the number of items that a router can run on one row.
 type ClaimWant struct {
 	Service api.ServiceName `json:"service"`
 	Place   api.PlaceName   `json:"place"`
@@ -24,15 +24,15 @@
 // Grant answers ClaimItems.
 type Grant struct {
 	Items []GrantedItem `json:"items"`
-	// Cancelled lists jobs whose items the router should stop.
+	// Cancelled lists jobs whose repeatable items the router should stop.
 	Cancelled []JobID `json:"cancelled,omitempty"`
 }
 
-// GrantedItem is one item to run. The grant ends after LifetimeMs; running on
-// costs repeated work but never gives a second result.
+// GrantedItem is an item to run. The grant expires after LifetimeMs without renewal.
+// A repeatable item that keeps running may then run twice, but has only one result.
 type GrantedItem struct {
 	Item       ItemRef         `json:"item"`
-	Epoch      uint64          `json:"epoch"` // fences older grants of the item
+	Epoch      uint64          `json:"epoch"` // fencing token: higher for later grants
 	CustomID   string          `json:"custom_id"`
 	Tenant     api.TenantID    `json:"tenant"`
 	Service    api.ServiceName `json:"service"`
@@ -42,19 +42,20 @@
 	Repeatable bool            `json:"repeatable"`
 	Deadline   time.Time       `json:"deadline"`
 	LifetimeMs int64           `json:"lifetime_ms"`
-	// LastAttempt: a failed answer stands as the item's result.
+	// LastAttempt is set if a failed answer becomes the item's result.
 	LastAttempt bool `json:"last_attempt,omitempty"`
 }
 
-// Settle is a router's report on granted items. Results and the releases of
-// started items go through the log.
+// Settle is a router's report on granted items. Results and releases of started items
+// are committed to the log.
 type Settle struct {
 	Router   api.NodeID     `json:"router"`
 	Results  []ItemResult   `json:"results,omitempty"`
 	Returned []ReturnedItem `json:"returned,omitempty"`
 }
 
-// Command is what of the report goes through the log; false when nothing does.
+// Command returns the part of the report to commit to the log, and false if there
+// is none.
 func (s Settle) Command() (Command, bool) {
 	complete := Complete{Results: s.Results}
 	for _, returned := range s.Returned {
@@ -65,43 +66,43 @@
 	return Command{Complete: &complete}, len(complete.Results)+len(complete.Released) > 0
 }
 
-// ReturnReason tells why an item came back without a result.
+// ReturnReason is why an item was returned without a result.
 type ReturnReason string
 
-// The reasons. Only ReturnFailed counts against the item's attempts.
+// The reasons for a return. Only ReturnFailed counts as an attempt.
 const (
-	ReturnPreempted ReturnReason = "preempted" // online work took the room
-	ReturnNoRoom    ReturnReason = "no_room"   // the router or the engine had none (429, 503)
-	ReturnFailed    ReturnReason = "failed"    // an answer of 500 or more, or a broken one
+	ReturnPreempted ReturnReason = "preempted" // displaced by online requests, or cancelled
+	ReturnNoRoom    ReturnReason = "no_room"   // no capacity at the router or the engine (429, 503)
+	ReturnFailed    ReturnReason = "failed"    // answer with status 500 or above, or incomplete
 )
 
-// ReturnedItem waits again.
+// ReturnedItem is an item returned without a result, which waits again.
 type ReturnedItem struct {
 	Item    ItemRef       `json:"item"`
 	Epoch   uint64        `json:"epoch"`
 	Reason  ReturnReason  `json:"reason"`
-	Request api.RequestID `json:"request,omitempty"` // of a started item that did not run
+	Request api.RequestID `json:"request,omitempty"` // set if the item was started and did not run
 	Status  int           `json:"status,omitempty"`  // of the answer
 	Error   string        `json:"error,omitempty"`
-	// RetryAfterMs is the engine's advice.
+	// RetryAfterMs is the retry delay requested by the engine.
 	RetryAfterMs int64 `json:"retry_after_ms,omitempty"`
 }
 
-// Renew lengthens a router's grants, also those of an earlier leader.
+// Renew extends a router's grants, including those issued by a previous leader.
 type Renew struct {
 	Router api.NodeID     `json:"router"`
 	Items  []RenewedGrant `json:"items"`
 }
 
-// RenewedGrant names a grant.
+// RenewedGrant identifies a grant to renew.
 type RenewedGrant struct {
 	Item  ItemRef `json:"item"`
 	Epoch uint64  `json:"epoch"`
 }
 
-// Notice answers Settle and Renew: what the router should stop.
+// Notice answers Settle and Renew with the items that the router should stop.
 type Notice struct {
-	// Cancelled lists jobs that take no more results of repeatable items.
+	// Cancelled lists jobs that accept no more results of repeatable items.
 	Cancelled []JobID `json:"cancelled,omitempty"`
 	// Lost lists items that were granted to another router or have ended.
 	Lost []ItemRef `json:"lost,omitempty"`
--- a/jobs/grants.go
+++ b/jobs/grants.go
@@ -8,75 +8,76 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// standingGrant is an item that a router may run.
-type standingGrant struct {
-	item    ItemRef
-	epoch   uint64
-	router  api.NodeID
-	until   time.Time
-	stream  *stream
-	started bool          // non-repeatable: its start is committed
-	request api.RequestID // of the start
-	custom  string        // custom id of a started item
+// activeGrant is a grant that has not been settled, returned or expired.
+type activeGrant struct {
+	item     ItemRef
+	epoch    uint64
+	router   api.NodeID
+	expires  time.Time
+	stream   *stream
+	started  bool          // the start of a non-repeatable item is committed
+	request  api.RequestID // of the start
+	customID string        // set for started items
 }
 
-// grantTable knows the standing grants by item, by router and by their end.
+// grantTable indexes the active grants by item, by router and by expiry.
 type grantTable struct {
-	byItem map[ItemRef]*standingGrant
-	held   map[api.NodeID]map[JobID]int
-	ends   endHeap
+	byItem   map[ItemRef]*activeGrant
+	byRouter map[api.NodeID]map[JobID]int
+	expiries expiryHeap // may hold outdated entries, which popExpired skips
 }
 
 func newGrantTable() *grantTable {
-	return &grantTable{byItem: map[ItemRef]*standingGrant{}, held: map[api.NodeID]map[JobID]int{}}
+	return &grantTable{byItem: map[ItemRef]*activeGrant{}, byRouter: map[api.NodeID]map[JobID]int{}}
 }
 
 func (t *grantTable) has(item ItemRef) bool { return t.byItem[item] != nil }
 
-func (t *grantTable) add(grant *standingGrant) {
+func (t *grantTable) add(grant *activeGrant) {
 	t.byItem[grant.item] = grant
-	grant.stream.tracked.granted++
-	if t.held[grant.router] == nil {
-		t.held[grant.router] = map[JobID]int{}
+	grant.stream.tracked.activeGrants++
+	if t.byRouter[grant.router] == nil {
+		t.byRouter[grant.router] = map[JobID]int{}
 	}
-	t.held[grant.router][grant.item.Job]++
-	heap.Push(&t.ends, grantEnd{until: grant.until, grant: grant})
+	t.byRouter[grant.router][grant.item.Job]++
+	heap.Push(&t.expiries, grantExpiry{expires: grant.expires, grant: grant})
 }
 
-func (t *grantTable) remove(grant *standingGrant) {
+func (t *grantTable) remove(grant *activeGrant) {
 	if t.byItem[grant.item] != grant {
 		return
 	}
 	delete(t.byItem, grant.item)
-	grant.stream.tracked.granted--
-	held := t.held[grant.router]
+	grant.stream.tracked.activeGrants--
+	held := t.byRouter[grant.router]
 	if held[grant.item.Job]--; held[grant.item.Job] == 0 {
 		delete(held, grant.item.Job)
 	}
 	if len(held) == 0 {
-		delete(t.held, grant.router)
+		delete(t.byRouter, grant.router)
 	}
 }
 
-// end moves the end of a grant; a later one is found by expired itself.
-func (t *grantTable) end(grant *standingGrant, until time.Time) {
-	earlier := until.Before(grant.until)
-	grant.until = until
+// setExpiry changes the expiry of a grant. Only an earlier one needs a new heap
+// entry: popExpired reinserts grants whose expiry was extended.
+func (t *grantTable) setExpiry(grant *activeGrant, until time.Time) {
+	earlier := until.Before(grant.expires)
+	grant.expires = until
 	if earlier {
-		heap.Push(&t.ends, grantEnd{until: until, grant: grant})
+		heap.Push(&t.expiries, grantExpiry{expires: until, grant: grant})
 	}
 }
 
-// expired takes the grants out of the order of ends that are past theirs; they
-// still stand until removed.
-func (t *grantTable) expired(now time.Time) []*standingGrant {
-	var expired []*standingGrant
-	for len(t.ends) > 0 && !t.ends[0].until.After(now) {
-		end := heap.Pop(&t.ends).(grantEnd)
+// popExpired removes the expired grants from the heap and returns them. They stay in
+// the table until removed or extended.
+func (t *grantTable) popExpired(now time.Time) []*activeGrant {
+	var expired []*activeGrant
+	for len(t.expiries) > 0 && !t.expiries[0].expires.After(now) {
+		end := heap.Pop(&t.expiries).(grantExpiry)
 		switch grant := end.grant; {
 		case t.byItem[grant.item] != grant:
-		case grant.until.After(now):
-			heap.Push(&t.ends, grantEnd{until: grant.until, grant: grant})
+		case grant.expires.After(now):
+			heap.Push(&t.expiries, grantExpiry{expires: grant.expires, grant: grant})
 		case !slices.Contains(expired, grant):
 			expired = append(expired, grant)
 		}
@@ -84,36 +85,36 @@
 	return expired
 }
 
-// prolong gives an expired grant another end.
-func (t *grantTable) prolong(grant *standingGrant, until time.Time) {
-	grant.until = until
-	heap.Push(&t.ends, grantEnd{until: until, grant: grant})
+// extend sets a new expiry for a grant returned by popExpired.
+func (t *grantTable) extend(grant *activeGrant, until time.Time) {
+	grant.expires = until
+	heap.Push(&t.expiries, grantExpiry{expires: until, grant: grant})
 }
 
-type grantEnd struct {
-	until time.Time
-	grant *standingGrant
+type grantExpiry struct {
+	expires time.Time
+	grant   *activeGrant
 }
 
-type endHeap []grantEnd
+type expiryHeap []grantExpiry
 
-func (h endHeap) Len() int { return len(h) }
-func (h endHeap) Less(i, j int) bool {
-	if h[i].until.Equal(h[j].until) {
+func (h expiryHeap) Len() int { return len(h) }
+func (h expiryHeap) Less(i, j int) bool {
+	if h[i].expires.Equal(h[j].expires) {
 		return h[i].grant.epoch < h[j].grant.epoch
 	}
-	return h[i].until.Before(h[j].until)
+	return h[i].expires.Before(h[j].expires)
 }
-func (h endHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h expiryHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push adds an end; for package heap.
-func (h *endHeap) Push(x any) { *h = append(*h, x.(grantEnd)) }
+// Push implements heap.Interface.
+func (h *expiryHeap) Push(x any) { *h = append(*h, x.(grantExpiry)) }
 
-// Pop takes the last end; for package heap.
-func (h *endHeap) Pop() any {
+// Pop implements heap.Interface.
+func (h *expiryHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
-	old[len(old)-1] = grantEnd{}
+	old[len(old)-1] = grantExpiry{}
 	*h = old[:len(old)-1]
 	return last
 }
--- a/jobs/inline.go
+++ b/jobs/inline.go
@@ -7,69 +7,69 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// An inline job brings its items with its submission and lists their results in
-// the order in which they were committed. A position of the list never changes,
-// and an item stands at one position at most.
+// An inline job is submitted together with its items. Its results form a list in the
+// order of commit: an entry of the list never changes, and an item has at most one.
 
-// InlineItem is one request of an inline job. It may be repeated.
+// InlineItem is one request of an inline job. It must be repeatable.
 type InlineItem struct {
 	ID      string            `json:"id"`
 	Path    string            `json:"path"`
 	Headers map[string]string `json:"headers,omitempty"`
 	Body    []byte            `json:"body,omitempty"`
-	Tokens  int               `json:"tokens,omitempty"` // of the prompt and the most it may generate
+	Tokens  int               `json:"tokens,omitempty"` // of the prompt, plus the maximum it may generate
 }
 
-// SubmitInline creates a job. The same ID sent again has no second effect.
+// SubmitInline creates an inline job. Submitting the same Job again has no effect.
 type SubmitInline struct {
 	Job JobID `json:"job"`
-	// Tenant alone may read and end the job; empty: everybody may.
+	// Tenant is the only one that may read and end the job; empty allows all.
 	Tenant    api.TenantID  `json:"tenant,omitempty"`
-	Host      string        `json:"host"` // of the route that took it
+	Host      string        `json:"host"` // of the route that accepted the job
 	Queue     QueueName     `json:"queue,omitempty"`
 	Items     []InlineItem  `json:"items"`
-	RunTarget time.Duration `json:"run_target,omitempty"` // within which all results are due
-	Keep      time.Duration `json:"keep,omitempty"`       // after which items may be given up; 0: never
-	Retain    time.Duration `json:"retain,omitempty"`     // after which the job is forgotten; 0: the default
+	RunTarget time.Duration `json:"run_target,omitempty"` // time in which all results are due
+	Keep      time.Duration `json:"keep,omitempty"`       // time after which items may be abandoned; 0: never
+	Retain    time.Duration `json:"retain,omitempty"`     // retention; 0: the default
 }
 
-// CompleteInline lists results. An item that is listed already is passed over,
-// as is an ended or unknown job's.
+// CompleteInline appends results to the lists of their jobs. Results of items that are
+// listed already, and of ended or unknown jobs, are ignored.
 type CompleteInline struct {
 	Results []InlineResult `json:"results"`
 }
 
-// KeepInline keeps what items that run have given so far, so that another leader
-// goes on after it.
+// KeepInline stores the partial output of running items, so that a new leader can
+// resume from it.
 type KeepInline struct {
 	Parts []InlinePart `json:"parts"`
 }
 
-// InlinePart is a further part of an item's text, and how often its runs have
-// failed. It is taken only if the text kept so far has the length Offset.
+// InlinePart is the next part of an item's text and its failure count. It is rejected
+// unless Offset is the length of the text stored so far.
 type InlinePart struct {
 	Job      JobID  `json:"job"`
 	Index    int    `json:"index"`
 	Offset   int    `json:"offset"`
 	Text     string `json:"text,omitempty"`
-	Last     string `json:"last,omitempty"`     // id of the last event in it
-	Failures int    `json:"failures,omitempty"` // in all; never falls
+	Last     string `json:"last,omitempty"`     // ID of the last event in Text
+	Failures int    `json:"failures,omitempty"` // total; never decreases
 }
 
-// InlinePartial is what is kept of an item that is not listed.
+// InlinePartial is the stored partial output of an item that is not listed yet.
 type InlinePartial struct {
 	Text     string `json:"text"`
 	Last     string `json:"last"`
 	Failures int    `json:"failures,omitempty"`
 }
 
-// EndInline ends a job: nothing more of it is listed.
+// EndInline ends a job, which accepts no further results.
 type EndInline struct {
 	Job    JobID        `json:"job"`
 	Tenant api.TenantID `json:"tenant,omitempty"`
 }
 
-// ExpireInline forgets jobs whose time of retention has passed at Before.
+// ExpireInline deletes jobs whose retention ended at or before Before, a bounded number
+// per command; Result.More reports whether to send another.
 type ExpireInline struct {
 	Before time.Time `json:"before"`
 }
@@ -77,59 +77,60 @@
 // InlineOutcome is how an item of an inline job ended.
 type InlineOutcome string
 
-// The outcomes.
+// The outcomes of an item.
 const (
 	InlineCompleted InlineOutcome = "completed"
 	InlineAbandoned InlineOutcome = "abandoned"
 )
 
-// InlineResult is one entry of a job's list.
+// InlineResult is one entry of a job's result list.
 type InlineResult struct {
 	Job     JobID         `json:"job"`
 	Index   int           `json:"index"` // of the item in the submission
 	Item    string        `json:"item"`  // its ID
 	Outcome InlineOutcome `json:"outcome"`
 	Text    string        `json:"text,omitempty"`
-	// Kept is how many bytes at the start of Text the parts of the item hold already.
-	// Only in a command; Command.Shortened takes them out of Text.
+	// Kept is the number of leading bytes of Text that are stored as parts of the item.
+	// It is only set in a command, where Command.Shortened removes them from Text.
 	Kept int `json:"kept,omitempty"`
-	// Sum is the checksum of the whole text where Kept is left out of Text, else 0.
+	// Sum is the checksum of the whole text if the first Kept bytes are removed from
+	// Text, and 0 otherwise.
 	Sum uint32 `json:"sum,omitempty"`
 }
 
-// InlineJob is a job without its items.
+// InlineJob describes an inline job without its items.
 type InlineJob struct {
 	ID        JobID         `json:"id"`
 	Tenant    api.TenantID  `json:"tenant,omitempty"`
 	Host      string        `json:"host"`
-	Queue     QueueName     `json:"queue,omitempty"` // that its items wait in
+	Queue     QueueName     `json:"queue,omitempty"` // in which its items wait
 	Created   time.Time     `json:"created"`
 	RunTarget time.Duration `json:"run_target,omitempty"`
 	Keep      time.Duration `json:"keep,omitempty"`
-	Until     time.Time     `json:"until"` // when it may be forgotten
+	Until     time.Time     `json:"until"` // end of the retention
 	Total     int           `json:"total"`
 	Listed    int           `json:"listed"`
 	Ended     bool          `json:"ended,omitempty"`
 }
 
-// Due is when all results are due.
+// Due returns when all results are due.
 func (j InlineJob) Due() time.Time { return j.Created.Add(j.RunTarget) }
 
-// Of tells whether a tenant may see the job.
+// Of reports whether the tenant may access the job.
 func (j InlineJob) Of(tenant api.TenantID) bool { return j.Tenant == "" || j.Tenant == tenant }
 
-// Open tells whether items may still be listed.
+// Open reports whether items may still be listed.
 func (j InlineJob) Open() bool { return !j.Ended && j.Listed < j.Total }
 
-// InlinePage is a part of a job's list.
+// InlinePage is a range of a job's result list.
 type InlinePage struct {
 	Total   int            `json:"total"`
-	Next    int            `json:"next"` // the position after the last of Results
+	Next    int            `json:"next"` // position after the last of Results
 	Results []InlineResult `json:"results"`
 }
 
-// defaultRetain is how long a job is kept whose submission does not say.
-const defaultRetain = 24 * time.Hour
+// defaultRetention is the retention of jobs submitted without one.
+const defaultRetention = 24 * time.Hour
 
 func inlineJobKey(id JobID) []byte { return nameKey(keyInlineJob, string(id)) }
 
@@ -144,20 +145,20 @@
 func (c *change) submitInline(command SubmitInline) Result {
 	if known, ok := c.inlineJob(command.Job); ok {
 		if !known.Of(command.Tenant) {
-			return failure(api.CodeConflict, "batch job %s is another tenant's", command.Job)
+			return failure(api.CodeConflict, "batch job %s belongs to another tenant", command.Job)
 		}
 		return Result{Inline: &known, Duplicate: true}
 	}
 	retain := command.Retain
 	if retain <= 0 {
-		retain = defaultRetain
+		retain = defaultRetention
 	}
 	job := InlineJob{
 		ID: command.Job, Tenant: command.Tenant, Host: command.Host, Queue: command.Queue, Created: c.now, RunTarget: command.RunTarget, Keep: command.Keep,
 		Until: c.now.Add(retain), Total: len(command.Items),
 	}
 	c.put(inlineJobKey(job.ID), job)
-	c.Put(timedKey(keyInlineRetain, job.Until, []byte(job.ID)), []byte{})
+	c.Put(timedKey(keyInlineRetention, job.Until, []byte(job.ID)), []byte{})
 	tokens := make([]int, 0, len(command.Items))
 	for index, item := range command.Items {
 		c.put(inlineKey(keyInlineItem, job.ID, index), item)
@@ -170,15 +171,16 @@
 func (c *change) completeInline(command CompleteInline) Result {
 	var result Result
 	for _, each := range command.Results {
-		if c.listInline(each) {
+		if c.appendInlineResult(each) {
 			result.Accepted++
 		}
 	}
 	return result
 }
 
-// listInline gives an item the next position, once.
-func (c *change) listInline(result InlineResult) bool {
+// appendInlineResult appends a result to its job's list unless the item is listed
+// already.
+func (c *change) appendInlineResult(result InlineResult) bool {
 	job, ok := c.inlineJob(result.Job)
 	if !ok || !job.Open() || result.Index < 0 || result.Index >= job.Total {
 		return false
@@ -187,7 +189,7 @@
 	if c.Get(listed) != nil && !c.faults.AcceptSecondResult {
 		return false
 	}
-	result, ok = c.wholeResult(result)
+	result, ok = c.restoreText(result)
 	if !ok {
 		return false
 	}
@@ -202,15 +204,16 @@
 func (c *change) keepInline(command KeepInline) Result {
 	var result Result
 	for _, part := range command.Parts {
-		if c.keepPart(part) {
+		if c.appendInlinePart(part) {
 			result.Accepted++
 		}
 	}
 	return result
 }
 
-// keepPart adds to an item's text what follows it, and nothing else.
-func (c *change) keepPart(part InlinePart) bool {
+// appendInlinePart appends a part to an item's stored text. It rejects parts that do
+// not follow that text directly.
+func (c *change) appendInlinePart(part InlinePart) bool {
 	job, ok := c.inlineJob(part.Job)
 	if !ok || !job.Open() || part.Index < 0 || part.Index >= job.Total || c.Get(inlineKey(keyInlineListed, job.ID, part.Index)) != nil {
 		return false
@@ -240,17 +243,17 @@
 	return Result{Inline: &job}
 }
 
-// expiredAtOnce bounds the jobs that one command forgets.
-const expiredAtOnce = 32
+// maxExpiredInline is the maximum number of jobs that one ExpireInline deletes.
+const maxExpiredInline = 32
 
 func (c *change) expireInline(command ExpireInline) Result {
 	var result Result
 	for _, key := range c.expiredInline(command.Before) {
-		if result.Accepted == expiredAtOnce {
+		if result.Accepted == maxExpiredInline {
 			result.More = true
 			break
 		}
-		c.forgetInline(JobID(holderOf(key)))
+		c.deleteInline(JobID(targetOf(key)))
 		c.Delete(key)
 		result.Accepted++
 	}
@@ -259,8 +262,8 @@
 
 func (c *change) expiredInline(before time.Time) [][]byte {
 	var keys [][]byte
-	c.Scan([]byte{keyInlineRetain}, func(key, _ []byte) bool {
-		if key[0] != keyInlineRetain || timeOf(key).After(before) || len(keys) > expiredAtOnce {
+	c.Scan([]byte{keyInlineRetention}, func(key, _ []byte) bool {
+		if key[0] != keyInlineRetention || timeOf(key).After(before) || len(keys) > maxExpiredInline {
 			return false
 		}
 		keys = append(keys, append([]byte(nil), key...))
@@ -269,7 +272,7 @@
 	return keys
 }
 
-func (c *change) forgetInline(id JobID) {
+func (c *change) deleteInline(id JobID) {
 	job, ok := c.inlineJob(id)
 	if !ok {
 		return
--- a/jobs/inline_kept.go
+++ b/jobs/inline_kept.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// castagnoli is the table of sums of texts.
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Shortened is the command without what the group holds already: a result names the bytes
-// that its item's parts hold in place of repeating them. Invariant: applied after these
-// parts it lists the same text, and otherwise nothing. Every replica has to read it.
+// Shortened returns the command without the text that the group has stored already as
+// parts: a result has the number of these bytes and a checksum in place of them.
+// Applied after these parts, it lists the whole text; otherwise it is rejected. Every
+// replica must support shortened commands. The receiver is not modified.
 func (c Command) Shortened() Command {
 	if c.CompleteInline == nil || !slices.ContainsFunc(c.CompleteInline.Results, func(r InlineResult) bool { return r.Kept > 0 }) {
 		return c
@@ -18,7 +18,7 @@
 	results := slices.Clone(c.CompleteInline.Results)
 	for i, result := range results {
 		if 0 < result.Kept && result.Kept <= len(result.Text) {
-			results[i].Sum = textSum(result.Text)
+			results[i].Sum = textChecksum(result.Text)
 			results[i].Text = result.Text[result.Kept:]
 		}
 	}
@@ -26,18 +26,18 @@
 	return c
 }
 
-// textSum is never 0, which says that there is none.
-func textSum(text string) uint32 {
-	return max(crc32.Checksum([]byte(text), castagnoli), 1)
+// textChecksum is never 0, which stands for no checksum.
+func textChecksum(text string) uint32 {
+	return max(crc32.Checksum([]byte(text), castagnoliTable), 1)
 }
 
-// wholeResult gives a result with its whole text; false when the parts that it names are
-// not what is kept. Its leader then proposes it whole.
-func (c *change) wholeResult(result InlineResult) (InlineResult, bool) {
+// restoreText returns a result with its whole text, and false if the stored parts do
+// not match its checksum. The leader then proposes the whole text.
+func (c *change) restoreText(result InlineResult) (InlineResult, bool) {
 	kept, sum := result.Kept, result.Sum
 	result.Kept, result.Sum = 0, 0
 	if sum == 0 {
-		return result, true // its text is whole, whatever is kept
+		return result, true // has its whole text
 	}
 	var partial InlinePartial
 	c.get(inlineKey(keyInlinePartial, result.Job, result.Index), &partial)
@@ -45,5 +45,5 @@
 		return result, false
 	}
 	result.Text = partial.Text[:kept] + result.Text
-	return result, textSum(result.Text) == sum || c.faults.TrustKept
+	return result, textChecksum(result.Text) == sum || c.faults.TrustKept
 }
--- a/jobs/inline_kept_test.go
+++ b/jobs/inline_kept_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func (s *inlineState) keepText(index, offset int, text string) {
+func (s *inlineState) keepPart(index, offset int, text string) {
 	s.apply(Command{KeepInline: &KeepInline{Parts: []InlinePart{{Job: "j", Index: index, Offset: offset, Text: text, Last: "1"}}}})
 }
 
@@ -17,7 +17,7 @@
 	}}}}.Shortened()
 }
 
-func TestAResultIsListedWholeOverThePartsThatItNames(t *testing.T) {
+func TestShortenedResultIsRestoredFromKeptParts(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		kept, text string
@@ -25,22 +25,22 @@
 		listed     bool
 	}{
 		{"all is kept", "one\ntwo", "one\ntwo", 7, true},
-		{"the end is new", "one", "one\ntwo", 3, true},
-		{"more is kept than is named", "one\ntwo", "one\ntwo", 3, true},
-		{"nothing is named", "one", "one\ntwo", 0, true},
+		{"a prefix is kept", "one", "one\ntwo", 3, true},
+		{"more is kept than is omitted", "one\ntwo", "one\ntwo", 3, true},
+		{"no bytes are omitted", "one", "one\ntwo", 0, true},
 		{"an empty text", "", "", 0, true},
-		{"less is kept than is named", "one", "one\ntwo", 7, false},
+		{"less is kept than is omitted", "one", "one\ntwo", 7, false},
 		{"nothing is kept", "", "one\ntwo", 3, false},
 		{"another text is kept", "ONE", "one\ntwo", 3, false},
 	} {
 		s := newInlineState(t, Faults{})
 		s.apply(Command{SubmitInline: &SubmitInline{Job: "j", Items: inlineItems(1)}})
 		if test.kept != "" {
-			s.keepText(0, 0, test.kept)
+			s.keepPart(0, 0, test.kept)
 		}
 		command := shortened(0, test.text, test.named)
 		if got := len(command.CompleteInline.Results[0].Text); got != len(test.text)-test.named {
-			t.Errorf("%s: %d bytes travel", test.name, got)
+			t.Errorf("%s: the command has %d bytes of text", test.name, got)
 		}
 		if got := s.apply(command).Accepted == 1; got != test.listed {
 			t.Errorf("%s: listed %t", test.name, got)
@@ -48,7 +48,7 @@
 		}
 		if !test.listed {
 			if s.apply(Command{CompleteInline: &CompleteInline{Results: []InlineResult{{Job: "j", Text: test.text}}}}).Accepted != 1 {
-				t.Errorf("%s: it was not listed whole afterwards", test.name)
+				t.Errorf("%s: the whole result was not accepted afterwards", test.name)
 			}
 		}
 		result := s.page("j", 0).Results[0]
@@ -58,17 +58,17 @@
 	}
 }
 
-func TestShortenedLeavesTheCallersCommandAsItIs(t *testing.T) {
+func TestShortenedDoesNotModifyCommand(t *testing.T) {
 	results := []InlineResult{{Job: "j", Text: "one", Kept: 2}, {Job: "j", Text: "two", Kept: 9}}
 	short := Command{CompleteInline: &CompleteInline{Results: results}}.Shortened().CompleteInline.Results
 	if results[0].Text != "one" || short[0].Text != "e" || short[1].Text != "two" || short[1].Sum != 0 {
-		t.Errorf("%+v to %+v", results, short)
+		t.Errorf("results %+v, shortened to %+v", results, short)
 	}
 }
 
-// textIsWhole plays parts that are lost, repeated and cut in any way before the result and
-// tells whether the listed text is the item's.
-func textIsWhole(t *rapid.T, faults Faults) bool {
+// listedTextMatches applies lost, repeated and truncated parts before a result and
+// reports whether the listed text is that of the item.
+func listedTextMatches(t *rapid.T, faults Faults) bool {
 	s := newInlineState(t, faults)
 	s.apply(Command{SubmitInline: &SubmitInline{Job: "j", Items: inlineItems(1)}})
 	text := strings.Join(rapid.SliceOfN(rapid.StringN(0, 8, 8), 1, 6).Draw(t, "events"), "\n")
@@ -80,7 +80,7 @@
 		if len(other) == len(text) && rapid.Bool().Draw(t, "of another text") {
 			part = other
 		}
-		s.keepText(0, from, part[from:to])
+		s.keepPart(0, from, part[from:to])
 	}
 	if s.apply(shortened(0, text, rapid.IntRange(0, len(text)).Draw(t, "named"))).Accepted == 0 {
 		s.apply(Command{CompleteInline: &CompleteInline{Results: []InlineResult{{Job: "j", Text: text}}}})
@@ -88,24 +88,24 @@
 	return s.page("j", 0).Results[0].Text == text
 }
 
-func TestAListedTextIsAlwaysTheItems(t *testing.T) {
+func TestListedTextMatchesItem(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if !textIsWhole(t, Faults{}) {
-			t.Fatal("another text was listed")
+		if !listedTextMatches(t, Faults{}) {
+			t.Fatal("the listed text differs from the item's")
 		}
 	})
 }
 
-func TestTheCheckCatchesAResultOverForeignParts(t *testing.T) {
+func TestListedTextCheckDetectsMismatchedParts(t *testing.T) {
 	caught := false
 	for seed := range 300 {
 		_ = rapid.Custom(func(t *rapid.T) bool {
-			whole := textIsWhole(t, Faults{TrustKept: true})
+			whole := listedTextMatches(t, Faults{TrustKept: true})
 			caught = caught || !whole
 			return whole
 		}).Example(seed)
 	}
 	if !caught {
-		t.Error("a state that trusts what is kept was never caught")
+		t.Error("no mismatch was detected with TrustKept")
 	}
 }
--- a/jobs/inline_test.go
+++ b/jobs/inline_test.go
@@ -48,7 +48,7 @@
 	return results[0]
 }
 
-func (s *inlineState) list(job string, index int, text string) bool {
+func (s *inlineState) complete(job string, index int, text string) bool {
 	return s.apply(Command{CompleteInline: &CompleteInline{Results: []InlineResult{{
 		Job: JobID(job), Index: index, Item: fmt.Sprint("item", index), Outcome: InlineCompleted, Text: text,
 	}}}}).Accepted == 1
@@ -63,7 +63,7 @@
 	return page
 }
 
-func TestAnInlineJobListsEachItemOnceInOrderOfCommit(t *testing.T) {
+func TestInlineJobListsEachItemOnceInCommitOrder(t *testing.T) {
 	s := newInlineState(t, Faults{})
 	submit := Command{SubmitInline: &SubmitInline{Job: "j", Host: "h", Items: inlineItems(3), RunTarget: time.Second}}
 	if result := s.apply(submit); result.Inline == nil || result.Inline.Total != 3 || result.Duplicate {
@@ -72,11 +72,11 @@
 	if result := s.apply(submit); !result.Duplicate {
 		t.Errorf("the same job sent again: %+v", result)
 	}
-	if !s.list("j", 2, "two") || s.list("j", 2, "again") || !s.list("j", 0, "zero") {
+	if !s.complete("j", 2, "two") || s.complete("j", 2, "again") || !s.complete("j", 0, "zero") {
 		t.Error("items were not listed exactly once")
 	}
-	if s.list("j", 3, "none") || s.list("j", -1, "none") || s.list("unknown", 0, "none") {
-		t.Error("an item that is not there was listed")
+	if s.complete("j", 3, "none") || s.complete("j", -1, "none") || s.complete("unknown", 0, "none") {
+		t.Error("an unknown item was listed")
 	}
 	page := s.page("j", 0)
 	if page.Total != 3 || page.Next != 2 || page.Results[0].Text != "two" || page.Results[1].Text != "zero" {
@@ -94,11 +94,11 @@
 	}
 }
 
-func TestAPageHoldsAtLeastOneResult(t *testing.T) {
+func TestInlinePageHoldsAtLeastOneResult(t *testing.T) {
 	s := newInlineState(t, Faults{})
 	s.apply(Command{SubmitInline: &SubmitInline{Job: "j", Items: inlineItems(3)}})
 	for index := range 3 {
-		s.list("j", index, "some text")
+		s.complete("j", index, "some text")
 	}
 	page, _, _ := s.state.InlineResults("j", "", 1, 1)
 	if len(page.Results) != 1 || page.Next != 2 {
@@ -106,10 +106,10 @@
 	}
 }
 
-func TestAnEndedInlineJobListsNothingMore(t *testing.T) {
+func TestEndedInlineJobAcceptsNoResults(t *testing.T) {
 	s := newInlineState(t, Faults{})
 	s.apply(Command{SubmitInline: &SubmitInline{Job: "j", Items: inlineItems(2)}})
-	s.list("j", 0, "zero")
+	s.complete("j", 0, "zero")
 	if result := s.apply(Command{EndInline: &EndInline{Job: "j"}}); !result.Inline.Ended || result.Duplicate {
 		t.Errorf("%+v", result)
 	}
@@ -119,15 +119,15 @@
 	if result := s.apply(Command{EndInline: &EndInline{Job: "unknown"}}); result.Code == "" {
 		t.Errorf("an unknown job was ended: %+v", result)
 	}
-	if s.list("j", 1, "late") || len(s.page("j", 0).Results) != 1 {
-		t.Error("something was listed after the end")
+	if s.complete("j", 1, "late") || len(s.page("j", 0).Results) != 1 {
+		t.Error("a result was listed after the job ended")
 	}
 	if open, _ := s.state.OpenInline(); len(open) != 0 {
 		t.Errorf("open: %+v", open)
 	}
 }
 
-func TestPartsOfATextAreKeptInOrderOnly(t *testing.T) {
+func TestInlinePartsAreAcceptedInOrderOnly(t *testing.T) {
 	s := newInlineState(t, Faults{})
 	s.apply(Command{SubmitInline: &SubmitInline{Job: "j", Items: inlineItems(1)}})
 	keep := func(offset int, text, last string) int {
@@ -139,13 +139,13 @@
 	if partial, _ := s.state.InlinePartial("j", 0); partial.Text != "one\ntwo" || partial.Last != "2" {
 		t.Errorf("%+v", partial)
 	}
-	s.list("j", 0, "one\ntwo")
+	s.complete("j", 0, "one\ntwo")
 	if partial, _ := s.state.InlinePartial("j", 0); partial.Text != "" || keep(0, "late", "1") != 0 {
 		t.Errorf("kept after the item was listed: %+v", partial)
 	}
 }
 
-func TestFailuresOfAnItemAreKeptAndNeverFall(t *testing.T) {
+func TestInlineFailureCountNeverDecreases(t *testing.T) {
 	s := newInlineState(t, Faults{})
 	s.apply(Command{SubmitInline: &SubmitInline{Job: "j", Items: inlineItems(1)}})
 	keep := func(part InlinePart) {
@@ -160,20 +160,20 @@
 	}
 }
 
-func TestInlineJobsAreForgottenAfterTheirTime(t *testing.T) {
+func TestInlineJobsExpireAfterRetention(t *testing.T) {
 	s := newInlineState(t, Faults{})
 	s.apply(Command{SubmitInline: &SubmitInline{Job: "short", Items: inlineItems(2), Retain: time.Minute}})
 	s.apply(Command{SubmitInline: &SubmitInline{Job: "long", Items: inlineItems(2), Retain: time.Hour}})
-	s.list("short", 0, "zero")
+	s.complete("short", 0, "zero")
 	before := s.now.Add(2 * time.Minute)
 	if result := s.apply(Command{ExpireInline: &ExpireInline{Before: before}}); result.Accepted != 1 || result.More {
 		t.Errorf("%+v", result)
 	}
 	if _, found, _ := s.state.InlineJob("short"); found {
-		t.Error("the job is still there")
+		t.Error("the job was not deleted")
 	}
 	if _, found, _ := s.state.InlineItem("short", 1); found {
-		t.Error("an item is still there")
+		t.Error("an item was not deleted")
 	}
 	if next, found, _ := s.state.NextInlineExpiry(); !found || next.Before(before) {
 		t.Errorf("next %v %t", next, found)
@@ -181,9 +181,9 @@
 	s.page("long", 0)
 }
 
-// positionsHold applies drawn commands and checks after each that what was read
-// once stands, and that no item stands twice.
-func positionsHold(t *rapid.T, faults Faults) error {
+// checkPositionsStable applies random commands and fails if an entry that was read
+// changes or an item is listed twice.
+func checkPositionsStable(t *rapid.T, faults Faults) error {
 	s := newInlineState(t, faults)
 	s.apply(Command{SubmitInline: &SubmitInline{Job: "j", Items: inlineItems(4)}})
 	var read []InlineResult
@@ -192,12 +192,12 @@
 		if rapid.IntRange(0, 9).Draw(t, "kind") == 0 {
 			s.apply(Command{EndInline: &EndInline{Job: "j"}})
 		}
-		s.list("j", index, fmt.Sprint("text", step))
+		s.complete("j", index, fmt.Sprint("text", step))
 		page := s.page("j", 0)
 		seen := map[int]bool{}
 		for position, result := range page.Results {
 			if seen[result.Index] {
-				return fmt.Errorf("item %d stands twice", result.Index)
+				return fmt.Errorf("item %d is listed twice", result.Index)
 			}
 			seen[result.Index] = true
 			if position < len(read) && read[position] != result {
@@ -212,19 +212,19 @@
 	return nil
 }
 
-func TestPositionsHoldWhateverIsCommitted(t *testing.T) {
+func TestInlinePositionsNeverChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if err := positionsHold(t, Faults{}); err != nil {
+		if err := checkPositionsStable(t, Faults{}); err != nil {
 			t.Fatalf("%v", err)
 		}
 	})
 }
 
-func TestPositionsCheckSeesASecondResult(t *testing.T) {
+func TestInlinePositionsCheckDetectsSecondResult(t *testing.T) {
 	caught := false
 	for seed := range 50 {
 		err := rapid.Custom(func(t *rapid.T) string {
-			if err := positionsHold(t, Faults{AcceptSecondResult: true}); err != nil {
+			if err := checkPositionsStable(t, Faults{AcceptSecondResult: true}); err != nil {
 				return err.Error()
 			}
 			return ""
@@ -232,6 +232,6 @@
 		caught = caught || err != ""
 	}
 	if !caught {
-		t.Error("a planted second result was not seen")
+		t.Error("no violation was detected with AcceptSecondResult")
 	}
 }
--- a/jobs/line.go
+++ b/jobs/line.go
@@ -17,10 +17,11 @@
 	Body     json.RawMessage `json:"body"`
 }
 
-// ServicesPath is where application back ends are called.
+// ServicesPath is the path prefix of application back ends; the service name follows
+// it.
 const ServicesPath = "/v1/services/"
 
-// ParseLine reads and checks one input line.
+// ParseLine parses and validates one input line.
 func ParseLine(raw []byte) (Line, error) {
 	var line Line
 	if err := json.Unmarshal(raw, &line); err != nil {
@@ -44,7 +45,8 @@
 	return line, nil
 }
 
-// ServiceOf finds the service that a request to path with body is for.
+// ServiceOf returns the service that a request is for: the name in the path under
+// ServicesPath, or else the model in the body. The name is validated.
 func ServiceOf(path string, body []byte) (api.ServiceName, error) {
 	if rest, ok := strings.CutPrefix(path, ServicesPath); ok {
 		name, _, _ := strings.Cut(rest, "/")
--- a/jobs/memory.go
+++ b/jobs/memory.go
@@ -11,38 +11,38 @@
 
 type pair struct{ key, value []byte }
 
-// MemoryStorage is a Storage that lasts as long as the process, for tests, the
-// simulator and embedding without a disk.
+// MemoryStorage is an in-memory Storage for tests, the simulator and embedding without
+// a disk. It is safe for concurrent use.
 type MemoryStorage struct {
-	writing sync.Mutex   // one Update at a time
-	mutex   sync.RWMutex // guards tree
-	tree    *btree.BTreeG[pair]
+	updateMutex sync.Mutex   // serializes Update
+	mutex       sync.RWMutex // guards tree
+	tree        *btree.BTreeG[pair]
 }
 
-// NewMemoryStorage starts empty.
+// NewMemoryStorage returns an empty MemoryStorage.
 func NewMemoryStorage() *MemoryStorage {
 	less := func(a, b pair) bool { return bytes.Compare(a.key, b.key) < 0 }
 	return &MemoryStorage{tree: btree.NewG(btreeDegree, less)}
 }
 
-// Clone gives a copy that shares nothing that changes.
+// Clone returns an independent copy.
 func (m *MemoryStorage) Clone() *MemoryStorage { return &MemoryStorage{tree: m.snapshot()} }
 
 func (m *MemoryStorage) snapshot() *btree.BTreeG[pair] {
-	m.mutex.Lock() // cloning marks the shared tree
+	m.mutex.Lock() // Clone modifies the tree
 	defer m.mutex.Unlock()
 	return m.tree.Clone()
 }
 
-// View reads one version.
+// View runs read on a snapshot.
 func (m *MemoryStorage) View(read func(Reader) error) error {
 	return read(memoryTransaction{tree: m.snapshot()})
 }
 
-// Update changes all or nothing.
+// Update runs change on a copy, which replaces the contents if change succeeds.
 func (m *MemoryStorage) Update(change func(Writer) error) error {
-	m.writing.Lock()
-	defer m.writing.Unlock()
+	m.updateMutex.Lock()
+	defer m.updateMutex.Unlock()
 	next := m.snapshot()
 	if err := change(memoryTransaction{tree: next}); err != nil {
 		return err
--- a/jobs/model_test.go
+++ b/jobs/model_test.go
@@ -12,7 +12,7 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// modelItem is an item as the rules in words have it.
+// modelItem is the reference model of an item.
 type modelItem struct {
 	started  bool
 	epoch    uint64
@@ -21,7 +21,7 @@
 	result   *ItemResult
 }
 
-// modelJob is a job as the rules in words have it.
+// modelJob is the reference model of a job.
 type modelJob struct {
 	repeatable bool
 	status     JobStatus
@@ -76,7 +76,7 @@
 	switch {
 	case held.result != nil:
 		if held.result.Request == result.Request {
-			return false // sent again: not even counted
+			return false // a retry is not counted as dropped
 		}
 	case m.repeatable:
 		taken = m.status == JobInProgress
@@ -102,9 +102,9 @@
 	}
 }
 
-// TestStateFollowsTheModel compares the State with the rules in words over
-// random commands.
-func TestStateFollowsTheModel(t *testing.T) {
+// TestStateMatchesModel compares the State with the reference model under random
+// commands.
+func TestStateMatchesModel(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		state := newTestState(t, NewMemoryStorage(), Faults{})
 		models := map[string]*modelJob{}
@@ -142,7 +142,7 @@
 				got := state.complete(name, item, outcome, string(id)) == 1
 				want := models[name].complete(item, ItemResult{Outcome: outcome, Status: 200, Request: id})
 				if got != want {
-					r.Fatalf("result of %s/%d by %s: taken %v, want %v", name, item, id, got, want)
+					r.Fatalf("result of %s/%d by %s: accepted %v, want %v", name, item, id, got, want)
 				}
 			},
 			"release": func(r *rapid.T) {
@@ -207,7 +207,7 @@
 	}
 }
 
-func TestRetentionRemovesAllOfAJob(t *testing.T) {
+func TestRetentionDeletesAllKeysOfJob(t *testing.T) {
 	for name, storage := range storages(t) {
 		t.Run(name, func(t *testing.T) {
 			state := newTestState(t, storage, Faults{})
@@ -218,7 +218,7 @@
 			state.apply(Command{CreateFile: &CreateFile{File: "scratch", Tenant: "t"}})
 			state.apply(Command{DeleteFile: &DeleteFile{File: "file-j"}})
 			if lines, _, _ := state.Lines("file-j", 0, 1); len(lines) != 1 {
-				t.Fatal("a deleted file lost its lines while a job is over it")
+				t.Fatal("the lines of a deleted file were removed while a job uses it")
 			}
 			state.apply(Command{Cancel: &Cancel{Job: "j"}})
 			later := ExpireRetention{Before: state.now.Add(time.Hour), UploadsBefore: state.now.Add(time.Hour)}
@@ -233,7 +233,7 @@
 				return nil
 			})
 			if len(left) != 1 || left[0] != string(appliedKey) {
-				t.Fatalf("keys %q are left", left)
+				t.Fatalf("keys %q were not deleted", left)
 			}
 		})
 	}
--- a/jobs/queue.go
+++ b/jobs/queue.go
@@ -7,56 +7,56 @@
 	"github.com/dykewing/dykewing/placement"
 )
 
-// A queue is what waits on one route, counted in tokens over all groups. One
-// group, the queue's home, keeps the count: a job is admitted there before its
-// own group takes it, and that group's leader reports what is left of it.
+// A queue counts the waiting tokens of one route over all groups. The count is kept
+// by one group, the queue's home. A job is admitted there before its own group
+// accepts it; the leader of that group then reports the remaining tokens.
 //
-// Invariant: the tokens counted never pass the bound of the admission that
-// raised them, whatever the bound was before.
+// Invariant: an admission never raises the count above its own bound, even if an
+// earlier bound was different.
 
-// QueueName names a queue; it is the same at every process that knows the route.
+// QueueName identifies a queue. All processes derive the same name from a route.
 type QueueName string
 
-// AdmitToQueue counts a job's tokens if they fit under Bound. A job that is
-// counted already is admitted again without a second effect.
+// AdmitToQueue adds a job's tokens to a queue if the total stays within Bound.
+// Admitting a job that is counted already succeeds without effect.
 type AdmitToQueue struct {
 	Queue  QueueName `json:"queue"`
 	Job    JobID     `json:"job"`
 	Tokens int64     `json:"tokens"`
-	Bound  int64     `json:"bound"` // above 0
+	Bound  int64     `json:"bound"` // greater than 0
 }
 
-// ReportQueue tells what is left of jobs that a group keeps.
+// ReportQueue reports the remaining tokens of jobs that a group stores.
 type ReportQueue struct {
 	Group api.GroupID `json:"group"`
-	// Whole: the group keeps no other open jobs than those of Jobs.
+	// Whole is set if Jobs lists all open jobs of the group.
 	Whole bool        `json:"whole,omitempty"`
 	Jobs  []QueuedJob `json:"jobs,omitempty"`
 }
 
-// QueuedJob is how many tokens of a job no worker has finished; 0 forgets it.
+// QueuedJob is the number of unfinished tokens of a job; 0 removes the job.
 type QueuedJob struct {
 	Queue  QueueName `json:"queue"`
 	Job    JobID     `json:"job"`
 	Tokens int64     `json:"tokens"`
 }
 
-// Home is the group that keeps a queue's count, of so many groups.
+// Home returns the group that counts the queue, out of the given number of groups.
 func (q QueueName) Home(groups int) api.GroupID {
 	return placement.GroupOf(api.TenantID(q), groups)
 }
 
-// admittedLife is how long an admitted job counts of which its own group has not
-// reported: its submission failed, or its caller is gone.
-const admittedLife = 30 * time.Second
+// admissionTTL is how long an admitted job counts without a report by its own group.
+// There is none if the submission failed or its caller is gone.
+const admissionTTL = 30 * time.Second
 
-// queueEntry is a job's part of a queue.
+// queueEntry is a job's share of a queue.
 type queueEntry struct {
 	Queue    QueueName   `json:"queue"`
 	Tokens   int64       `json:"tokens"`
 	Since    time.Time   `json:"since"`
 	Group    api.GroupID `json:"group,omitempty"`
-	Reported bool        `json:"reported,omitempty"` // Group has told of it
+	Reported bool        `json:"reported,omitempty"` // Group has reported the job
 }
 
 func queueTotalKey(name QueueName) []byte { return nameKey(keyQueueTotal, string(name)) }
@@ -68,10 +68,10 @@
 		return Result{Duplicate: true}
 	}
 	if !c.fits(command) {
-		c.expireAdmitted()
+		c.expireAdmissions()
 	}
 	if !c.fits(command) && !c.faults.IgnoreQueueBound {
-		return failure(api.CodeQueueFull, "%d tokens wait on %s, %d more pass the bound of %d",
+		return failure(api.CodeQueueFull, "%d tokens wait in queue %s, %d more would exceed the limit of %d",
 			c.queueTotal(command.Queue), command.Queue, command.Tokens, command.Bound)
 	}
 	c.setQueueEntry(command.Job, queueEntry{Queue: command.Queue, Tokens: command.Tokens, Since: c.now})
@@ -83,25 +83,25 @@
 }
 
 func (c *change) reportQueue(command ReportQueue) Result {
-	told := make(map[JobID]bool, len(command.Jobs))
+	reported := make(map[JobID]bool, len(command.Jobs))
 	for _, job := range command.Jobs {
-		told[job.Job] = true
+		reported[job.Job] = true
 		c.setQueueEntry(job.Job, queueEntry{
 			Queue: job.Queue, Tokens: job.Tokens, Since: c.now, Group: command.Group, Reported: true,
 		})
 	}
 	if command.Whole {
 		c.dropQueueEntries(func(job JobID, entry queueEntry) bool {
-			return entry.Reported && entry.Group == command.Group && !told[job]
+			return entry.Reported && entry.Group == command.Group && !reported[job]
 		})
 	}
 	return Result{Accepted: len(command.Jobs)}
 }
 
-// expireAdmitted forgets jobs that were admitted and of which nothing was heard.
-func (c *change) expireAdmitted() {
+// expireAdmissions removes admitted jobs that were not reported within admissionTTL.
+func (c *change) expireAdmissions() {
 	c.dropQueueEntries(func(_ JobID, entry queueEntry) bool {
-		return !entry.Reported && c.now.Sub(entry.Since) > admittedLife
+		return !entry.Reported && c.now.Sub(entry.Since) > admissionTTL
 	})
 }
 
@@ -130,7 +130,7 @@
 	return &entry
 }
 
-// setQueueEntry replaces a job's part of its queue; one without tokens is gone.
+// setQueueEntry replaces a job's entry; one without tokens is deleted.
 func (c *change) setQueueEntry(job JobID, entry queueEntry) {
 	if before := c.queueEntry(job); before != nil {
 		c.addToQueue(before.Queue, -before.Tokens)
@@ -158,7 +158,8 @@
 	return total
 }
 
-// QueuedTokens is how many tokens are counted on a queue; only its home knows.
+// QueuedTokens returns the number of tokens counted in a queue. It is only meaningful
+// at the queue's home group.
 func (s *State) QueuedTokens(name QueueName) (total int64, err error) {
 	err = s.storage.View(func(r Reader) error {
 		_, err := get(r, queueTotalKey(name), &total)
--- a/jobs/queue_test.go
+++ b/jobs/queue_test.go
@@ -34,7 +34,7 @@
 	return total
 }
 
-func TestAQueueCountsWhatWaits(t *testing.T) {
+func TestQueueCountsWaitingTokens(t *testing.T) {
 	left := func(job JobID, tokens int64) QueuedJob {
 		return QueuedJob{Queue: testQueue, Job: job, Tokens: tokens}
 	}
@@ -49,10 +49,10 @@
 		{"a second job that does not fit", func(s *inlineState) { s.admit("a", 60, 100); s.admit("b", 41, 100) }, 60},
 		{"the same job again", func(s *inlineState) { s.admit("a", 60, 100); s.admit("a", 60, 100) }, 60},
 		{"a bound lowered below what waits", func(s *inlineState) { s.admit("a", 60, 100); s.admit("b", 1, 10) }, 60},
-		{"a part has ended", func(s *inlineState) { s.admit("a", 60, 100); s.report(1, false, left("a", 20)) }, 20},
-		{"all has ended", func(s *inlineState) { s.admit("a", 60, 100); s.report(1, false, left("a", 0)) }, 0},
-		{"a job of no bound at first", func(s *inlineState) { s.report(1, false, left("a", 70)) }, 70},
-		{"a whole report forgets what the group no longer keeps", func(s *inlineState) {
+		{"some tokens are finished", func(s *inlineState) { s.admit("a", 60, 100); s.report(1, false, left("a", 20)) }, 20},
+		{"all tokens are finished", func(s *inlineState) { s.admit("a", 60, 100); s.report(1, false, left("a", 0)) }, 0},
+		{"a job that was not admitted before", func(s *inlineState) { s.report(1, false, left("a", 70)) }, 70},
+		{"a whole report removes jobs that are not in it", func(s *inlineState) {
 			s.report(1, false, left("a", 70), left("b", 7))
 			s.report(1, true, left("b", 7))
 		}, 7},
@@ -60,19 +60,19 @@
 			s.report(1, false, left("a", 70))
 			s.report(2, true)
 		}, 70},
-		{"a whole report that crossed an admission", func(s *inlineState) {
+		{"a whole report does not remove an unreported admission", func(s *inlineState) {
 			s.admit("a", 60, 100)
 			s.report(1, true)
 		}, 60},
-		{"an admission of which nothing was heard makes room", func(s *inlineState) {
+		{"an unreported admission expires", func(s *inlineState) {
 			s.admit("a", 60, 100)
-			s.now = s.now.Add(2 * admittedLife)
+			s.now = s.now.Add(2 * admissionTTL)
 			s.admit("b", 90, 100)
 		}, 90},
-		{"a reported job stays, however old", func(s *inlineState) {
+		{"a reported job does not expire", func(s *inlineState) {
 			s.admit("a", 60, 100)
 			s.report(1, false, left("a", 60))
-			s.now = s.now.Add(2 * admittedLife)
+			s.now = s.now.Add(2 * admissionTTL)
 			s.admit("b", 90, 100)
 		}, 60},
 	}
@@ -87,11 +87,11 @@
 	}
 }
 
-// queueModel plays a fleet of groups around one queue: jobs are admitted, taken,
-// finished and reported, with reports lost and leaders lost between.
+// queueModel simulates the groups that share one queue: jobs are admitted, processed
+// and reported, and reports may be missing.
 type queueModel struct {
 	state    *inlineState
-	accepted map[JobID]int64 // tokens left of jobs whose callers got a yes
+	accepted map[JobID]int64 // remaining tokens of the admitted jobs
 	reported map[JobID]bool
 }
 
@@ -99,7 +99,7 @@
 	return &queueModel{state: newInlineState(t, faults), accepted: map[JobID]int64{}, reported: map[JobID]bool{}}
 }
 
-func (m *queueModel) waits() (total int64) {
+func (m *queueModel) waitingTokens() (total int64) {
 	for _, tokens := range m.accepted {
 		total += tokens
 	}
@@ -110,16 +110,16 @@
 	return api.GroupID(len(job)+int(job[len(job)-1])) % 3
 }
 
-func (m *queueModel) tell(group api.GroupID, whole bool) {
-	var told []QueuedJob
+func (m *queueModel) report(group api.GroupID, whole bool) {
+	var reported []QueuedJob
 	for _, job := range slices.Sorted(maps.Keys(m.accepted)) {
 		tokens := m.accepted[job]
 		if m.group(job) == group && (!whole || tokens > 0 || !m.reported[job]) {
-			told = append(told, QueuedJob{Queue: testQueue, Job: job, Tokens: tokens})
+			reported = append(reported, QueuedJob{Queue: testQueue, Job: job, Tokens: tokens})
 			m.reported[job] = true
 		}
 	}
-	m.state.report(group, whole, told...)
+	m.state.report(group, whole, reported...)
 }
 
 func (m *queueModel) check(t *rapid.T) error {
@@ -130,7 +130,7 @@
 		case 0, 1:
 			number++
 			job, tokens := JobID(fmt.Sprint("job", number)), rapid.Int64Range(1, 600).Draw(t, "tokens")
-			before := m.waits()
+			before := m.waitingTokens()
 			if m.state.admit(job, tokens, bound).Code == "" {
 				m.accepted[job] = tokens
 				if before+tokens > bound {
@@ -143,24 +143,24 @@
 				m.accepted[job] = tokens - min(tokens, rapid.Int64Range(0, 300).Draw(t, "finished"))
 			}
 		case 3:
-			m.tell(api.GroupID(rapid.IntRange(0, 2).Draw(t, "group")), rapid.Bool().Draw(t, "whole"))
+			m.report(api.GroupID(rapid.IntRange(0, 2).Draw(t, "group")), rapid.Bool().Draw(t, "whole"))
 		case 4:
 			bound = rapid.Int64Range(50, 1500).Draw(t, "bound")
 		}
 	}
 	for group := range api.GroupID(3) {
-		m.tell(group, true)
+		m.report(group, true)
 	}
-	if counted := m.state.queuedTokens(); counted != m.waits() {
-		return fmt.Errorf("%d tokens counted, %d wait", counted, m.waits())
+	if counted := m.state.queuedTokens(); counted != m.waitingTokens() {
+		return fmt.Errorf("%d tokens counted, %d wait", counted, m.waitingTokens())
 	}
-	if room := bound - m.waits(); room > 0 && m.state.admit("fits", room, bound).Code != "" {
+	if room := bound - m.waitingTokens(); room > 0 && m.state.admit("fits", room, bound).Code != "" {
 		return errors.New("a job that fits was refused")
 	}
 	return nil
 }
 
-func TestAQueueIsNeverOverItsBoundAndRefusesNothingThatFits(t *testing.T) {
+func TestQueueEnforcesBoundAndAdmitsWhatFits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newQueueModel(t, Faults{})
 		if err := m.check(t); err != nil {
@@ -169,21 +169,21 @@
 	})
 }
 
-func TestAQueueThatIgnoresItsBoundIsSeen(t *testing.T) {
+func TestQueueCheckDetectsIgnoredBound(t *testing.T) {
 	s := newInlineState(t, Faults{IgnoreQueueBound: true})
 	if s.admit("a", 101, 100); s.queuedTokens() <= 100 {
-		t.Error("the planted fault had no effect")
+		t.Error("the injected fault had no effect")
 	}
 	seen := false
 	rapid.Check(t, func(t *rapid.T) {
 		seen = seen || newQueueModel(t, Faults{IgnoreQueueBound: true}).check(t) != nil
 	})
 	if !seen {
-		t.Error("the check passes a queue without a bound")
+		t.Error("no violation was detected with IgnoreQueueBound")
 	}
 }
 
-func TestTokensOfAJobAreKeptWithIt(t *testing.T) {
+func TestInlineTokensLiveAsLongAsJob(t *testing.T) {
 	s := newInlineState(t, Faults{})
 	items := inlineItems(2)
 	items[0].Tokens, items[1].Tokens = 7, 9
@@ -197,6 +197,6 @@
 	}
 	s.apply(Command{ExpireInline: &ExpireInline{Before: s.now.Add(time.Minute)}})
 	if tokens, err := s.state.InlineTokens("j"); err != nil || tokens != nil {
-		t.Errorf("kept after its job: %v, %v", tokens, err)
+		t.Errorf("tokens of a deleted job: %v, %v", tokens, err)
 	}
 }
--- a/jobs/read.go
+++ b/jobs/read.go
@@ -8,9 +8,9 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Reads answer from one version of the state and may run beside Apply.
+// Each read sees one version of the state and may run concurrently with Apply.
 
-// Job finds a job.
+// Job returns a job by ID.
 func (s *State) Job(id JobID) (job Job, found bool, err error) {
 	err = s.storage.View(func(r Reader) error {
 		found, err = get(r, jobKey(id), &job)
@@ -19,7 +19,7 @@
 	return job, found, err
 }
 
-// File finds a file that is not deleted.
+// File returns a file by ID, unless it is deleted.
 func (s *State) File(id FileID) (file File, found bool, err error) {
 	err = s.storage.View(func(r Reader) error {
 		found, err = get(r, fileKey(id), &file)
@@ -28,8 +28,9 @@
 	return file, found && !file.Deleted, err
 }
 
-// Jobs lists up to count of a tenant's jobs, the newest first, beginning after
-// the job named by after when it is not empty. An unknown one gives none.
+// Jobs returns up to count of a tenant's jobs, newest first, and whether there are
+// more. It starts after the job with the ID after, if one is given; the list is empty
+// if that job is unknown or of another tenant.
 func (s *State) Jobs(tenant api.TenantID, after JobID, count int) (list []Job, more bool, err error) {
 	err = s.storage.View(func(r Reader) error {
 		var last Job
@@ -38,7 +39,7 @@
 				return err
 			}
 		}
-		ids, rest := newestOf(r, keyTenant, tenant, last.Created, string(after), count)
+		ids, rest := newestIDs(r, keyTenantJob, tenant, last.Created, string(after), count)
 		more = rest
 		for _, id := range ids {
 			var job Job
@@ -52,7 +53,7 @@
 	return list, more, err
 }
 
-// Files lists a tenant's files as Jobs does its jobs.
+// Files returns a tenant's files, with the pagination of Jobs.
 func (s *State) Files(tenant api.TenantID, after FileID, count int) (list []File, more bool, err error) {
 	err = s.storage.View(func(r Reader) error {
 		var last File
@@ -61,7 +62,7 @@
 				return err
 			}
 		}
-		ids, rest := newestOf(r, keyFiles, tenant, last.Created, string(after), count)
+		ids, rest := newestIDs(r, keyTenantFile, tenant, last.Created, string(after), count)
 		more = rest
 		for _, id := range ids {
 			var file File
@@ -75,9 +76,9 @@
 	return list, more, err
 }
 
-// newestOf reads a page of a tenant's ids, after the given one when it is not
-// empty, and whether there are more.
-func newestOf(r Reader, kind byte, tenant api.TenantID, created time.Time, after string, count int) (ids []string, more bool) {
+// newestIDs returns a page of a tenant's IDs, newest first, and whether there are more.
+// It starts after the given ID and creation time, if the ID is not empty.
+func newestIDs(r Reader, kind byte, tenant api.TenantID, created time.Time, after string, count int) (ids []string, more bool) {
 	prefix := tenantPrefix(kind, tenant)
 	from := prefix
 	if after != "" {
@@ -96,35 +97,36 @@
 	return ids, more
 }
 
-// ActiveJobs lists the jobs that have not ended.
+// ActiveJobs returns the jobs that have not ended.
 func (s *State) ActiveJobs() (list []Job, err error) {
 	err = s.storage.View(func(r Reader) error {
-		var failed error
+		var scanErr error
 		r.Scan([]byte{keyActive}, func(key, _ []byte) bool {
 			if key[0] != keyActive {
 				return false
 			}
 			var job Job
-			_, failed = get(r, jobKey(JobID(key[1:])), &job)
+			_, scanErr = get(r, jobKey(JobID(key[1:])), &job)
 			list = append(list, job)
-			return failed == nil
+			return scanErr == nil
 		})
-		return failed
+		return scanErr
 	})
 	return list, err
 }
 
-// maximumPageBytes bounds a page of lines or results, but for its last one.
-const maximumPageBytes = 4 << 20
+// maxPageBytes limits the size of a page of lines or results. The last entry may exceed
+// it.
+const maxPageBytes = 4 << 20
 
-// Lines reads up to count lines of a file from the given one on, and the line
-// to go on from; next is -1 at the end. A page is bounded in bytes too.
+// Lines returns up to count lines of a file, starting at the given one, and the line to
+// continue from, or -1 at the end. The size of a page is limited in bytes too.
 func (s *State) Lines(id FileID, from, count int) (lines []json.RawMessage, next int, err error) {
 	next = -1
 	size := 0
 	err = s.storage.View(func(r Reader) error {
 		eachNumbered(r, keyLine, string(id), from, func(number int, value []byte) bool {
-			if len(lines) == count || size >= maximumPageBytes {
+			if len(lines) == count || size >= maxPageBytes {
 				next = number
 				return false
 			}
@@ -137,7 +139,8 @@
 	return lines, next, err
 }
 
-// eachNumbered visits a file's lines or a job's items from a number on.
+// eachNumbered visits a file's lines or a job's items in order, starting at the given
+// number.
 func eachNumbered(r Reader, kind byte, name string, from int, visit func(number int, value []byte) bool) {
 	prefix := numberedPrefix(kind, name)
 	r.Scan(numberedKey(kind, name, from), func(key, value []byte) bool {
@@ -145,9 +148,10 @@
 	})
 }
 
-// Results reads up to count results of a job from the given item on, and the
-// item to go on from; next is -1 at the end. A page is bounded in bytes too. The items that a cancelled or
-// expired job left without a result are told so in a record each.
+// Results returns up to count results of a job, starting at the given item, and the
+// item to continue from, or -1 at the end. The size of a page is limited in bytes too.
+// Once a cancelled or expired job has ended, items without a result are included, with
+// the reason.
 func (s *State) Results(id JobID, from, count int) (results []ItemResult, next int, err error) {
 	err = s.storage.View(func(r Reader) error {
 		var job Job
@@ -156,7 +160,7 @@
 			return err
 		}
 		if job.Status.Ended() && job.Unfinished > 0 {
-			results, next, err = everyResult(r, job, from, count)
+			results, next, err = resultsWithUnfinished(r, job, from, count)
 			return err
 		}
 		results, next, err = storedResults(r, id, from, count)
@@ -169,7 +173,7 @@
 	next = -1
 	size := 0
 	eachNumbered(r, keyResult, string(id), from, func(number int, value []byte) bool {
-		if len(results) == count || size >= maximumPageBytes {
+		if len(results) == count || size >= maxPageBytes {
 			next = number
 			return false
 		}
@@ -184,11 +188,13 @@
 	return results, next, err
 }
 
-func everyResult(r Reader, job Job, from, count int) (results []ItemResult, next int, err error) {
+// resultsWithUnfinished reads the results of an ended job, including those of its
+// unfinished items.
+func resultsWithUnfinished(r Reader, job Job, from, count int) (results []ItemResult, next int, err error) {
 	end := min(from+count, job.Total)
 	size := 0
 	for item := from; item < end; item++ {
-		if size >= maximumPageBytes {
+		if size >= maxPageBytes {
 			return results, item, nil
 		}
 		ref := ItemRef{Job: job.ID(), Item: item}
@@ -210,9 +216,8 @@
 	return results, end, nil
 }
 
-// unfinishedResult describes an item that its job left without a result. Only
-// a non-repeatable one is known not to have run, since its start would be
-// committed.
+// unfinishedResult describes an item without a result of an ended job. Only a
+// non-repeatable item is known not to have run, since its start would be committed.
 func unfinishedResult(r Reader, job Job, ref ItemRef) ItemResult {
 	result := ItemResult{
 		Item: ref, Outcome: api.OutcomeUnknown,
--- a/jobs/read_inline.go
+++ b/jobs/read_inline.go
@@ -10,7 +10,7 @@
 
 const codeNoInlineJob = api.CodeNotFound
 
-// InlineJob finds an inline job.
+// InlineJob returns an inline job by ID.
 func (s *State) InlineJob(id JobID) (job InlineJob, found bool, err error) {
 	err = s.storage.View(func(r Reader) error {
 		found, err = get(r, inlineJobKey(id), &job)
@@ -19,7 +19,7 @@
 	return job, found, err
 }
 
-// InlineItem finds an item of a job by its index.
+// InlineItem returns an item of a job by index.
 func (s *State) InlineItem(id JobID, index int) (item InlineItem, found bool, err error) {
 	err = s.storage.View(func(r Reader) error {
 		found, err = get(r, inlineKey(keyInlineItem, id, index), &item)
@@ -28,8 +28,8 @@
 	return item, found, err
 }
 
-// InlineTokens gives the tokens of each of a job's items, by index; nil when the
-// job is not known.
+// InlineTokens returns the tokens of each of a job's items, by index, or nil if the job
+// is unknown.
 func (s *State) InlineTokens(id JobID) (tokens []int, err error) {
 	err = s.storage.View(func(r Reader) error {
 		_, err := get(r, nameKey(keyInlineTokens, string(id)), &tokens)
@@ -38,7 +38,7 @@
 	return tokens, err
 }
 
-// InlinePartial gives what is kept of an item that is not listed.
+// InlinePartial returns the stored partial output of an item that is not listed.
 func (s *State) InlinePartial(id JobID, index int) (partial InlinePartial, err error) {
 	err = s.storage.View(func(r Reader) error {
 		_, err := get(r, inlineKey(keyInlinePartial, id, index), &partial)
@@ -47,7 +47,7 @@
 	return partial, err
 }
 
-// InlineItemByID finds an item of a tenant's job by its ID.
+// InlineItemByID returns an item of a tenant's job by its ID.
 func (s *State) InlineItemByID(id JobID, tenant api.TenantID, itemID string) (item InlineItem, found bool, err error) {
 	err = s.storage.View(func(r Reader) error {
 		var job InlineJob
@@ -68,8 +68,8 @@
 	return item, found, err
 }
 
-// InlineResults reads the list of a tenant's job from a position on: at least one result if
-// there is one, and then as many as fit in about bytes of text.
+// InlineResults returns the results of a tenant's job from the given position on: at
+// least one, if there is any, and as many more as fit into maximumBytes of text.
 func (s *State) InlineResults(id JobID, tenant api.TenantID, from, maximumBytes int) (page InlinePage, found bool, err error) {
 	err = s.storage.View(func(r Reader) error {
 		var job InlineJob
@@ -97,7 +97,7 @@
 	return page, found, err
 }
 
-// OpenInline lists the jobs that still have items to run, by id.
+// OpenInline returns the open jobs, sorted by ID.
 func (s *State) OpenInline() (open []InlineJob, err error) {
 	err = s.eachInline(func(job InlineJob) {
 		if job.Open() {
@@ -107,7 +107,7 @@
 	return open, err
 }
 
-// InlineQueues lists the queues of all jobs that are kept, open or not, by name.
+// InlineQueues returns the queues of all stored jobs, open or not, sorted by name.
 func (s *State) InlineQueues() (queues []QueueName, err error) {
 	err = s.eachInline(func(job InlineJob) {
 		if job.Queue != "" {
@@ -118,26 +118,26 @@
 	return slices.Compact(queues), err
 }
 
-// eachInline visits the jobs that are kept, by id.
+// eachInline visits all stored inline jobs in order of ID.
 func (s *State) eachInline(visit func(job InlineJob)) error {
 	return s.storage.View(func(r Reader) error {
-		var failure error
+		var scanErr error
 		r.Scan([]byte{keyInlineJob}, func(key, _ []byte) bool {
 			if key[0] != keyInlineJob {
 				return false
 			}
 			var job InlineJob
-			if _, failure = get(r, key, &job); failure != nil {
+			if _, scanErr = get(r, key, &job); scanErr != nil {
 				return false
 			}
 			visit(job)
 			return true
 		})
-		return failure
+		return scanErr
 	})
 }
 
-// UnlistedInline gives the indexes of a job's items that are not listed.
+// UnlistedInline returns the indexes of a job's items that are not listed.
 func (s *State) UnlistedInline(job InlineJob) (indexes []int, err error) {
 	err = s.storage.View(func(r Reader) error {
 		listed := make([]bool, job.Total)
@@ -161,11 +161,12 @@
 	return indexes, err
 }
 
-// NextInlineExpiry is when the next job may be forgotten; false without one.
+// NextInlineExpiry returns when the retention of the next job ends, and false if there
+// are no jobs.
 func (s *State) NextInlineExpiry() (next time.Time, found bool, err error) {
 	err = s.storage.View(func(r Reader) error {
-		r.Scan([]byte{keyInlineRetain}, func(key, _ []byte) bool {
-			if key[0] == keyInlineRetain {
+		r.Scan([]byte{keyInlineRetention}, func(key, _ []byte) bool {
+			if key[0] == keyInlineRetention {
 				next, found = timeOf(key), true
 			}
 			return false
--- a/jobs/read_items.go
+++ b/jobs/read_items.go
@@ -8,15 +8,16 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// waitingItem is an item that may be handed out.
+// waitingItem is an item that may be granted.
 type waitingItem struct {
 	item    int
 	line    Line
 	service api.ServiceName
 }
 
-// waitingItems reads the items without result and start among up to count
-// lines from the given one on, and the line to go on from, -1 at the end.
+// waitingItems returns the items with neither a result nor an outstanding start among
+// up to count lines, starting at the given one, and the line to continue from, or -1 at
+// the end.
 func (s *State) waitingItems(job Job, from, count int) (items []waitingItem, next int, err error) {
 	end := min(from+count, job.Total)
 	next = end
@@ -24,21 +25,21 @@
 		next = -1
 	}
 	err = s.storage.View(func(r Reader) error {
-		taken := takenItems(r, job, from, end)
-		var failed error
+		unavailable := unavailableItems(r, job, from, end)
+		var scanErr error
 		eachNumbered(r, keyLine, string(job.File), from, func(number int, value []byte) bool {
 			if number >= end {
 				return false
 			}
-			if taken[number] {
+			if unavailable[number] {
 				return true
 			}
 			var item waitingItem
-			item, failed = parseWaiting(number, value)
+			item, scanErr = parseWaiting(number, value)
 			items = append(items, item)
-			return failed == nil
+			return scanErr == nil
 		})
-		return failed
+		return scanErr
 	})
 	return items, next, err
 }
@@ -52,65 +53,66 @@
 	return waitingItem{item: number, line: line, service: service}, err
 }
 
-// startedItem is a non-repeatable item that is sent and not settled.
+// startedItem is a non-repeatable item that was started and has no result.
 type startedItem struct {
 	item  ItemRef
 	start storedStart
 	line  Line
 }
 
-// startedItems lists a job's items that are sent and not settled.
+// startedItems returns a job's started items without a result.
 func (s *State) startedItems(job Job) (items []startedItem, err error) {
 	if job.Started == 0 {
 		return nil, nil
 	}
 	err = s.storage.View(func(r Reader) error {
-		var failed error
+		var scanErr error
 		eachNumbered(r, keyStart, string(job.ID()), 0, func(number int, value []byte) bool {
 			item := startedItem{item: ItemRef{Job: job.ID(), Item: number}}
-			if failed = json.Unmarshal(value, &item.start); failed != nil {
+			if scanErr = json.Unmarshal(value, &item.start); scanErr != nil {
 				return false
 			}
 			if item.start.Released || r.Get(resultKey(item.item)) != nil {
 				return true
 			}
-			item.line, failed = ParseLine(r.Get(numberedKey(keyLine, string(job.File), number)))
+			item.line, scanErr = ParseLine(r.Get(numberedKey(keyLine, string(job.File), number)))
 			items = append(items, item)
-			return failed == nil
+			return scanErr == nil
 		})
-		return failed
+		return scanErr
 	})
 	return items, err
 }
 
-// takenItems are the items that have a result or a standing start.
-func takenItems(r Reader, job Job, from, end int) map[int]bool {
-	taken := map[int]bool{}
+// unavailableItems returns the items in [from, end) that have a result or an
+// outstanding start.
+func unavailableItems(r Reader, job Job, from, end int) map[int]bool {
+	unavailable := map[int]bool{}
 	eachNumbered(r, keyResult, string(job.ID()), from, func(number int, _ []byte) bool {
 		if number < end {
-			taken[number] = true
+			unavailable[number] = true
 		}
 		return number < end
 	})
 	if job.Repeatable {
-		return taken
+		return unavailable
 	}
 	eachNumbered(r, keyStart, string(job.ID()), from, func(number int, value []byte) bool {
 		var start storedStart
 		if number < end && json.Unmarshal(value, &start) == nil && !start.Released {
-			taken[number] = true
+			unavailable[number] = true
 		}
 		return number < end
 	})
-	return taken
+	return unavailable
 }
 
-// untaken tells whether an item has neither result nor standing start, and
-// reads its line when the candidate comes without it.
-func (s *State) untaken(job Job, candidate waitingItem) (waiting waitingItem, found bool, err error) {
+// findWaiting reports whether an item has neither a result nor an outstanding start,
+// and returns it with its line, which it reads if the candidate has none.
+func (s *State) findWaiting(job Job, candidate waitingItem) (waiting waitingItem, found bool, err error) {
 	ref := ItemRef{Job: job.ID(), Item: candidate.item}
 	err = s.storage.View(func(r Reader) error {
-		if !job.holds(ref) || isTaken(r, job, ref) {
+		if !job.hasItem(ref) || isUnavailable(r, job, ref) {
 			return nil
 		}
 		found, waiting = true, candidate
@@ -127,9 +129,9 @@
 	return waiting, found && err == nil, err
 }
 
-func isTaken(r Reader, job Job, ref ItemRef) bool {
+func isUnavailable(r Reader, job Job, ref ItemRef) bool {
 	if r.Get(resultKey(ref)) != nil {
 		return true
 	}
-	return !job.Repeatable && takenItems(r, job, ref.Item, ref.Item+1)[ref.Item]
+	return !job.Repeatable && unavailableItems(r, job, ref.Item, ref.Item+1)[ref.Item]
 }
--- a/jobs/run.go
+++ b/jobs/run.go
@@ -6,36 +6,38 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// RunnerSettings set a Runner.
+// RunnerSettings configure a Runner.
 type RunnerSettings struct {
 	Router api.NodeID
 	// ClaimWait is how long a claim waits at a leader without work.
 	ClaimWait time.Duration
-	// SettleInterval is how long results are gathered for one message.
+	// SettleInterval is how long results are collected before they are reported.
 	SettleInterval time.Duration
-	// RenewInterval between renewals of the grants that are held.
+	// RenewInterval is how often held grants are renewed.
 	RenewInterval time.Duration
-	// RetryInterval before a message that was not answered is sent again.
+	// RetryInterval is the delay before a failed message is sent again.
 	RetryInterval time.Duration
-	// HoldTime is how long a granted item may wait for room here.
+	// HoldTime is how long a granted item may wait for room at this router.
 	HoldTime time.Duration
-	// Lookahead: as many items are held in advance as will end within it, so
-	// that room is filled at once and a claim brings several.
+	// Lookahead makes the router claim in advance as many items as are expected to end
+	// within it, so that room is filled at once and a claim returns several items.
 	Lookahead time.Duration
-	// MaximumUnsettledBytes bounds the results that are kept while no leader
-	// takes them; beyond it no new items are run.
+	// MaximumUnsettledBytes limits the size of the results that no leader has accepted
+	// yet. Above it no further items are claimed or run.
 	MaximumUnsettledBytes int
-	// NewRequestID names a request; chance comes only from here.
+	// NewRequestID generates a unique request ID. It is the only source of randomness.
 	NewRequestID func() api.RequestID
 	Faults       RunnerFaults
 }
 
-// RunnerFaults plant defects, to show that the checks of tests can fail.
+// RunnerFaults are injected faults that verify that the tests detect violations. The
+// zero value injects none.
 type RunnerFaults struct {
 	SendBeforeStart bool // a non-repeatable item is sent before its start is committed
 }
 
-// DefaultRunnerSettings suit engines that answer in seconds.
+// DefaultRunnerSettings are suitable for engines that answer within seconds. Router and
+// NewRequestID are left unset.
 func DefaultRunnerSettings() RunnerSettings {
 	return RunnerSettings{
 		ClaimWait: 10 * time.Second, SettleInterval: 50 * time.Millisecond, RenewInterval: time.Second,
@@ -44,20 +46,19 @@
 	}
 }
 
-// Bounds of one Settle.
+// Limits of one Settle.
 const (
-	maximumSettleItems = 256
-	maximumSettleBytes = 4 << 20
+	maxSettleItems = 256
+	maxSettleBytes = 4 << 20
 )
 
-// RunnerMessage is what a Runner is stepped with.
+// RunnerMessage is an input of Runner.Step.
 type RunnerMessage interface{ runnerMessage() }
 
-// Leaders tells which leader each group has and what waits there, from the
-// heartbeats.
+// Leaders lists the known leader of each group and its backlog, from the heartbeats.
 type Leaders struct{ Groups []GroupLeader }
 
-// GroupLeader is a group as its leader reports it.
+// GroupLeader is the state of a group as reported by its leader.
 type GroupLeader struct {
 	Group   api.GroupID
 	Leader  api.NodeID
@@ -65,12 +66,12 @@
 	Waiting []api.ServiceBacklog
 }
 
-// Rooms tells how many batch requests of each row could start now, 0 for a full row; it replaces
-// what was known. The shell sends it at least several times a second and when
-// a batch request ends.
+// Rooms is the number of batch requests that could start now, by row, with 0 for a full
+// one. It replaces the previous Rooms. The caller sends it several times a second and
+// when a batch request ends.
 type Rooms struct{ Rooms []ClaimWant }
 
-// GrantArrived answers SendClaim. Failed ones have no grant.
+// GrantArrived answers SendClaim. Grant is empty if Failed is set.
 type GrantArrived struct {
 	Group  api.GroupID
 	Serial uint64
@@ -84,27 +85,29 @@
 	Answer  StartAnswer
 }
 
-// StartAnswer is what became of a start.
+// StartAnswer is the outcome of SendStart.
 type StartAnswer int
 
-// The answers to a start.
+// The outcomes of SendStart.
 const (
 	StartCommitted StartAnswer = iota
 	StartRefused               // it will never be committed
-	StartUnknown               // ask again
+	StartUnknown               // the outcome is not known: send it again
 )
 
-// ItemAdmitted says that a run's request counts in Rooms from now on.
+// ItemAdmitted reports that a request is running and that Rooms takes it into account
+// from now on.
 type ItemAdmitted struct{ Request api.RequestID }
 
-// ItemFinished ends a run.
+// ItemFinished reports the end of a run.
 type ItemFinished struct {
 	Request api.RequestID
-	// Result is the item's answer; nil when it came back without one.
+	// Result is the item's result; nil if it was returned without one.
 	Result *ItemResult
-	// Returned tells why there is no result; Item and Epoch may be empty.
+	// Returned has the reason for the return if Result is nil. Item and Epoch may be
+	// left empty.
 	Returned ReturnedItem
-	// Outcome of a run without a result.
+	// Outcome of the request if Result is nil.
 	Outcome api.Outcome
 }
 
@@ -114,7 +117,7 @@
 	Serial uint64
 	Notice Notice
 	Failed bool
-	// Refused: the leader will never take this report as it is.
+	// Refused is set if the leader will never accept this report as it is.
 	Refused bool
 }
 
@@ -125,11 +128,12 @@
 	Failed bool
 }
 
-// RunnerTick lets time pass; the shell sends it every few milliseconds while
-// there are items, and several times a second otherwise.
+// RunnerTick drives timeouts. The caller sends it every few milliseconds while there
+// are items, and several times a second otherwise.
 type RunnerTick struct{}
 
-// Stopping begins a planned stop: nothing is claimed, what waits goes back.
+// Stopping begins a graceful shutdown: no items are claimed, and held ones are
+// returned.
 type Stopping struct{}
 
 func (Leaders) runnerMessage()        {}
@@ -143,11 +147,11 @@
 func (RunnerTick) runnerMessage()     {}
 func (Stopping) runnerMessage()       {}
 
-// RunnerAction is what a Runner asks for. Each Send goes to the leader that the
-// shell knows for the group, and is answered once.
+// RunnerAction is an output of Runner.Step, which the caller executes. Each Send action
+// is sent to the given leader and answered exactly once.
 type RunnerAction interface{ runnerAction() }
 
-// SendClaim asks a leader for items.
+// SendClaim claims items from a leader.
 type SendClaim struct {
 	Group  api.GroupID
 	Leader api.NodeID
@@ -155,23 +159,23 @@
 	Claim  ClaimItems
 }
 
-// SendStart commits the start of a non-repeatable item.
+// SendStart asks a leader to commit the start of a non-repeatable item.
 type SendStart struct {
 	Group  api.GroupID
 	Leader api.NodeID
 	Start  Start
 }
 
-// RunItem sends the item to a worker, under the request's id.
+// RunItem sends an item to a worker under the request ID.
 type RunItem struct {
 	Request api.RequestID
 	Item    GrantedItem
 }
 
-// CancelItem cancels a run at its worker; ItemFinished still follows.
+// CancelItem cancels a run at its worker. ItemFinished is still expected.
 type CancelItem struct{ Request api.RequestID }
 
-// SendSettle reports to a leader.
+// SendSettle reports results and returned items to a leader.
 type SendSettle struct {
 	Group  api.GroupID
 	Leader api.NodeID
--- a/jobs/runner.go
+++ b/jobs/runner.go
@@ -9,65 +9,66 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Runner is the router's side of batch work: it claims items for idle room,
-// starts and runs them, and reports what became of them until a leader has
-// taken the report.
+// Runner is the router's side of batch processing. It claims items for idle room, runs
+// them, and reports their results until a leader has accepted them.
+//
+// A Runner is not safe for concurrent use.
 type Runner struct {
-	settings RunnerSettings
-	groups   map[api.GroupID]*runnerGroup
-	rooms    map[api.RowKey]int
-	rows     map[api.RowKey]*runnerRow
-	runs     map[api.RequestID]*run
-	kept     int // bytes of results that no leader has taken
-	stopping bool
+	settings       RunnerSettings
+	groups         map[api.GroupID]*runnerGroup
+	rooms          map[api.RowKey]int
+	rows           map[api.RowKey]*runnerRow
+	runs           map[api.RequestID]*run
+	unsettledBytes int // size of the results that no leader has accepted
+	stopping       bool
 }
 
-// runnerGroup is what the Runner has to do with one group.
+// runnerGroup is the Runner's state for one group.
 type runnerGroup struct {
-	id        api.GroupID
-	leader    api.NodeID // empty: none is known
-	term      uint64
-	waiting   map[api.ServiceName]bool
-	serial    uint64 // of the last claim or settle
-	claim     uint64 // serial of the claim that is out; 0: none
-	claimed   map[api.RowKey]bool
-	claimFrom time.Time // no claim before
-	outbox    []report
-	settle    uint64 // serial of the settle that is out; 0: none
-	single    bool   // reports go one by one: a leader refused some together
-	sent      int    // reports in it
-	settleAt  time.Time
-	renewing  bool
-	renewAt   time.Time
+	id             api.GroupID
+	leader         api.NodeID // empty if unknown
+	term           uint64
+	waiting        map[api.ServiceName]bool
+	serial         uint64 // of the last claim or settle
+	claimSerial    uint64 // serial of the pending claim; 0 if none
+	claimedRows    map[api.RowKey]bool
+	claimNotBefore time.Time // no claims are sent earlier
+	outbox         []report
+	settleSerial   uint64 // serial of the pending settle; 0 if none
+	oneByOne       bool   // send a single report at a time, after a leader refused several
+	settleCount    int    // number of reports in the pending settle
+	settleAt       time.Time
+	renewing       bool
+	renewAt        time.Time
 }
 
-// report is one line of a Settle.
+// report is one result or returned item of a Settle.
 type report struct {
 	result   *ItemResult
 	returned ReturnedItem
 	size     int
 }
 
-// runnerRow is the work of one row at this router.
+// runnerRow is this router's work on one row.
 type runnerRow struct {
 	held      []*run // granted, waiting for room, oldest first
-	launching int    // sent to be run, not yet counted in Rooms
+	launching int    // starting, not yet counted in Rooms
 	running   int
-	duration  time.Duration // smoothed time of a run
+	duration  time.Duration // moving average of the time of a run
 }
 
 // run is one granted item.
 type run struct {
-	group   api.GroupID
-	item    GrantedItem
-	request api.RequestID
-	key     api.RowKey
-	state   runState
-	since   time.Time // of the state
-	heldAt  time.Time // when it was first held
-	started bool      // non-repeatable: its start is committed
-	stopped bool      // cancelled or lost
-	askAt   time.Time // when to ask for the start again; zero: it is asked
+	group        api.GroupID
+	item         GrantedItem
+	request      api.RequestID
+	key          api.RowKey
+	state        runState
+	since        time.Time // when state was entered
+	heldAt       time.Time // when it was first held
+	started      bool      // the start of a non-repeatable item may be committed
+	stopped      bool      // cancelled or lost
+	retryStartAt time.Time // when to send the start again; zero while it is pending
 }
 
 type runState int
@@ -79,7 +80,7 @@
 	runRunning
 )
 
-// NewRunner starts with no group and no room.
+// NewRunner returns a Runner without groups and room.
 func NewRunner(settings RunnerSettings) *Runner {
 	return &Runner{
 		settings: settings, groups: map[api.GroupID]*runnerGroup{},
@@ -87,7 +88,7 @@
 	}
 }
 
-// Step takes one message.
+// Step handles one message and returns the resulting actions.
 func (r *Runner) Step(now time.Time, message RunnerMessage) []RunnerAction {
 	var actions []RunnerAction
 	switch message := message.(type) {
@@ -96,29 +97,29 @@
 	case Rooms:
 		r.setRooms(message.Rooms)
 	case GrantArrived:
-		actions = r.granted(now, message)
+		actions = r.handleGrant(now, message)
 	case StartAnswered:
-		actions = r.startAnswered(now, message)
+		actions = r.handleStartAnswer(now, message)
 	case ItemAdmitted:
-		r.admitted(message.Request)
+		r.handleAdmitted(message.Request)
 	case ItemFinished:
-		r.finished(now, message)
+		r.handleFinished(now, message)
 	case SettleAnswered:
-		actions = r.settled(now, message)
+		actions = r.handleSettleAnswer(now, message)
 	case RenewAnswered:
-		actions = r.renewed(now, message)
+		actions = r.handleRenewAnswer(now, message)
 	case RunnerTick:
-		actions = r.startsAgain(now)
+		actions = r.retryStarts(now)
 	case Stopping:
 		r.stopping = true
 	}
-	r.returnHeld(now) // first: a router that was paused must not run what it holds
-	actions = append(actions, r.launch(now)...)
-	return append(actions, r.sends(now)...)
+	r.returnHeld(now) // before launchHeld: after a pause of the process, held items may be outdated
+	actions = append(actions, r.launchHeld(now)...)
+	return append(actions, r.sendDue(now)...)
 }
 
-// Idle tells whether nothing is held, running or unreported, so that a planned
-// stop may end.
+// Idle reports whether no item is held, running or unreported, so that a graceful
+// shutdown may complete.
 func (r *Runner) Idle() bool {
 	for _, group := range r.groups {
 		if len(group.outbox) > 0 {
@@ -128,7 +129,7 @@
 	return len(r.runs) == 0
 }
 
-// Running tells whether a worker may be at work on an item.
+// Running reports whether a worker may be processing an item.
 func (r *Runner) Running() bool {
 	for _, held := range r.runs {
 		if held.state == runLaunching || held.state == runRunning {
@@ -146,8 +147,8 @@
 		}
 		if group.leader != leader.Leader || group.term != leader.Term {
 			group.leader, group.term = leader.Leader, leader.Term
-			group.claim, group.settle = 0, 0
-			group.claimFrom, group.settleAt = now, time.Time{}
+			group.claimSerial, group.settleSerial = 0, 0
+			group.claimNotBefore, group.settleAt = now, time.Time{}
 			group.renewing, group.renewAt = false, now
 		}
 		group.waiting = map[api.ServiceName]bool{}
@@ -182,15 +183,15 @@
 	return row
 }
 
-// free is the room of a row that nothing here is about to use.
-func (r *Runner) free(key api.RowKey) int { return r.rooms[key] - r.row(key).launching }
+// freeRoom is the room of a row less the items about to use it.
+func (r *Runner) freeRoom(key api.RowKey) int { return r.rooms[key] - r.row(key).launching }
 
-func (r *Runner) granted(now time.Time, arrived GrantArrived) []RunnerAction {
+func (r *Runner) handleGrant(now time.Time, arrived GrantArrived) []RunnerAction {
 	group := r.group(arrived.Group)
-	if group.claim == arrived.Serial {
-		group.claim = 0
+	if group.claimSerial == arrived.Serial {
+		group.claimSerial = 0
 		if arrived.Failed {
-			group.claimFrom = now.Add(r.settings.RetryInterval)
+			group.claimNotBefore = now.Add(r.settings.RetryInterval)
 		}
 	}
 	for _, item := range arrived.Grant.Items {
@@ -201,22 +202,22 @@
 		r.runs[granted.request] = granted
 		r.row(granted.key).held = append(r.row(granted.key).held, granted)
 	}
-	return r.obey(now, group, Notice{Cancelled: arrived.Grant.Cancelled})
+	return r.applyNotice(now, group, Notice{Cancelled: arrived.Grant.Cancelled})
 }
 
-// launch runs held items while there is room for them.
-func (r *Runner) launch(now time.Time) []RunnerAction {
+// launchHeld starts held items as far as there is room for them.
+func (r *Runner) launchHeld(now time.Time) []RunnerAction {
 	var actions []RunnerAction
-	if r.kept > r.settings.MaximumUnsettledBytes {
+	if r.unsettledBytes > r.settings.MaximumUnsettledBytes {
 		return nil
 	}
 	for _, key := range r.sortedRows() {
 		row := r.rows[key]
-		for len(row.held) > 0 && r.free(key) > 0 && !r.stopping {
+		for len(row.held) > 0 && r.freeRoom(key) > 0 && !r.stopping {
 			next := row.held[0]
 			row.held = row.held[1:]
 			row.launching++
-			actions = append(actions, r.begin(now, next)...)
+			actions = append(actions, r.startRun(now, next)...)
 		}
 	}
 	return actions
@@ -228,8 +229,9 @@
 	})
 }
 
-// begin sends an item, after its start is committed when it is non-repeatable.
-func (r *Runner) begin(now time.Time, next *run) []RunnerAction {
+// startRun sends an item to a worker. A non-repeatable item is sent once its start is
+// committed.
+func (r *Runner) startRun(now time.Time, next *run) []RunnerAction {
 	next.since = now
 	if next.item.Repeatable || next.started {
 		next.state = runLaunching
@@ -250,7 +252,7 @@
 	}}
 }
 
-func (r *Runner) startAnswered(now time.Time, answered StartAnswered) []RunnerAction {
+func (r *Runner) handleStartAnswer(now time.Time, answered StartAnswered) []RunnerAction {
 	started, ok := r.runs[answered.Request]
 	if !ok || started.state != runStarting {
 		return nil
@@ -259,30 +261,30 @@
 	case StartCommitted:
 		started.started = true
 		if started.stopped {
-			r.drop(started)
-			r.putReturned(started, ReturnedItem{Reason: ReturnPreempted})
+			r.removeRun(started)
+			r.reportReturned(started, ReturnedItem{Reason: ReturnPreempted})
 			return nil
 		}
 		started.state, started.since = runLaunching, now
 		return []RunnerAction{RunItem{Request: started.request, Item: started.item}}
 	case StartRefused:
-		// An earlier try whose answer was lost may have been committed.
+		// An earlier attempt whose answer was lost may have been committed.
 		started.started = true
-		r.drop(started)
-		r.putReturned(started, ReturnedItem{Reason: ReturnNoRoom})
+		r.removeRun(started)
+		r.reportReturned(started, ReturnedItem{Reason: ReturnNoRoom})
 	case StartUnknown:
-		started.askAt = now.Add(r.settings.RetryInterval)
+		started.retryStartAt = now.Add(r.settings.RetryInterval)
 	}
 	return nil
 }
 
-// startsAgain asks again for the starts whose answers were lost.
-func (r *Runner) startsAgain(now time.Time) []RunnerAction {
+// retryStarts repeats starts whose outcome is unknown.
+func (r *Runner) retryStarts(now time.Time) []RunnerAction {
 	var actions []RunnerAction
 	for _, request := range r.sortedRuns() {
 		started := r.runs[request]
-		if started.state == runStarting && !started.askAt.IsZero() && !now.Before(started.askAt) {
-			started.askAt = time.Time{}
+		if started.state == runStarting && !started.retryStartAt.IsZero() && !now.Before(started.retryStartAt) {
+			started.retryStartAt = time.Time{}
 			actions = append(actions, r.sendStart(started))
 		}
 	}
@@ -291,18 +293,18 @@
 
 func (r *Runner) sortedRuns() []api.RequestID { return slices.Sorted(maps.Keys(r.runs)) }
 
-func (r *Runner) admitted(request api.RequestID) {
+func (r *Runner) handleAdmitted(request api.RequestID) {
 	if admitted, ok := r.runs[request]; ok && admitted.state == runLaunching {
 		row := r.row(admitted.key)
 		row.launching--
 		row.running++
-		r.rooms[admitted.key]-- // until Rooms counts it
+		r.rooms[admitted.key]-- // until the next Rooms
 		admitted.state = runRunning
 	}
 }
 
-// drop forgets a run.
-func (r *Runner) drop(ended *run) {
+// removeRun stops tracking a run.
+func (r *Runner) removeRun(ended *run) {
 	delete(r.runs, ended.request)
 	row := r.row(ended.key)
 	switch ended.state {
@@ -315,43 +317,43 @@
 	}
 }
 
-func (r *Runner) finished(now time.Time, finished ItemFinished) {
+func (r *Runner) handleFinished(now time.Time, finished ItemFinished) {
 	ended, ok := r.runs[finished.Request]
 	if !ok {
 		return
 	}
 	if ended.state == runRunning {
-		r.row(ended.key).measure(now.Sub(ended.since))
+		r.row(ended.key).recordDuration(now.Sub(ended.since))
 	}
 	refused := ended.state == runLaunching && finished.Returned.Reason == ReturnNoRoom && finished.Outcome == api.OutcomeNotRun
-	r.drop(ended)
+	r.removeRun(ended)
 	switch {
 	case finished.Result != nil:
-		r.putResult(ended, *finished.Result)
+		r.reportResult(ended, *finished.Result)
 		return
 	case refused && !ended.stopped:
-		r.holdAgain(now, ended)
+		r.returnToHeld(now, ended)
 		return
 	case ended.item.Repeatable || finished.Outcome == api.OutcomeNotRun:
-		r.putReturned(ended, finished.Returned)
+		r.reportReturned(ended, finished.Returned)
 		return
 	}
-	r.putResult(ended, ItemResult{
+	r.reportResult(ended, ItemResult{
 		Item: ended.item.Item, CustomID: ended.item.CustomID, Outcome: finished.Outcome, Code: api.CodeOutcomeUnknown,
 		Request: ended.request, Status: finished.Returned.Status, Error: finished.Returned.Error,
 	})
 }
 
-// holdAgain keeps an item that found no room for when there is some.
-func (r *Runner) holdAgain(now time.Time, refused *run) {
+// returnToHeld puts an item that found no room back at the head of its row.
+func (r *Runner) returnToHeld(now time.Time, refused *run) {
 	refused.state, refused.since = runHeld, now
 	r.runs[refused.request] = refused
 	row := r.row(refused.key)
 	row.held = slices.Insert(row.held, 0, refused)
-	r.rooms[refused.key] = 0 // until Rooms says otherwise
+	r.rooms[refused.key] = 0 // until the next Rooms
 }
 
-func (row *runnerRow) measure(took time.Duration) {
+func (row *runnerRow) recordDuration(took time.Duration) {
 	const weight = 8
 	if row.duration == 0 {
 		row.duration = took
@@ -360,14 +362,14 @@
 	row.duration += (took - row.duration) / weight
 }
 
-func (r *Runner) putResult(ended *run, result ItemResult) {
+func (r *Runner) reportResult(ended *run, result ItemResult) {
 	size := len(result.Body) + len(result.Error)
-	r.kept += size
+	r.unsettledBytes += size
 	group := r.group(ended.group)
 	group.outbox = append(group.outbox, report{result: &result, size: size})
 }
 
-func (r *Runner) putReturned(ended *run, returned ReturnedItem) {
+func (r *Runner) reportReturned(ended *run, returned ReturnedItem) {
 	returned.Item, returned.Epoch = ended.item.Item, ended.item.Epoch
 	if ended.started {
 		returned.Request = ended.request
@@ -376,20 +378,21 @@
 	group.outbox = append(group.outbox, report{returned: returned})
 }
 
-// returnHeld sends back what waited too long for room, and all on a stop.
+// returnHeld returns items that waited longer than HoldTime for room, and all held
+// items on shutdown.
 func (r *Runner) returnHeld(now time.Time) {
 	for _, key := range r.sortedRows() {
 		for _, held := range slices.Clone(r.rows[key].held) {
 			if r.stopping || now.Sub(held.heldAt) >= r.settings.HoldTime {
-				r.drop(held)
-				r.putReturned(held, ReturnedItem{Reason: ReturnNoRoom})
+				r.removeRun(held)
+				r.reportReturned(held, ReturnedItem{Reason: ReturnNoRoom})
 			}
 		}
 	}
 }
 
-// obey stops what a leader says to stop.
-func (r *Runner) obey(now time.Time, group *runnerGroup, notice Notice) []RunnerAction {
+// applyNotice stops the runs that a leader's notice lists.
+func (r *Runner) applyNotice(now time.Time, group *runnerGroup, notice Notice) []RunnerAction {
 	if len(notice.Cancelled) == 0 && len(notice.Lost) == 0 {
 		return nil
 	}
@@ -400,18 +403,18 @@
 		if stopped.group != group.id || stopped.stopped || !lost && !slices.Contains(notice.Cancelled, stopped.item.Item.Job) {
 			continue
 		}
-		actions = append(actions, r.stop(stopped)...)
+		actions = append(actions, r.stopRun(stopped)...)
 	}
 	return actions
 }
 
-// stop ends a run early. A non-repeatable one that may be on its way goes on to
-// its end: cancelling it would only lose its outcome.
-func (r *Runner) stop(stopped *run) []RunnerAction {
+// stopRun ends a run early. A non-repeatable item that may have been sent is not
+// cancelled, since that would only lose its outcome.
+func (r *Runner) stopRun(stopped *run) []RunnerAction {
 	switch {
 	case stopped.state == runHeld:
-		r.drop(stopped)
-		r.putReturned(stopped, ReturnedItem{Reason: ReturnPreempted})
+		r.removeRun(stopped)
+		r.reportReturned(stopped, ReturnedItem{Reason: ReturnPreempted})
 	case stopped.state == runStarting:
 		stopped.stopped = true
 	case stopped.item.Repeatable:
--- a/jobs/runner_sends.go
+++ b/jobs/runner_sends.go
@@ -9,48 +9,47 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// sends gives the messages that are due, group by group.
-func (r *Runner) sends(now time.Time) []RunnerAction {
+// sendDue returns the messages that are due, group by group.
+func (r *Runner) sendDue(now time.Time) []RunnerAction {
 	var actions []RunnerAction
 	for _, id := range slices.Sorted(maps.Keys(r.groups)) {
 		group := r.groups[id]
 		if group.leader == "" {
 			continue
 		}
-		actions = append(actions, r.claims(now, group)...)
-		actions = append(actions, r.settles(now, group)...)
-		actions = append(actions, r.renews(now, group)...)
+		actions = append(actions, r.sendClaim(now, group)...)
+		actions = append(actions, r.sendSettle(now, group)...)
+		actions = append(actions, r.sendRenew(now, group)...)
 	}
 	return actions
 }
 
-// claims asks for as many items as there is room, when no claim is out. One that
-// asks for nothing is out while items of the group are here, so that a cancel
-// is heard of at once. A claim that waits at the leader is replaced once
-// another row has room.
-func (r *Runner) claims(now time.Time, group *runnerGroup) []RunnerAction {
-	if r.stopping || now.Before(group.claimFrom) || r.kept > r.settings.MaximumUnsettledBytes {
+// sendClaim claims items for the available room, unless a claim is pending. While this
+// router has items of the group, a claim without wants stays pending, so that
+// cancellations arrive at once. A pending claim is replaced when another row has room.
+func (r *Runner) sendClaim(now time.Time, group *runnerGroup) []RunnerAction {
+	if r.stopping || now.Before(group.claimNotBefore) || r.unsettledBytes > r.settings.MaximumUnsettledBytes {
 		return nil
 	}
 	wants := r.wants()
 	fresh := slices.ContainsFunc(wants, func(want ClaimWant) bool {
-		return !group.claimed[api.RowKey{Service: want.Service, Place: want.Place}]
+		return !group.claimedRows[api.RowKey{Service: want.Service, Place: want.Place}]
 	})
-	if len(wants) == 0 && !r.holds(group) || group.claim != 0 && !fresh {
+	if len(wants) == 0 && !r.hasRuns(group) || group.claimSerial != 0 && !fresh {
 		return nil
 	}
 	group.serial++
-	group.claim = group.serial
-	group.claimed = map[api.RowKey]bool{}
+	group.claimSerial = group.serial
+	group.claimedRows = map[api.RowKey]bool{}
 	for _, want := range wants {
-		group.claimed[api.RowKey{Service: want.Service, Place: want.Place}] = true
+		group.claimedRows[api.RowKey{Service: want.Service, Place: want.Place}] = true
 	}
 	return []RunnerAction{SendClaim{Group: group.id, Leader: group.leader, Serial: group.serial, Claim: ClaimItems{
 		Router: r.settings.Router, Wants: wants, WaitMs: int(r.settings.ClaimWait.Milliseconds()),
 	}}}
 }
 
-func (r *Runner) holds(group *runnerGroup) bool {
+func (r *Runner) hasRuns(group *runnerGroup) bool {
 	for _, held := range r.runs {
 		if held.group == group.id {
 			return true
@@ -59,8 +58,8 @@
 	return false
 }
 
-// wants is, for each row that holds less than half of it, the room and what will
-// end within the lookahead, less what is held.
+// wants returns what to claim: for each row, its free room and the runs expected to end
+// within the lookahead, less the held items. Rows with half of that held are left out.
 func (r *Runner) wants() []ClaimWant {
 	var wants []ClaimWant
 	for key := range r.rooms {
@@ -68,48 +67,49 @@
 	}
 	for _, key := range r.sortedRows() {
 		row := r.rows[key]
-		target := max(r.free(key), 0) + row.endingWithin(r.settings.Lookahead)
-		if target > 0 && 2*len(row.held) < target && r.inTable(key) {
+		target := max(r.freeRoom(key), 0) + row.endingWithin(r.settings.Lookahead)
+		if target > 0 && 2*len(row.held) < target && r.hasRow(key) {
 			wants = append(wants, ClaimWant{Service: key.Service, Place: key.Place, Room: target - len(row.held)})
 		}
 	}
 	return wants
 }
 
-func (r *Runner) inTable(key api.RowKey) bool {
+func (r *Runner) hasRow(key api.RowKey) bool {
 	_, ok := r.rooms[key]
 	return ok
 }
 
-// endingWithin is how many runs will end within the time, at the mean duration.
+// endingWithin estimates from the mean duration how many runs end within the lookahead,
+// up to maxEndsPerRun times the current ones.
 func (row *runnerRow) endingWithin(lookahead time.Duration) int {
-	const most = 4 // times those that run now
+	const maxEndsPerRun = 4
 	if row.duration <= 0 {
 		return 0
 	}
-	return min(int(int64(row.running)*int64(lookahead)/int64(row.duration)), most*row.running)
+	return min(int(int64(row.running)*int64(lookahead)/int64(row.duration)), maxEndsPerRun*row.running)
 }
 
-// settles reports what is in the outbox, when no report is out.
-func (r *Runner) settles(now time.Time, group *runnerGroup) []RunnerAction {
-	if len(group.outbox) == 0 || group.settle != 0 {
+// sendSettle reports entries of the outbox, unless a report is pending.
+func (r *Runner) sendSettle(now time.Time, group *runnerGroup) []RunnerAction {
+	if len(group.outbox) == 0 || group.settleSerial != 0 {
 		return nil
 	}
 	if group.settleAt.IsZero() {
 		group.settleAt = now.Add(r.settings.SettleInterval)
 	}
-	if now.Before(group.settleAt) && len(group.outbox) < maximumSettleItems {
+	if now.Before(group.settleAt) && len(group.outbox) < maxSettleItems {
 		return nil
 	}
 	group.serial++
-	group.settle, group.sent = group.serial, 0
+	group.settleSerial, group.settleCount = group.serial, 0
 	settle := Settle{Router: r.settings.Router}
-	most := min(len(group.outbox), maximumSettleItems)
-	if group.single {
-		most = 1
+	limit := min(len(group.outbox), maxSettleItems)
+	if group.oneByOne {
+		limit = 1
 	}
-	for size := 0; group.sent < most && size < maximumSettleBytes; group.sent++ {
-		entry := group.outbox[group.sent]
+	for size := 0; group.settleCount < limit && size < maxSettleBytes; group.settleCount++ {
+		entry := group.outbox[group.settleCount]
 		size += entry.size
 		if entry.result != nil {
 			settle.Results = append(settle.Results, *entry.result)
@@ -118,55 +118,56 @@
 		}
 	}
 	slices.SortStableFunc(settle.Results, func(a, b ItemResult) int { return cmp.Compare(a.Item.Job, b.Item.Job) })
-	return []RunnerAction{SendSettle{Group: group.id, Leader: group.leader, Serial: group.settle, Settle: settle}}
+	return []RunnerAction{SendSettle{Group: group.id, Leader: group.leader, Serial: group.settleSerial, Settle: settle}}
 }
 
-// settled forgets what a leader has taken and sends the rest again.
-func (r *Runner) settled(now time.Time, answered SettleAnswered) []RunnerAction {
+// handleSettleAnswer removes entries that a leader has accepted; the others are sent
+// again.
+func (r *Runner) handleSettleAnswer(now time.Time, answered SettleAnswered) []RunnerAction {
 	group := r.group(answered.Group)
-	if group.settle != answered.Serial {
+	if group.settleSerial != answered.Serial {
 		return nil
 	}
-	group.settle = 0
+	group.settleSerial = 0
 	group.settleAt = time.Time{}
 	if answered.Refused {
-		r.refused(group)
+		r.handleRefusal(group)
 		return nil
 	}
 	if answered.Failed {
 		group.settleAt = now.Add(r.settings.RetryInterval)
 		return nil
 	}
-	for _, entry := range group.outbox[:group.sent] {
-		r.kept -= entry.size
+	for _, entry := range group.outbox[:group.settleCount] {
+		r.unsettledBytes -= entry.size
 	}
-	group.outbox = slices.Clone(group.outbox[group.sent:])
-	return r.obey(now, group, answered.Notice)
+	group.outbox = slices.Clone(group.outbox[group.settleCount:])
+	return r.applyNotice(now, group, answered.Notice)
 }
 
-// refused finds the report that a leader does not take, by sending them one by
-// one, and sends it without the answer, so that it does not hold up others.
-func (r *Runner) refused(group *runnerGroup) {
-	if group.sent > 1 {
-		group.single = true
+// handleRefusal isolates the entry that a leader rejects by sending entries one by one.
+// That entry is then reported without its answer, so that it does not block the others.
+func (r *Runner) handleRefusal(group *runnerGroup) {
+	if group.settleCount > 1 {
+		group.oneByOne = true
 		return
 	}
-	group.single = false
+	group.oneByOne = false
 	first := &group.outbox[0]
 	if first.result == nil || first.result.Code == api.CodeTooLarge {
-		r.kept -= first.size
-		group.outbox = slices.Clone(group.outbox[1:]) // its grant ends by itself
+		r.unsettledBytes -= first.size
+		group.outbox = slices.Clone(group.outbox[1:]) // its grant expires
 		return
 	}
 	stripped := *first.result
 	stripped.Body, stripped.Status = nil, 0
 	stripped.Code, stripped.Error = api.CodeTooLarge, "the answer was not kept"
-	r.kept -= first.size - len(stripped.Error)
+	r.unsettledBytes -= first.size - len(stripped.Error)
 	first.result, first.size = &stripped, len(stripped.Error)
 }
 
-// renews lengthens all grants that are held of the group.
-func (r *Runner) renews(now time.Time, group *runnerGroup) []RunnerAction {
+// sendRenew renews all grants of the group.
+func (r *Runner) sendRenew(now time.Time, group *runnerGroup) []RunnerAction {
 	if group.renewing || now.Before(group.renewAt) {
 		return nil
 	}
@@ -184,12 +185,12 @@
 	return []RunnerAction{SendRenew{Group: group.id, Leader: group.leader, Renew: renew}}
 }
 
-func (r *Runner) renewed(now time.Time, answered RenewAnswered) []RunnerAction {
+func (r *Runner) handleRenewAnswer(now time.Time, answered RenewAnswered) []RunnerAction {
 	group := r.group(answered.Group)
 	group.renewing = false
 	if answered.Failed {
 		group.renewAt = now.Add(r.settings.RetryInterval)
 		return nil
 	}
-	return r.obey(now, group, answered.Notice)
+	return r.applyNotice(now, group, answered.Notice)
 }
--- a/jobs/runner_test.go
+++ b/jobs/runner_test.go
@@ -9,7 +9,7 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// testRunner is a runner whose last actions are kept.
+// testRunner is a Runner that keeps the actions of its last step.
 type testRunner struct {
 	*Runner
 	now     time.Time
@@ -35,7 +35,7 @@
 	r.step(Rooms{Rooms: []ClaimWant{{Service: "judge", Place: "old", Room: count}}})
 }
 
-// grant brings items that the last claim asked for.
+// grant answers the pending claim with count items.
 func (r *testRunner) grant(repeatable bool, count int) {
 	var grant Grant
 	for i := range count {
@@ -44,7 +44,7 @@
 			Service: "judge", Place: "old", Repeatable: repeatable,
 		})
 	}
-	r.step(GrantArrived{Group: 1, Serial: r.groups[1].claim, Grant: grant})
+	r.step(GrantArrived{Group: 1, Serial: r.groups[1].claimSerial, Grant: grant})
 }
 
 func actionsOf[A RunnerAction](actions []RunnerAction) []A {
@@ -68,7 +68,7 @@
 	return sent[0]
 }
 
-func TestARunnerRunsNoMoreThanItsRoom(t *testing.T) {
+func TestRunnerRunsNoMoreItemsThanRoom(t *testing.T) {
 	r := newTestRunner()
 	r.room(2)
 	if claims := actionsOf[SendClaim](r.actions); len(claims) != 1 || claims[0].Claim.Wants[0].Room != 2 {
@@ -81,14 +81,14 @@
 	r.now = r.now.Add(2 * r.settings.HoldTime)
 	r.room(5)
 	if runs := actionsOf[RunItem](r.actions); len(runs) != 0 {
-		t.Fatal("an item that was held too long is run")
+		t.Fatal("an item held longer than HoldTime was run")
 	}
 	if report := r.settle(t).Settle; len(report.Returned) != 1 || report.Returned[0].Reason != ReturnNoRoom {
 		t.Fatalf("report %+v", report)
 	}
 }
 
-func TestANonRepeatableItemIsSentAfterItsStart(t *testing.T) {
+func TestNonRepeatableItemIsSentAfterStartCommits(t *testing.T) {
 	r := newTestRunner()
 	r.room(1)
 	r.grant(false, 1)
@@ -101,7 +101,7 @@
 	r.now = r.now.Add(r.settings.RetryInterval)
 	r.step(RunnerTick{})
 	if again := actionsOf[SendStart](r.actions); len(again) != 1 || again[0].Start != starts[0].Start {
-		t.Fatalf("the start was not asked for again: %+v", r.actions)
+		t.Fatalf("the start was not sent again: %+v", r.actions)
 	}
 	r.step(StartAnswered{Request: request, Answer: StartCommitted})
 	if len(actionsOf[RunItem](r.actions)) != 1 {
@@ -113,21 +113,21 @@
 	}
 }
 
-func TestARefusedStartIsReleasedAndNotSent(t *testing.T) {
+func TestRefusedStartIsReleasedAndNotSent(t *testing.T) {
 	r := newTestRunner()
 	r.room(1)
 	r.grant(false, 1)
 	request := actionsOf[SendStart](r.actions)[0].Start.Request
 	r.step(StartAnswered{Request: request, Answer: StartRefused})
 	if len(actionsOf[RunItem](r.actions)) != 0 {
-		t.Fatal("an item whose start was refused is sent")
+		t.Fatal("an item whose start was refused was run")
 	}
 	if report := r.settle(t).Settle; len(report.Returned) != 1 || report.Returned[0].Request != request {
 		t.Fatalf("report %+v", report)
 	}
 }
 
-func TestCancelStopsWhatIsRepeatable(t *testing.T) {
+func TestCancelStopsRepeatableItems(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
 		r := newTestRunner()
 		r.room(1)
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestResultsAreKeptUntilALeaderTookThem(t *testing.T) {
+func TestResultsAreRetainedUntilSettled(t *testing.T) {
 	r := newTestRunner()
 	r.room(1)
 	r.grant(true, 1)
@@ -164,12 +164,12 @@
 		t.Fatal("an answer to the first report ended the second")
 	}
 	r.step(SettleAnswered{Group: 1, Serial: second.Serial})
-	if !r.Idle() || r.kept != 0 {
-		t.Fatalf("%d bytes are kept", r.kept)
+	if !r.Idle() || r.unsettledBytes != 0 {
+		t.Fatalf("%d bytes are kept", r.unsettledBytes)
 	}
 }
 
-func TestAReportThatIsRefusedHoldsUpNoOther(t *testing.T) {
+func TestRefusedReportDoesNotBlockOthers(t *testing.T) {
 	r := newTestRunner()
 	r.room(2)
 	r.grant(true, 2)
@@ -187,8 +187,8 @@
 		t.Fatalf("report %+v", rest)
 	}
 	r.step(SettleAnswered{Group: 1, Serial: rest.Serial})
-	if !r.Idle() || r.kept != 0 {
-		t.Fatalf("%d bytes are kept", r.kept)
+	if !r.Idle() || r.unsettledBytes != 0 {
+		t.Fatalf("%d bytes are kept", r.unsettledBytes)
 	}
 }
 
--- a/jobs/simstore_test.go
+++ b/jobs/simstore_test.go
@@ -11,7 +11,7 @@
 	"github.com/dykewing/dykewing/sim"
 )
 
-// call is a request between simulated processes; reply answers it.
+// call is a request between simulated processes, answered by a reply with the same id.
 type call struct {
 	id   uint64
 	body any
@@ -23,16 +23,16 @@
 	failed bool
 }
 
-// simLog is what a simulated store's disk holds besides the applied state.
+// simLog is the durable replication state of a simulated store.
 type simLog struct {
 	state   replication.HardState
 	entries []replication.Entry
 }
 
-// simStore is a store with one replica of the group: the real replication
-// machine, the real State and, while it leads, the real Dispatcher.
+// simStore is a store with one replica of the group. It uses the real replication
+// machine and State and, while it leads, the real Dispatcher.
 type simStore struct {
-	world      *world
+	cluster    *cluster
 	id         replication.ReplicaID
 	process    *sim.Process
 	disk       simLog
@@ -44,7 +44,7 @@
 	token      uint64
 	proposals  map[uint64]func(Result, bool) // by token
 	waiting    map[uint64]waitingEntry       // by index
-	answers    map[uint64]func(any)          // of the dispatcher, by token
+	answers    map[uint64]func(any)          // to the dispatcher's callers, by token
 }
 
 type waitingEntry struct {
@@ -53,9 +53,9 @@
 }
 
 func (s *simStore) start() {
-	state, err := OpenStateWithFaults(s.applied, s.world.faults)
+	state, err := OpenStateWithFaults(s.applied, s.cluster.faults)
 	if err != nil {
-		s.world.violate("%s: %v", s.id, err)
+		s.cluster.reportViolation("%s: %v", s.id, err)
 		return
 	}
 	s.state, s.dispatcher, s.role = state, nil, replication.RoleChanged{}
@@ -63,13 +63,13 @@
 	s.answers = map[uint64]func(any){}
 	index, _ := state.Applied()
 	s.machine, err = replication.NewMachine(replication.Settings{
-		Group: 1, Self: s.id, Heartbeat: 20 * time.Millisecond, ElectionTimeout: 100 * time.Millisecond, Random: s.world.simulation.Fork(),
+		Group: 1, Self: s.id, Heartbeat: 20 * time.Millisecond, ElectionTimeout: 100 * time.Millisecond, Random: s.cluster.simulation.Fork(),
 	}, replication.Restored{
 		HardState: s.disk.state, Entries: slices.Clone(s.disk.entries), Applied: index,
-		Snapshot: replication.Snapshot{Members: replication.Members{Voters: s.world.voters}},
+		Snapshot: replication.Snapshot{Members: replication.Members{Voters: s.cluster.voters}},
 	})
 	if err != nil {
-		s.world.violate("%s: %v", s.id, err)
+		s.cluster.reportViolation("%s: %v", s.id, err)
 		return
 	}
 	s.process.Every(10*time.Millisecond, func() {
@@ -89,7 +89,7 @@
 	case replication.Persist:
 		s.persist(action)
 	case replication.Send:
-		s.world.network.Send(string(s.id), string(action.Message.To), action.Message)
+		s.cluster.network.Send(string(s.id), string(action.Message.To), action.Message)
 	case replication.Apply:
 		for _, entry := range action.Entries {
 			s.apply(entry)
@@ -110,8 +110,8 @@
 	}
 }
 
-// persist syncs at once; the replication package's own simulation has the
-// disks that lose what was not synced.
+// persist syncs at once. Loss of unsynced writes is covered by the simulation of
+// package replication.
 func (s *simStore) persist(persist replication.Persist) {
 	if persist.HardState != nil {
 		s.disk.state = *persist.HardState
@@ -127,16 +127,16 @@
 	command := Command{Time: sim.Epoch}
 	if entry.Kind == replication.EntryCommand {
 		if err := json.Unmarshal(entry.Data, &command); err != nil {
-			s.world.violate("entry %d: %v", entry.Index, err)
+			s.cluster.reportViolation("entry %d: %v", entry.Index, err)
 			return
 		}
 	}
 	results, err := s.state.Apply(Entry{Index: entry.Index, Command: command})
 	if err != nil {
-		s.world.violate("%s: %v", s.id, err)
+		s.cluster.reportViolation("%s: %v", s.id, err)
 		return
 	}
-	s.world.applied(s, entry.Index, command, results[0])
+	s.cluster.checkApplied(s, entry.Index, command, results[0])
 	if s.dispatcher != nil {
 		s.dispatch(Applied{Command: command, Result: results[0]})
 	}
@@ -150,11 +150,11 @@
 }
 
 func (s *simStore) lead() {
-	settings := s.world.dispatcher
-	settings.Term, settings.Faults = s.role.Term, s.world.faults
+	settings := s.cluster.dispatcher
+	settings.Term, settings.Faults = s.role.Term, s.cluster.faults
 	dispatcher, err := NewDispatcher(s.state, settings, s.process.Now())
 	if err != nil {
-		s.world.violate("%s: %v", s.id, err)
+		s.cluster.reportViolation("%s: %v", s.id, err)
 		return
 	}
 	s.dispatcher = dispatcher
@@ -174,7 +174,7 @@
 		case ProposeCommand:
 			s.propose(action.Command, func(Result, bool) {})
 		case DispatchFailed:
-			s.world.violate("%s: %v", s.id, action.Err)
+			s.cluster.reportViolation("%s: %v", s.id, action.Err)
 		}
 	}
 }
@@ -190,7 +190,7 @@
 	command.Time = s.process.Now()
 	data, err := json.Marshal(command)
 	if err != nil {
-		s.world.violate("encode command: %v", err)
+		s.cluster.reportViolation("encode command: %v", err)
 		return
 	}
 	s.token++
@@ -209,7 +209,7 @@
 
 func (s *simStore) serve(from string, request call) {
 	respond := func(body any, failed bool) {
-		s.world.network.Send(string(s.id), from, reply{id: request.id, body: body, failed: failed})
+		s.cluster.network.Send(string(s.id), from, reply{id: request.id, body: body, failed: failed})
 	}
 	if s.dispatcher == nil {
 		respond(nil, true)
@@ -256,9 +256,9 @@
 	}
 }
 
-// simRouter is a router with the real Runner and a made-up engine.
+// simRouter is a router with the real Runner and a simulated engine.
 type simRouter struct {
-	world   *world
+	cluster *cluster
 	process *sim.Process
 	runner  *Runner
 	slots   int
@@ -269,20 +269,20 @@
 }
 
 func (r *simRouter) start() {
-	settings := r.world.runner
+	settings := r.cluster.runner
 	settings.Router = api.NodeID(r.name)
-	settings.Faults = r.world.runnerFaults
-	settings.NewRequestID = func() api.RequestID { return api.RequestID(r.world.unique(r.name)) }
+	settings.Faults = r.cluster.runnerFaults
+	settings.NewRequestID = func() api.RequestID { return api.RequestID(r.cluster.uniqueID(r.name)) }
 	r.runner = NewRunner(settings)
 	r.running, r.calls = map[api.RequestID]GrantedItem{}, map[uint64]func(any, bool){}
 	r.process.Every(10*time.Millisecond, func() {
-		r.step(Leaders{Groups: r.world.leaders()})
-		r.tellRooms()
+		r.step(Leaders{Groups: r.cluster.leaders()})
+		r.sendRooms()
 		r.step(RunnerTick{})
 	})
 }
 
-func (r *simRouter) tellRooms() {
+func (r *simRouter) sendRooms() {
 	var rooms []ClaimWant
 	for _, service := range []api.ServiceName{"judge", "tutor"} {
 		if room := r.slots - len(r.running); room > 0 {
@@ -298,13 +298,12 @@
 	}
 }
 
-// call asks a store; done is told of the answer, or of a failure when none
-// comes in time.
+// call sends a request to a store; done gets the answer, or a failure after a timeout.
 func (r *simRouter) call(to api.NodeID, body any, wait time.Duration, done func(any, bool)) {
 	r.serial++
 	id := r.serial
 	r.calls[id] = done
-	r.world.network.Send(r.name, string(to), call{id: id, body: body})
+	r.cluster.network.Send(r.name, string(to), call{id: id, body: body})
 	r.process.After(wait+100*time.Millisecond, func() { r.answered(reply{id: id, failed: true}) })
 }
 
@@ -318,7 +317,7 @@
 func (r *simRouter) execute(action RunnerAction) {
 	switch action := action.(type) {
 	case SendClaim:
-		r.call(action.Leader, action.Claim, r.world.runner.ClaimWait, func(body any, failed bool) {
+		r.call(action.Leader, action.Claim, r.cluster.runner.ClaimWait, func(body any, failed bool) {
 			grant, _ := body.(Grant)
 			r.step(GrantArrived{Group: action.Group, Serial: action.Serial, Grant: grant, Failed: failed})
 		})
@@ -351,7 +350,8 @@
 	}
 }
 
-// run is the engine: it refuses, fails, loses the answer or gives one.
+// run simulates the engine: it rejects the request, fails, loses the answer or returns
+// one.
 func (r *simRouter) run(run RunItem) {
 	if len(r.running) >= r.slots {
 		r.step(ItemFinished{Request: run.Request, Outcome: api.OutcomeNotRun, Returned: ReturnedItem{Reason: ReturnNoRoom}})
@@ -359,13 +359,13 @@
 	}
 	r.running[run.Request] = run.Item
 	r.step(ItemAdmitted{Request: run.Request})
-	random := r.world.simulation.Random()
+	random := r.cluster.simulation.Random()
 	chance := random.Float64()
 	if chance < 0.05 {
 		r.end(run.Request, ItemFinished{Request: run.Request, Outcome: api.OutcomeNotRun, Returned: ReturnedItem{Reason: ReturnNoRoom, RetryAfterMs: 30}})
 		return
 	}
-	r.world.executed(run)
+	r.cluster.recordExecution(run)
 	finished := ItemFinished{Request: run.Request}
 	switch {
 	case chance < 0.15:
@@ -378,7 +378,7 @@
 	}
 	took := time.Duration(random.Int64N(int64(60 * time.Millisecond)))
 	if random.Float64() < 0.03 {
-		took += 2 * r.world.dispatcher.Lifetime // longer than a grant without renewal
+		took += 2 * r.cluster.dispatcher.Lifetime // longer than the lifetime of a grant
 	}
 	r.process.After(took, func() { r.end(run.Request, finished) })
 }
@@ -388,7 +388,7 @@
 		return
 	}
 	delete(r.running, request)
-	r.tellRooms()
+	r.sendRooms()
 	r.step(finished)
 }
 
--- a/jobs/simulation_test.go
+++ b/jobs/simulation_test.go
@@ -23,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-// disturbance is one fault; it ends by itself.
+// disturbance is a temporary fault of a process or the network.
 type disturbance struct {
 	At     time.Duration
 	Kind   string
@@ -33,7 +33,7 @@
 
 var disturbanceKinds = []string{"crash_router", "pause_router", "isolate_router", "crash_leader", "pause_leader", "isolate_leader", "crash_store", "lossy"}
 
-func (w *world) inject(d disturbance) {
+func (w *cluster) inject(d disturbance) {
 	router, store := w.routers[d.Slot%len(w.routers)], w.stores[d.Slot%len(w.stores)]
 	if leaders := w.leaders(); len(leaders) > 0 && d.Kind != "crash_store" {
 		for _, candidate := range w.stores {
@@ -65,29 +65,29 @@
 	}
 }
 
-func (w *world) pause(process *sim.Process, length time.Duration) {
+func (w *cluster) pause(process *sim.Process, length time.Duration) {
 	if process.Up() && !process.Paused() {
 		process.Pause()
 		w.simulation.After(length, process.Resume)
 	}
 }
 
-// simulate lets a fleet live through the disturbances, then in peace, and gives
-// what was violated.
-func simulate(o worldOptions, disturbances []disturbance) *world {
-	const peace = 12 * time.Second
-	w := newWorld(o)
+// simulate runs a cluster through the disturbances, then waits for it to converge and
+// checks the final state.
+func simulate(o clusterOptions, disturbances []disturbance) *cluster {
+	const convergenceTimeout = 12 * time.Second
+	w := newCluster(o)
 	end := 3 * time.Second
 	for _, d := range disturbances {
 		w.simulation.After(d.At, func() { w.inject(d) })
 		end = max(end, d.At+d.Length)
 	}
 	w.simulation.Run(end)
-	for began := w.simulation.Elapsed(); len(w.broken) == 0 && !w.quiet() && w.simulation.Elapsed()-began < peace; {
+	for began := w.simulation.Elapsed(); len(w.violations) == 0 && !w.converged() && w.simulation.Elapsed()-began < convergenceTimeout; {
 		w.simulation.Run(200 * time.Millisecond)
 	}
-	if len(w.broken) == 0 {
-		w.check()
+	if len(w.violations) == 0 {
+		w.checkFinal()
 	}
 	return w
 }
@@ -104,34 +104,34 @@
 	return list
 }
 
-func standardWorld(seed uint64) worldOptions {
-	return worldOptions{seed: seed, stores: 3, routers: 3, jobs: 8}
+func defaultClusterOptions(seed uint64) clusterOptions {
+	return clusterOptions{seed: seed, stores: 3, routers: 3, jobs: 8}
 }
 
-func TestEveryItemEndsOnceUnderEachDisturbance(t *testing.T) {
+func TestItemsEndOnceUnderEachDisturbance(t *testing.T) {
 	for _, kind := range append([]string{"none"}, disturbanceKinds...) {
 		t.Run(kind, func(t *testing.T) {
 			sends := 0
 			for seed := range uint64(4) {
-				w := simulate(standardWorld(seed), drawDisturbances(seed, []string{kind}, 5))
-				if len(w.broken) > 0 {
-					t.Fatalf("seed %d: %v", seed, w.broken)
+				w := simulate(defaultClusterOptions(seed), drawDisturbances(seed, []string{kind}, 5))
+				if len(w.violations) > 0 {
+					t.Fatalf("seed %d: %v", seed, w.violations)
 				}
 				sends += w.sends
 			}
 			if sends < 100 {
-				t.Fatalf("only %d items were sent: the run shows too little", sends)
+				t.Fatalf("only %d items were sent, want at least 100", sends)
 			}
 		})
 	}
 }
 
-func TestEveryItemEndsOnceUnderMixedDisturbances(t *testing.T) {
+func TestItemsEndOnceUnderMixedDisturbances(t *testing.T) {
 	unknown, cancelled, expired, dropped := 0, 0, 0, 0
 	for seed := range uint64(20) {
-		w := simulate(standardWorld(seed), drawDisturbances(seed, disturbanceKinds, 10))
-		if len(w.broken) > 0 {
-			t.Fatalf("seed %d: %v", seed, w.broken)
+		w := simulate(defaultClusterOptions(seed), drawDisturbances(seed, disturbanceKinds, 10))
+		if len(w.violations) > 0 {
+			t.Fatalf("seed %d: %v", seed, w.violations)
 		}
 		for id := range w.clients.accepted {
 			job, _, _ := w.stores[0].state.Job(id)
@@ -146,50 +146,51 @@
 	}
 	t.Logf("%d items unknown, %d late results dropped, %d jobs cancelled, %d expired", unknown, dropped, cancelled, expired)
 	if unknown == 0 || cancelled == 0 || expired == 0 || dropped == 0 {
-		t.Fatal("the runs do not show all that they should")
+		t.Fatal("the runs must include unknown, cancelled, expired and dropped cases")
 	}
 }
 
 func TestSameSeedGivesSameRun(t *testing.T) {
 	run := func() string {
-		w := simulate(standardWorld(3), drawDisturbances(3, disturbanceKinds, 10))
-		return fmt.Sprint(w.simulation.Fingerprint(), w.simulation.Events(), w.sends, w.last)
+		w := simulate(defaultClusterOptions(3), drawDisturbances(3, disturbanceKinds, 10))
+		return fmt.Sprint(w.simulation.Fingerprint(), w.simulation.Events(), w.sends, w.lastIndex)
 	}
 	if first, second := run(), run(); first != second {
 		t.Fatalf("the runs %s and %s differ", first, second)
 	}
 }
 
-// TestPlantedFaultsAreCaught shows that the checks can fail.
-func TestPlantedFaultsAreCaught(t *testing.T) {
-	cases := map[string]func(*worldOptions){
-		"accept-second-result":        func(o *worldOptions) { o.faults.AcceptSecondResult = true },
-		"start-after-cancel":          func(o *worldOptions) { o.faults.StartAfterCancel = true },
-		"grant-without-fence":         func(o *worldOptions) { o.faults.IgnoreEpoch = true },
-		"forget-returned-item":        func(o *worldOptions) { o.faults.ForgetReturned = true },
-		"send-before-start-committed": func(o *worldOptions) { o.runnerFaults.SendBeforeStart = true },
+// TestChecksDetectInjectedFaults guards against checks that can never fail.
+func TestChecksDetectInjectedFaults(t *testing.T) {
+	cases := map[string]func(*clusterOptions){
+		"accept-second-result":        func(o *clusterOptions) { o.faults.AcceptSecondResult = true },
+		"start-after-cancel":          func(o *clusterOptions) { o.faults.StartAfterCancel = true },
+		"grant-without-fence":         func(o *clusterOptions) { o.faults.IgnoreEpoch = true },
+		"forget-returned-item":        func(o *clusterOptions) { o.faults.ForgetReturned = true },
+		"send-before-start-committed": func(o *clusterOptions) { o.runnerFaults.SendBeforeStart = true },
 	}
 	for name, plant := range cases {
 		kinds := disturbanceKinds
 		if name == "grant-without-fence" {
-			kinds = []string{"lossy"} // it takes a start that comes late
+			kinds = []string{"lossy"} // requires a delayed start
 		}
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(200) {
-				o := standardWorld(seed)
+				o := defaultClusterOptions(seed)
 				plant(&o)
-				if w := simulate(o, drawDisturbances(seed, kinds, 10)); len(w.broken) > 0 {
-					t.Logf("seed %d: %s", seed, w.broken[0])
+				if w := simulate(o, drawDisturbances(seed, kinds, 10)); len(w.violations) > 0 {
+					t.Logf("seed %d: %s", seed, w.violations[0])
 					return
 				}
 			}
-			t.Fatal("not caught")
+			t.Fatal("the injected fault was not detected")
 		})
 	}
 }
 
-// TestRapidDisturbances searches for the smallest plan that breaks an invariant.
-func TestRapidDisturbances(t *testing.T) {
+// TestRandomDisturbancesKeepInvariants checks random disturbances and shrinks those
+// that violate an invariant.
+func TestRandomDisturbancesKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) disturbance {
 			return disturbance{
@@ -199,9 +200,9 @@
 				Length: time.Duration(rapid.IntRange(1, 2000).Draw(t, "length ms")) * time.Millisecond,
 			}
 		}), 0, 8).Draw(t, "disturbances")
-		w := simulate(worldOptions{seed: rapid.Uint64().Draw(t, "seed"), stores: 3, routers: 2, jobs: 4}, list)
-		if len(w.broken) > 0 {
-			t.Fatal(w.broken)
+		w := simulate(clusterOptions{seed: rapid.Uint64().Draw(t, "seed"), stores: 3, routers: 2, jobs: 4}, list)
+		if len(w.violations) > 0 {
+			t.Fatal(w.violations)
 		}
 	})
 }
--- a/jobs/simworld_test.go
+++ b/jobs/simworld_test.go
@@ -11,8 +11,8 @@
 	"github.com/dykewing/dykewing/sim"
 )
 
-// worldOptions choose a simulated fleet and the faults planted in it.
-type worldOptions struct {
+// clusterOptions configure a simulated cluster and its injected faults.
+type clusterOptions struct {
 	seed         uint64
 	stores       int
 	routers      int
@@ -21,9 +21,9 @@
 	runnerFaults RunnerFaults
 }
 
-// world is a simulated fleet of stores, routers and clients with the checks.
-type world struct {
-	worldOptions
+// cluster simulates stores, routers and clients, and checks the invariants.
+type cluster struct {
+	clusterOptions
 	simulation *sim.Simulation
 	network    *sim.Network
 	voters     []replication.ReplicaID
@@ -33,10 +33,10 @@
 	dispatcher DispatcherSettings
 	runner     RunnerSettings
 	serial     int
-	broken     []string
+	violations []string
 
-	// What the log says, from the first replica to apply each entry.
-	last       uint64
+	// Contents of the log, recorded when the first replica applies an entry.
+	lastIndex  uint64
 	cancelled  map[JobID]bool
 	starts     map[ItemRef]Start
 	records    map[ItemRef]string
@@ -44,9 +44,9 @@
 	sends      int
 }
 
-func newWorld(o worldOptions) *world {
-	w := &world{
-		worldOptions: o, simulation: sim.New(o.seed), dispatcher: DefaultDispatcherSettings(), runner: DefaultRunnerSettings(),
+func newCluster(o clusterOptions) *cluster {
+	w := &cluster{
+		clusterOptions: o, simulation: sim.New(o.seed), dispatcher: DefaultDispatcherSettings(), runner: DefaultRunnerSettings(),
 		cancelled: map[JobID]bool{}, starts: map[ItemRef]Start{}, records: map[ItemRef]string{}, executions: map[ItemRef]int{},
 	}
 	w.dispatcher.Lifetime, w.dispatcher.Backoff = 600*time.Millisecond, 20*time.Millisecond
@@ -56,13 +56,13 @@
 		w.voters = append(w.voters, replication.ReplicaID(fmt.Sprintf("store-%d", slot)))
 	}
 	for _, id := range w.voters {
-		store := &simStore{world: w, id: id, process: w.simulation.NewProcess(string(id)), applied: NewMemoryStorage()}
+		store := &simStore{cluster: w, id: id, process: w.simulation.NewProcess(string(id)), applied: NewMemoryStorage()}
 		w.stores = append(w.stores, store)
 		w.network.Attach(store.process, store.receive)
 		store.start()
 	}
 	for slot := range o.routers {
-		router := &simRouter{world: w, name: fmt.Sprintf("router-%d", slot), slots: 3}
+		router := &simRouter{cluster: w, name: fmt.Sprintf("router-%d", slot), slots: 3}
 		router.process = w.simulation.NewProcess(router.name)
 		w.routers = append(w.routers, router)
 		w.network.Attach(router.process, func(_ string, message any) { router.answered(message.(reply)) })
@@ -72,18 +72,19 @@
 	return w
 }
 
-func (w *world) violate(format string, arguments ...any) {
-	w.broken = append(w.broken, fmt.Sprintf(format, arguments...))
+func (w *cluster) reportViolation(format string, arguments ...any) {
+	w.violations = append(w.violations, fmt.Sprintf(format, arguments...))
 	w.simulation.Stop()
 }
 
-func (w *world) unique(prefix string) string {
+func (w *cluster) uniqueID(prefix string) string {
 	w.serial++
 	return fmt.Sprintf("%s-%06d", prefix, w.serial)
 }
 
-// leaders is the view that heartbeats would give: who leads by its own word.
-func (w *world) leaders() []GroupLeader {
+// leaders returns what heartbeats would report: the store with the highest term among
+// those that consider themselves leader.
+func (w *cluster) leaders() []GroupLeader {
 	var found []GroupLeader
 	for _, store := range w.stores {
 		if !store.process.Up() || store.process.Paused() || store.dispatcher == nil {
@@ -96,12 +97,12 @@
 	return found
 }
 
-// applied checks each entry where it is applied first.
-func (w *world) applied(store *simStore, index uint64, command Command, result Result) {
-	if index <= w.last {
+// checkApplied checks each entry when the first replica applies it.
+func (w *cluster) checkApplied(store *simStore, index uint64, command Command, result Result) {
+	if index <= w.lastIndex {
 		return
 	}
-	w.last = index
+	w.lastIndex = index
 	raw, _ := json.Marshal(result)
 	w.simulation.Tracef("entry %d %s", index, raw)
 	switch {
@@ -118,68 +119,68 @@
 	}
 }
 
-func (w *world) checkStart(start Start) {
+func (w *cluster) checkStart(start Start) {
 	if w.cancelled[start.Item.Job] {
-		w.violate("item %v started after its job's cancel was committed", start.Item)
+		w.reportViolation("item %v started after its job's cancel was committed", start.Item)
 	}
 	if known, ok := w.starts[start.Item]; ok && known.Epoch >= start.Epoch {
-		w.violate("item %v started under grant %d after %d", start.Item, start.Epoch, known.Epoch)
+		w.reportViolation("item %v started under grant %d after %d", start.Item, start.Epoch, known.Epoch)
 	}
 	w.starts[start.Item] = start
 }
 
-func (w *world) checkRecord(store *simStore, item ItemRef) {
+func (w *cluster) checkRecord(store *simStore, item ItemRef) {
 	var record string
 	_ = store.applied.View(func(r Reader) error {
 		record = string(r.Get(resultKey(item)))
 		return nil
 	})
 	if known, ok := w.records[item]; ok && known != record {
-		w.violate("item %v: its record changed from %s to %s", item, known, record)
+		w.reportViolation("item %v: its record changed from %s to %s", item, known, record)
 	}
 	if record != "" {
 		w.records[item] = record
 	}
 }
 
-// executed is told by an engine that begins a request.
-func (w *world) executed(run RunItem) {
+// recordExecution is called when an engine begins to run a request.
+func (w *cluster) recordExecution(run RunItem) {
 	w.sends++
 	item := run.Item.Item
 	if run.Item.Repeatable {
 		return
 	}
 	if start := w.starts[item]; start.Request != run.Request {
-		w.violate("item %v was sent as %s before its start was committed (start %+v)", item, run.Request, start)
+		w.reportViolation("item %v was sent as %s before its start was committed (start %+v)", item, run.Request, start)
 	}
 	w.executions[item]++
 	if w.executions[item] > 1 {
-		w.violate("non-repeatable item %v ran %d times", item, w.executions[item])
+		w.reportViolation("non-repeatable item %v ran %d times", item, w.executions[item])
 	}
 }
 
-// quiet tells whether every client is served, every job has ended and every
-// replica knows.
-func (w *world) quiet() bool {
+// converged reports whether all calls are answered, all jobs have ended, and all
+// replicas have applied the whole log.
+func (w *cluster) converged() bool {
 	if len(w.clients.accepted) < w.jobs || len(w.clients.calls) > 0 {
 		return false
 	}
 	for _, store := range w.stores {
 		index, err := store.state.Applied()
 		active, _ := store.state.ActiveJobs()
-		if err != nil || index != w.last || len(active) > 0 || !store.process.Up() {
+		if err != nil || index != w.lastIndex || len(active) > 0 || !store.process.Up() {
 			return false
 		}
 	}
 	return true
 }
 
-// check looks at the end: every job that was acknowledged has ended, every item
-// has one record, and the counts add up at every replica.
-func (w *world) check() {
+// checkFinal checks that every acknowledged job has ended, every item has one record,
+// the counts add up, and all replicas have the same state.
+func (w *cluster) checkFinal() {
 	for _, store := range w.stores {
-		if index, _ := store.state.Applied(); index != w.last {
-			w.violate("%s has applied %d of %d entries", store.id, index, w.last)
+		if index, _ := store.state.Applied(); index != w.lastIndex {
+			w.reportViolation("%s has applied %d of %d entries", store.id, index, w.lastIndex)
 			return
 		}
 	}
@@ -190,37 +191,37 @@
 	for i, store := range w.stores {
 		var snapshot bytes.Buffer
 		if _, err := store.state.WriteSnapshot(&snapshot); err != nil {
-			w.violate("%s: %v", store.id, err)
+			w.reportViolation("%s: %v", store.id, err)
 		}
 		if i == 0 {
 			first = snapshot
 		} else if !bytes.Equal(first.Bytes(), snapshot.Bytes()) {
-			w.violate("the states of %s and %s differ", w.stores[0].id, store.id)
+			w.reportViolation("the states of %s and %s differ", w.stores[0].id, store.id)
 		}
 	}
 }
 
-func (w *world) checkJob(id JobID, items int) {
+func (w *cluster) checkJob(id JobID, items int) {
 	state := w.stores[0].state
 	job, found, err := state.Job(id)
 	if err != nil || !found {
-		w.violate("job %s was acknowledged and is not there: %v", id, err)
+		w.reportViolation("job %s was acknowledged but is missing: %v", id, err)
 		return
 	}
 	if !job.Status.Ended() || job.Started != 0 || job.Total != items || job.settled()+job.Unfinished != items {
-		w.violate("job %s of %d items has not ended well: %+v", id, items, job)
+		w.reportViolation("job %s of %d items has not ended or has wrong counts: %+v", id, items, job)
 		return
 	}
 	next, completed, failed, unfinished := 0, 0, 0, 0
 	for from := 0; from >= 0; {
 		var page []ItemResult
 		if page, from, err = state.Results(id, from, 7); err != nil {
-			w.violate("results of %s: %v", id, err)
+			w.reportViolation("results of %s: %v", id, err)
 			return
 		}
 		for _, result := range page {
 			if want := fmt.Sprint("item-", next); result.Item.Item != next || result.CustomID != want {
-				w.violate("job %s: item %d has the record of %d, %q", id, next, result.Item.Item, result.CustomID)
+				w.reportViolation("job %s: item %d has the record of %d, %q", id, next, result.Item.Item, result.CustomID)
 			}
 			next++
 			_, recorded := w.records[result.Item]
@@ -236,28 +237,28 @@
 		}
 	}
 	if next != items || completed != job.Completed || failed != job.Failed || unfinished != job.Unfinished {
-		w.violate("job %s: %d results, %d completed, %d failed, %d unfinished are not %+v", id, next, completed, failed, unfinished, job)
+		w.reportViolation("job %s: %d results, %d completed, %d failed, %d unfinished are not %+v", id, next, completed, failed, unfinished, job)
 	}
 }
 
-func (w *world) checkBody(result ItemResult) {
+func (w *cluster) checkBody(result ItemResult) {
 	if want, _ := json.Marshal(result.CustomID); string(result.Body) != string(want) {
-		w.violate("item %v has the answer %s of another", result.Item, result.Body)
+		w.reportViolation("item %v has the answer of another item: %s", result.Item, result.Body)
 	}
 }
 
-// simClient submits jobs, resends, cancels some and remembers what was
-// acknowledged.
+// simClient submits jobs, retries, cancels some of them and remembers the acknowledged
+// ones.
 type simClient struct {
-	world    *world
+	cluster  *cluster
 	process  *sim.Process
 	serial   uint64
 	calls    map[uint64]func(Result)
 	accepted map[JobID]int // items by acknowledged job
 }
 
-func newSimClient(w *world) *simClient {
-	c := &simClient{world: w, process: w.simulation.NewProcess("client"), calls: map[uint64]func(Result){}, accepted: map[JobID]int{}}
+func newSimClient(w *cluster) *simClient {
+	c := &simClient{cluster: w, process: w.simulation.NewProcess("client"), calls: map[uint64]func(Result){}, accepted: map[JobID]int{}}
 	w.network.Attach(c.process, func(_ string, message any) {
 		answer := message.(reply)
 		if done, ok := c.calls[answer.id]; ok && !answer.failed {
@@ -267,7 +268,7 @@
 	})
 	random := w.simulation.Random()
 	for number := range w.jobs {
-		c.process.After(time.Duration(random.Int64N(int64(2*time.Second))), func() { c.live(number) })
+		c.process.After(time.Duration(random.Int64N(int64(2*time.Second))), func() { c.runJob(number) })
 	}
 	return c
 }
@@ -282,17 +283,17 @@
 		if _, ok := c.calls[id]; !ok {
 			return
 		}
-		for _, leader := range c.world.leaders() {
-			c.world.network.Send("client", string(leader.Leader), call{id: id, body: command})
+		for _, leader := range c.cluster.leaders() {
+			c.cluster.network.Send("client", string(leader.Leader), call{id: id, body: command})
 		}
 		c.process.After(100*time.Millisecond, send)
 	}
 	send()
 }
 
-// live is one job's life: upload, submit, submit again, perhaps cancel.
-func (c *simClient) live(number int) {
-	random := c.world.simulation.Random()
+// runJob uploads a file, submits a job over it twice and may cancel it.
+func (c *simClient) runJob(number int) {
+	random := c.cluster.simulation.Random()
 	file, items := FileID(fmt.Sprint("file-", number)), 1+random.IntN(25)
 	tenant := api.TenantID(fmt.Sprint("tenant-", number%3))
 	lines := make([]json.RawMessage, items)
@@ -314,13 +315,13 @@
 }
 
 func (c *simClient) submit(submit Submit, items int) {
-	random := c.world.simulation.Random()
+	random := c.cluster.simulation.Random()
 	first, second, other := submit, submit, submit
-	first.Job, second.Job, other.Job = JobID(c.world.unique("job")), JobID(c.world.unique("job")), JobID(c.world.unique("job"))
+	first.Job, second.Job, other.Job = JobID(c.cluster.uniqueID("job")), JobID(c.cluster.uniqueID("job")), JobID(c.cluster.uniqueID("job"))
 	other.BodyHash = "b"
 	c.commit(Command{Submit: &first}, func(result Result) {
 		if result.Job == nil {
-			c.world.violate("submit of %s was refused: %s", first.Job, result.Message)
+			c.cluster.reportViolation("submit of %s was refused: %s", first.Job, result.Message)
 			return
 		}
 		id := result.Job.ID()
@@ -330,12 +331,12 @@
 		}
 		c.commit(Command{Submit: &second}, func(again Result) {
 			if again.Job == nil || again.Job.ID() != id || !again.Duplicate {
-				c.world.violate("the resent submission gave %+v, not job %s", again, id)
+				c.cluster.reportViolation("the resent submission gave %+v, not job %s", again, id)
 			}
 		})
 		c.commit(Command{Submit: &other}, func(conflict Result) {
 			if conflict.Code != api.CodeConflict {
-				c.world.violate("another body under the key gave %+v", conflict)
+				c.cluster.reportViolation("another body under the key gave %+v", conflict)
 			}
 		})
 	})
@@ -344,7 +345,7 @@
 func (c *simClient) cancel(id JobID) {
 	c.commit(Command{Cancel: &Cancel{Job: id}}, func(result Result) {
 		if result.Job == nil || result.Job.Status == JobInProgress {
-			c.world.violate("cancel of %s gave %+v", id, result)
+			c.cluster.reportViolation("cancel of %s gave %+v", id, result)
 		}
 	})
 }
