--- a/jobs/snapshot.go
+++ b/jobs/snapshot.go
@@ -12,33 +12,33 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A snapshot is a stream of pairs, each with two lengths before it, then two
-// zero lengths and a checksum of all before it.
+// A snapshot is a sequence of key-value pairs, each preceded by the lengths of its key
+// and value, followed by two zero lengths and a checksum of all preceding bytes.
 const (
-	snapshotHeader   = 8 // bytes of the two lengths
-	snapshotPiece    = 1 << 20
-	maximumPairBytes = 64 << 20
+	snapshotHeader = 8 // size of the two lengths
+	snapshotChunk  = 1 << 20
+	maxPairBytes   = 64 << 20
 )
 
 var importingKey = []byte{keyMeta, 'i'}
 
-// ErrBadSnapshot says that a snapshot is cut off or changed.
-var ErrBadSnapshot = errors.New("the snapshot is not whole")
+// ErrBadSnapshot is returned for a truncated or corrupted snapshot.
+var ErrBadSnapshot = errors.New("snapshot is truncated or corrupted")
 
-// WriteSnapshot writes one version of the whole state, in bounded memory, and
-// gives the index that it was applied up to.
+// WriteSnapshot writes a consistent snapshot of the state, using bounded memory, and
+// returns the index of the last entry applied to it.
 func (s *State) WriteSnapshot(w io.Writer) (index uint64, err error) {
 	digest := xxhash.New()
-	buffered := bufio.NewWriterSize(w, snapshotPiece)
+	buffered := bufio.NewWriterSize(w, snapshotChunk)
 	out := io.MultiWriter(buffered, digest)
 	err = s.storage.View(func(r Reader) error {
 		index = appliedIndex(r)
-		var failed error
+		var scanErr error
 		r.Scan(nil, func(key, value []byte) bool {
-			failed = writePair(out, key, value)
-			return failed == nil
+			scanErr = writePair(out, key, value)
+			return scanErr == nil
 		})
-		return failed
+		return scanErr
 	})
 	if err != nil {
 		return 0, fmt.Errorf("write snapshot: %w", err)
@@ -63,19 +63,19 @@
 	return nil
 }
 
-// ReadSnapshot replaces all that the storage holds by a snapshot and opens it.
-// It takes bounded memory and several transactions; when it is interrupted or
-// the snapshot is not whole, OpenState refuses the storage until another
-// ReadSnapshot ends well.
+// ReadSnapshot replaces the contents of the storage with a snapshot and opens the
+// resulting state. It uses bounded memory and several transactions. If it is
+// interrupted, or fails with ErrBadSnapshot, OpenState rejects the storage until a
+// later ReadSnapshot succeeds.
 func ReadSnapshot(storage Storage, r io.Reader) (*State, error) {
 	if err := clearStorage(storage); err != nil {
 		return nil, fmt.Errorf("read snapshot: %w", err)
 	}
 	digest := xxhash.New()
-	buffered := bufio.NewReaderSize(r, snapshotPiece)
+	buffered := bufio.NewReaderSize(r, snapshotChunk)
 	for end := false; !end; {
 		err := storage.Update(func(w Writer) (err error) {
-			end, err = readPiece(w, buffered, digest)
+			end, err = readChunk(w, buffered, digest)
 			return err
 		})
 		if err != nil {
@@ -103,10 +103,11 @@
 	return nil
 }
 
-// readPiece takes pairs until a piece is full or the stream ends.
-func readPiece(w Writer, r io.Reader, digest hash.Hash) (end bool, err error) {
+// readChunk stores pairs until a chunk is full, and reports whether the snapshot has
+// ended.
+func readChunk(w Writer, r io.Reader, digest hash.Hash) (end bool, err error) {
 	in := io.TeeReader(r, digest)
-	for size := 0; size < snapshotPiece; {
+	for size := 0; size < snapshotChunk; {
 		header := make([]byte, snapshotHeader)
 		if _, err := io.ReadFull(in, header); err != nil {
 			return false, fmt.Errorf("%w: %w", ErrBadSnapshot, err)
@@ -115,8 +116,8 @@
 		if keyLength == 0 {
 			return true, nil
 		}
-		if uint64(keyLength)+uint64(valueLength) > maximumPairBytes {
-			return false, fmt.Errorf("%w: a pair of %d bytes", ErrBadSnapshot, uint64(keyLength)+uint64(valueLength))
+		if uint64(keyLength)+uint64(valueLength) > maxPairBytes {
+			return false, fmt.Errorf("%w: key and value have %d bytes", ErrBadSnapshot, uint64(keyLength)+uint64(valueLength))
 		}
 		pair := make([]byte, keyLength+valueLength)
 		if _, err := io.ReadFull(in, pair); err != nil {
@@ -128,16 +129,16 @@
 	return false, nil
 }
 
-// clearStorage empties the storage and marks it as being read into.
+// clearStorage deletes all keys and marks the storage as an incomplete import.
 func clearStorage(storage Storage) error {
 	for more := true; more; {
 		err := storage.Update(func(w Writer) error {
 			var keys [][]byte
 			w.Scan(nil, func(key, _ []byte) bool {
 				keys = append(keys, bytes.Clone(key))
-				return len(keys) < maximumDeleted
+				return len(keys) < maxDeleted
 			})
-			more = len(keys) == maximumDeleted
+			more = len(keys) == maxDeleted
 			for _, key := range keys {
 				w.Delete(key)
 			}
--- a/jobs/state.go
+++ b/jobs/state.go
@@ -10,39 +10,39 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// ErrIncompleteSnapshot says that the storage holds a part of a snapshot whose
-// import was interrupted; only another ReadSnapshot mends it.
-var ErrIncompleteSnapshot = errors.New("the applied state is an incomplete snapshot")
+// ErrIncompleteSnapshot is returned for a storage that holds an interrupted import of a
+// snapshot. Only another ReadSnapshot makes it usable.
+var ErrIncompleteSnapshot = errors.New("applied state is an incompletely imported snapshot")
 
-// Entry is a committed command with its place in the log.
+// Entry is a committed command with its log index.
 type Entry struct {
 	Index   uint64
 	Command Command
 }
 
-// State is the applied state of one group. All of it is in the storage, so
-// that memory does not grow with files, items and results. Reads run beside
-// Apply and see the state between two of them.
+// State is the applied state of one group. It is kept in the storage only, so that
+// memory use does not grow with files, items and results. Reads may run concurrently
+// with Apply and see the state between two transactions.
 type State struct {
 	storage Storage
 	faults  Faults
 }
 
-// Faults plant defects, to show that the checks of tests can fail. The zero
-// value has none.
+// Faults are injected faults that verify that the tests detect violations. The zero
+// value injects none.
 type Faults struct {
 	AcceptSecondResult bool // a later result replaces the first
-	StartAfterCancel   bool // cancelled jobs go on starting items
-	IgnoreEpoch        bool // a late start of an older grant is taken
-	ForgetReturned     bool // a returned item does not wait again
+	StartAfterCancel   bool // items of cancelled jobs are started
+	IgnoreEpoch        bool // a late start under an older grant is accepted
+	ForgetReturned     bool // a returned item is not requeued
 	IgnoreQueueBound   bool // jobs are admitted to a full queue
-	TrustKept          bool // a result is listed over parts that are not its text's
+	TrustKept          bool // a result is listed although the stored parts do not match it
 }
 
-// OpenState goes on from what the storage holds.
+// OpenState opens the state that the storage holds, which may be empty.
 func OpenState(storage Storage) (*State, error) { return OpenStateWithFaults(storage, Faults{}) }
 
-// OpenStateWithFaults is OpenState with planted defects, for tests.
+// OpenStateWithFaults is OpenState with injected faults, for tests.
 func OpenStateWithFaults(storage Storage, faults Faults) (*State, error) {
 	state := &State{storage: storage, faults: faults}
 	err := storage.View(func(r Reader) error {
@@ -54,7 +54,7 @@
 	return state, err
 }
 
-// Applied is the index of the last entry that took effect.
+// Applied returns the index of the last applied entry.
 func (s *State) Applied() (uint64, error) {
 	index := uint64(0)
 	err := s.storage.View(func(r Reader) error {
@@ -71,10 +71,10 @@
 	return 0
 }
 
-// Apply applies committed entries, in order, with the new index in one
-// transaction; entries that were applied before have no second effect and
-// answer Duplicate. What an entry does depends on nothing but the state and its
-// command. An error means that none took effect and the replica must stop.
+// Apply applies committed entries in order, in one transaction with the new index.
+// Entries that were applied before are skipped and yield Duplicate. The effect of an
+// entry depends only on the state and its command. On error none of the entries took
+// effect, and the replica must stop.
 func (s *State) Apply(entries ...Entry) ([]Result, error) {
 	results := make([]Result, len(entries))
 	err := s.storage.Update(func(w Writer) error {
@@ -100,7 +100,7 @@
 	return results, nil
 }
 
-// change is one command's effect within a transaction.
+// change applies one command within a transaction.
 type change struct {
 	Writer
 	now    time.Time
@@ -151,7 +151,7 @@
 	case command.ReportQueue != nil:
 		return c.reportQueue(*command.ReportQueue)
 	}
-	return failure(api.CodeBadRequest, "command has no known part")
+	return failure(api.CodeBadRequest, "unknown command")
 }
 
 func failure(code api.ErrorCode, format string, arguments ...any) Result {
@@ -168,7 +168,7 @@
 	c.Put(key, raw)
 }
 
-// get reads a JSON value and tells whether it is there.
+// get decodes a JSON value and reports whether the key exists.
 func get(r Reader, key []byte, value any) (bool, error) {
 	raw := r.Get(key)
 	if raw == nil {
--- a/jobs/state_claims.go
+++ b/jobs/state_claims.go
@@ -6,12 +6,13 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// storedClaim is an online request's idempotency key and its answer.
+// storedClaim is a claimed idempotency key with the recorded answer, if any.
 type storedClaim struct {
 	Claim   ClaimRequest   `json:"claim"`
 	Created time.Time      `json:"created"`
 	Record  *RecordRequest `json:"record,omitempty"`
-	// Free: the claiming request did not run, so another may claim the key.
+	// Free is set if the claiming request did not run, so that another may claim the
+	// key.
 	Free bool `json:"free,omitempty"`
 }
 
--- a/jobs/state_files.go
+++ b/jobs/state_files.go
@@ -6,8 +6,8 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// maximumServices bounds the services that one file's lines are for.
-const maximumServices = 64
+// maxFileServices is the maximum number of services that the lines of one file are for.
+const maxFileServices = 64
 
 func fileKey(id FileID) []byte { return nameKey(keyFile, string(id)) }
 
@@ -24,7 +24,7 @@
 	file := File{ID: command.File, Tenant: command.Tenant, Name: command.Name, Purpose: command.Purpose, Created: c.now}
 	c.put(fileKey(file.ID), file)
 	c.Put(timedKey(keyUpload, file.Created, fileKey(file.ID)), []byte{})
-	c.Put(tenantKey(keyFiles, file.Tenant, file.Created, string(file.ID)), []byte{})
+	c.Put(tenantKey(keyTenantFile, file.Tenant, file.Created, string(file.ID)), []byte{})
 	return Result{File: &file}
 }
 
@@ -53,8 +53,8 @@
 	for _, service := range services {
 		file.Services[service]++
 	}
-	if len(file.Services) > maximumServices {
-		return failure(api.CodeBadRequest, "file %s is for more than %d models or services", command.File, maximumServices)
+	if len(file.Services) > maxFileServices {
+		return failure(api.CodeBadRequest, "file %s is for more than %d models or services", command.File, maxFileServices)
 	}
 	for i, raw := range command.Lines {
 		c.Put(numberedKey(keyLine, string(file.ID), command.Line+i), bytes.Clone(raw))
@@ -91,21 +91,22 @@
 	return Result{File: &file}
 }
 
-// deleteFile hides the file at once; its lines go when no job needs them.
+// deleteFile hides the file at once; its lines are deleted once no job uses it.
 func (c *change) deleteFile(command DeleteFile) Result {
 	file, ok := c.file(command.File)
 	if !ok {
 		return failure(api.CodeNotFound, "no file %s", command.File)
 	}
 	file.Deleted = true
-	c.freeFile(file)
+	c.storeOrDeleteFile(file)
 	return Result{File: &file}
 }
 
-// freeFile stores a file that has lost its last use or a job, or removes it.
-func (c *change) freeFile(file File) {
+// storeOrDeleteFile stores a changed file, or deletes it if it is marked as deleted and
+// no job uses it.
+func (c *change) storeOrDeleteFile(file File) {
 	if file.Deleted {
-		c.Delete(tenantKey(keyFiles, file.Tenant, file.Created, string(file.ID)))
+		c.Delete(tenantKey(keyTenantFile, file.Tenant, file.Created, string(file.ID)))
 	}
 	if !file.Deleted || file.Jobs > 0 {
 		c.put(fileKey(file.ID), file)
@@ -114,8 +115,11 @@
 	c.Delete(fileKey(file.ID))
 	c.Delete(timedKey(keyUpload, file.Created, fileKey(file.ID)))
 	c.Delete(timedKey(keyRetention, file.Created, fileKey(file.ID)))
-	c.discard(numberedPrefix(keyLine, string(file.ID)))
+	c.deletePrefixLater(numberedPrefix(keyLine, string(file.ID)))
 }
 
-// discard has all keys with the prefix removed, a bounded part at a time.
-func (c *change) discard(prefix []byte) { c.Put(append([]byte{keyGarbage}, prefix...), []byte{}) }
+// deletePrefixLater schedules the deletion of all keys with the prefix by
+// collectGarbage.
+func (c *change) deletePrefixLater(prefix []byte) {
+	c.Put(append([]byte{keyGarbage}, prefix...), []byte{})
+}
--- a/jobs/state_holders.go
+++ b/jobs/state_holders.go
@@ -6,9 +6,9 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// HolderChange registers a router that may hold shares of ceilings, before it
-// is granted the first, or removes one of which nothing can run any more. A new
-// leader asks the registered ones what they have in use (package quota).
+// HolderChange registers a router that may hold shares of ceilings, before its first
+// grant, or removes one that can no longer run anything. A new leader asks the
+// registered routers for their usage (package quota).
 type HolderChange struct {
 	Router  api.NodeID `json:"router"`
 	Removed bool       `json:"removed,omitempty"`
@@ -25,7 +25,7 @@
 	return Result{}
 }
 
-// Holders lists the registered routers, sorted.
+// Holders returns the registered routers, sorted.
 func (s *State) Holders() (routers []api.NodeID, err error) {
 	prefix := []byte{keyHolder}
 	err = s.storage.View(func(r Reader) error {
--- a/jobs/state_holders_test.go
+++ b/jobs/state_holders_test.go
@@ -8,7 +8,7 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-func TestHoldersLastThroughASnapshot(t *testing.T) {
+func TestHoldersSurviveSnapshot(t *testing.T) {
 	state, err := OpenState(NewMemoryStorage())
 	if err != nil {
 		t.Fatal(err)
--- a/jobs/state_items.go
+++ b/jobs/state_items.go
@@ -6,7 +6,7 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// storedResult is an item's terminal record; its key names the item.
+// storedResult is an item's terminal record. Its key identifies the item.
 type storedResult struct {
 	CustomID string          `json:"c"`
 	Outcome  api.Outcome     `json:"o"`
@@ -29,17 +29,17 @@
 	Router   api.NodeID    `json:"r"`
 	Request  api.RequestID `json:"q"`
 	Epoch    uint64        `json:"e"`
-	Released bool          `json:"x,omitempty"` // taken back: it did not run
+	Released bool          `json:"x,omitempty"` // revoked: the request did not run
 }
 
 func resultKey(item ItemRef) []byte { return numberedKey(keyResult, string(item.Job), item.Item) }
 func startKey(item ItemRef) []byte  { return numberedKey(keyStart, string(item.Job), item.Item) }
 
-func (j Job) holds(item ItemRef) bool { return item.Item >= 0 && item.Item < j.Total }
+func (j Job) hasItem(item ItemRef) bool { return item.Item >= 0 && item.Item < j.Total }
 
 func (c *change) start(command Start) Result {
 	job, ok := c.job(command.Item.Job)
-	if !ok || !job.holds(command.Item) || job.Repeatable {
+	if !ok || !job.hasItem(command.Item) || job.Repeatable {
 		return failure(api.CodeNotFound, "no non-repeatable item %v", command.Item)
 	}
 	var known storedStart
@@ -59,8 +59,8 @@
 	return Result{}
 }
 
-// complete takes each item's first result. Results are grouped by job, so that
-// a job is read and stored once for a run of its items.
+// complete stores the first result of each item. Consecutive results of one job are
+// applied together, so that the job is read and stored once.
 func (c *change) complete(command Complete) Result {
 	var result Result
 	for from := 0; from < len(command.Results); {
@@ -83,10 +83,10 @@
 func (c *change) completeItems(job *Job, results []ItemResult) int {
 	accepted := 0
 	for _, result := range results {
-		if !job.holds(result.Item) {
+		if !job.hasItem(result.Item) {
 			continue
 		}
-		if c.isRepeat(result) {
+		if c.isDuplicate(result) {
 			continue
 		}
 		if !c.mayComplete(job, result) {
@@ -97,14 +97,14 @@
 			CustomID: result.CustomID, Outcome: result.Outcome, Status: result.Status,
 			Body: result.Body, Code: result.Code, Error: result.Error, Request: result.Request,
 		})
-		job.count(result)
+		job.countResult(result)
 		accepted++
 	}
 	return accepted
 }
 
-// isRepeat recognises a report that was sent again because its answer was lost.
-func (c *change) isRepeat(result ItemResult) bool {
+// isDuplicate reports whether the result was stored before and is a retry.
+func (c *change) isDuplicate(result ItemResult) bool {
 	if c.faults.AcceptSecondResult || result.Request == "" {
 		return false
 	}
@@ -112,10 +112,10 @@
 	return c.get(resultKey(result.Item), &known) && known.Request == result.Request
 }
 
-// mayComplete tells whether a result is the item's first. A repeatable item's
-// is taken while the job runs. A non-repeatable item's is taken, also while the
-// job winds up, from the request whose start is committed; an item that was
-// never started may only end as not run.
+// mayComplete reports whether a result is accepted as the item's first. For a
+// repeatable item the job must be in progress. For a non-repeatable one the result must
+// come from the request whose start is committed, and the job must not have ended; an
+// item without a start may only end as not run.
 func (c *change) mayComplete(job *Job, result ItemResult) bool {
 	if c.Get(resultKey(result.Item)) != nil && !c.faults.AcceptSecondResult {
 		return false
@@ -135,7 +135,7 @@
 	return true
 }
 
-func (j *Job) count(result ItemResult) {
+func (j *Job) countResult(result ItemResult) {
 	if result.Failed() {
 		j.Failed++
 	} else {
--- a/jobs/state_jobs.go
+++ b/jobs/state_jobs.go
@@ -7,8 +7,8 @@
 func jobKey(id JobID) []byte    { return nameKey(keyJob, string(id)) }
 func activeKey(id JobID) []byte { return nameKey(keyActive, string(id)) }
 
-func identityKey(tenant api.TenantID, key string) []byte {
-	return nameKey(keyIdentity, string(tenant), key)
+func idempotencyKey(tenant api.TenantID, key string) []byte {
+	return nameKey(keyIdempotency, string(tenant), key)
 }
 
 func (c *change) job(id JobID) (Job, bool) {
@@ -34,16 +34,17 @@
 	job := Job{Submit: command, Status: JobInProgress, Created: c.now, Total: file.Lines, Services: file.Services}
 	c.put(jobKey(job.ID()), job)
 	c.Put(activeKey(job.ID()), []byte{})
-	c.Put(tenantKey(keyTenant, job.Tenant, job.Created, string(job.ID())), []byte{})
+	c.Put(tenantKey(keyTenantJob, job.Tenant, job.Created, string(job.ID())), []byte{})
 	if command.Key != "" {
-		c.Put(identityKey(command.Tenant, command.Key), []byte(job.ID()))
+		c.Put(idempotencyKey(command.Tenant, command.Key), []byte(job.ID()))
 	}
 	file.Jobs++
 	c.put(fileKey(file.ID), file)
 	return Result{Job: &job}
 }
 
-// submitted finds the job of an earlier submission with the same id or key.
+// submitted returns the job of an earlier submission with the same ID or idempotency
+// key.
 func (c *change) submitted(command Submit) (Job, bool) {
 	if job, ok := c.job(command.Job); ok {
 		return job, true
@@ -51,7 +52,7 @@
 	if command.Key == "" {
 		return Job{}, false
 	}
-	id := c.Get(identityKey(command.Tenant, command.Key))
+	id := c.Get(idempotencyKey(command.Tenant, command.Key))
 	if id == nil {
 		return Job{}, false
 	}
@@ -83,8 +84,7 @@
 	return Result{}
 }
 
-// storeJob stores a job after a change of its counts or state, and ends it when
-// nothing of it is outstanding.
+// storeJob stores a changed job, and ends it if nothing is outstanding.
 func (c *change) storeJob(job *Job) {
 	switch {
 	case job.Status == JobInProgress && job.settled() == job.Total:
--- a/jobs/state_retention.go
+++ b/jobs/state_retention.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// Bounds of one ExpireRetention command, so that no command holds up others.
+// Limits of one ExpireRetention command, so that it does not delay others for long.
 const (
-	maximumExpired = 64   // jobs, files and claims
-	maximumDeleted = 2000 // keys of lines, results and starts
+	maxExpired = 64   // jobs, files and claims
+	maxDeleted = 2000 // keys of lines, results and starts
 )
 
 func (c *change) expireRetention(command ExpireRetention) Result {
-	expired := c.due(keyRetention, command.Before)
-	expired = append(expired, c.due(keyUpload, command.UploadsBefore)...)
+	expired := c.expiredKeys(keyRetention, command.Before)
+	expired = append(expired, c.expiredKeys(keyUpload, command.UploadsBefore)...)
 	for _, key := range expired {
 		c.Delete(key)
-		c.drop(holderOf(key))
+		c.deleteTarget(targetOf(key))
 	}
 	deleted := c.collectGarbage()
-	return Result{More: len(expired) >= maximumExpired || deleted == maximumDeleted}
+	return Result{More: len(expired) >= maxExpired || deleted == maxDeleted}
 }
 
-// due lists the first keys of the kind whose time is before the bound.
-func (c *change) due(kind byte, before time.Time) [][]byte {
+// expiredKeys returns the first keys of the kind with a time before the given one.
+func (c *change) expiredKeys(kind byte, before time.Time) [][]byte {
 	var due [][]byte
 	c.Scan([]byte{kind}, func(key, _ []byte) bool {
-		if key[0] != kind || len(due) == maximumExpired || !timeOf(key).Before(before) {
+		if key[0] != kind || len(due) == maxExpired || !timeOf(key).Before(before) {
 			return false
 		}
 		due = append(due, bytes.Clone(key))
@@ -35,50 +35,51 @@
 	return due
 }
 
-// drop removes what holder names.
-func (c *change) drop(holder []byte) {
-	switch holder[0] {
+// deleteTarget deletes what the target of a timed key refers to.
+func (c *change) deleteTarget(target []byte) {
+	switch target[0] {
 	case keyFile:
-		c.dropFile(holder)
+		c.deleteExpiredFile(target)
 	case keyJob:
-		c.dropJob(holder)
+		c.deleteExpiredJob(target)
 	default:
-		c.Delete(holder)
+		c.Delete(target)
 	}
 }
 
-func (c *change) dropFile(holder []byte) {
+func (c *change) deleteExpiredFile(target []byte) {
 	var file File
-	if c.get(holder, &file) {
+	if c.get(target, &file) {
 		file.Deleted = true
-		c.freeFile(file)
+		c.storeOrDeleteFile(file)
 	}
 }
 
-func (c *change) dropJob(holder []byte) {
+func (c *change) deleteExpiredJob(target []byte) {
 	var job Job
-	if !c.get(holder, &job) {
+	if !c.get(target, &job) {
 		return
 	}
-	c.Delete(holder)
-	c.Delete(tenantKey(keyTenant, job.Tenant, job.Created, string(job.ID())))
+	c.Delete(target)
+	c.Delete(tenantKey(keyTenantJob, job.Tenant, job.Created, string(job.ID())))
 	if job.Key != "" {
-		c.Delete(identityKey(job.Tenant, job.Key))
+		c.Delete(idempotencyKey(job.Tenant, job.Key))
 	}
-	c.discard(numberedPrefix(keyResult, string(job.ID())))
-	c.discard(numberedPrefix(keyStart, string(job.ID())))
+	c.deletePrefixLater(numberedPrefix(keyResult, string(job.ID())))
+	c.deletePrefixLater(numberedPrefix(keyStart, string(job.ID())))
 	var file File
 	if c.get(fileKey(job.File), &file) {
 		file.Jobs--
-		c.freeFile(file)
+		c.storeOrDeleteFile(file)
 	}
 }
 
-// collectGarbage deletes a bounded number of discarded keys and counts them.
+// collectGarbage deletes a limited number of keys with the scheduled prefixes and
+// returns how many.
 func (c *change) collectGarbage() int {
 	var prefixes [][]byte
 	c.Scan([]byte{keyGarbage}, func(key, _ []byte) bool {
-		if key[0] != keyGarbage || len(prefixes) == maximumExpired {
+		if key[0] != keyGarbage || len(prefixes) == maxExpired {
 			return false
 		}
 		prefixes = append(prefixes, bytes.Clone(key))
@@ -86,12 +87,12 @@
 	})
 	deleted := 0
 	for _, garbage := range prefixes {
-		keys := c.keysWith(garbage[1:], maximumDeleted-deleted)
+		keys := c.keysWithPrefix(garbage[1:], maxDeleted-deleted)
 		for _, key := range keys {
 			c.Delete(key)
 		}
 		deleted += len(keys)
-		if deleted == maximumDeleted {
+		if deleted == maxDeleted {
 			return deleted
 		}
 		c.Delete(garbage)
@@ -99,7 +100,7 @@
 	return deleted
 }
 
-func (c *change) keysWith(prefix []byte, limit int) [][]byte {
+func (c *change) keysWithPrefix(prefix []byte, limit int) [][]byte {
 	var keys [][]byte
 	c.Scan(prefix, func(key, _ []byte) bool {
 		if !bytes.HasPrefix(key, prefix) || len(keys) == limit {
--- a/jobs/state_test.go
+++ b/jobs/state_test.go
@@ -28,7 +28,7 @@
 	return lines
 }
 
-// testState applies commands one by one.
+// testState applies commands one at a time.
 type testState struct {
 	*State
 	t     testing.TB
@@ -55,7 +55,7 @@
 	return results[0]
 }
 
-// submit uploads a file of so many lines and submits a job over it.
+// submit uploads a file with the given number of lines and submits a job over it.
 func (s *testState) submit(id string, items int, repeatable bool) Job {
 	s.t.Helper()
 	file := FileID("file-" + id)
@@ -86,7 +86,7 @@
 	return job
 }
 
-// storages makes one of each kind.
+// storages returns an instance of each Storage implementation.
 func storages(t testing.TB) map[string]Storage {
 	database, err := bbolt.Open(filepath.Join(t.TempDir(), "state.db"), 0o600, &bbolt.Options{NoSync: true})
 	if err != nil {
@@ -100,7 +100,7 @@
 	return map[string]Storage{"memory": NewMemoryStorage(), "bolt": bolt}
 }
 
-func TestReplayHasNoSecondEffect(t *testing.T) {
+func TestReplayIsIdempotent(t *testing.T) {
 	for name, storage := range storages(t) {
 		t.Run(name, func(t *testing.T) {
 			state := newTestState(t, storage, Faults{})
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestSnapshotCarriesTheWholeState(t *testing.T) {
+func TestSnapshotRestoresWholeState(t *testing.T) {
 	for name, storage := range storages(t) {
 		t.Run(name, func(t *testing.T) {
 			state := newTestState(t, storage, Faults{})
@@ -142,7 +142,7 @@
 					t.Fatalf("a broken snapshot gave %v", err)
 				}
 				if _, err := OpenState(target); !errors.Is(err, ErrIncompleteSnapshot) {
-					t.Fatalf("half a snapshot opened with %v", err)
+					t.Fatalf("opening a partial import gave %v", err)
 				}
 			}
 			copied, err := ReadSnapshot(target, bytes.NewReader(whole))
--- a/jobs/stream.go
+++ b/jobs/stream.go
@@ -8,29 +8,29 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// pageLines is how many lines of a file are looked through at once.
-const pageLines = 64
+// linesPerPage is the number of lines read from a file at a time.
+const linesPerPage = 64
 
 // trackedJob is a job with waiting or granted items.
 type trackedJob struct {
-	job      Job
-	streams  map[api.ServiceName]*stream
-	granted  int         // grants that stand
-	attempts map[int]int // of items that failed
+	job          Job
+	streams      map[api.ServiceName]*stream
+	activeGrants int
+	attempts     map[int]int // failed attempts by item
 }
 
-// active jobs hand out items.
+// active reports whether items of the job may be granted.
 func (t *trackedJob) active() bool { return t.job.Status == JobInProgress }
 
-// stream hands out one job's items for one service: a page at a time from the
-// file, and before that those that came back.
+// stream yields one job's waiting items for one service: returned items whose delay has
+// passed first, then those of the file, read a page at a time.
 type stream struct {
 	tracked  *trackedJob
 	service  api.ServiceName
 	cursor   int           // next line to read, -1 after the last
-	page     []waitingItem // read and not handed out
+	page     []waitingItem // read, not granted yet
 	returned []delayedItem // sorted by notBefore, then item
-	waiting  int           // about how many items wait; 0 when none does
+	waiting  int           // approximate number of waiting items; 0 if there are none
 }
 
 type delayedItem struct {
@@ -44,8 +44,8 @@
 	return &stream{tracked: tracked, service: service, waiting: waiting}
 }
 
-// putBack makes an item wait again, not before the given time.
-func (s *stream) putBack(item int, notBefore time.Time) {
+// requeue makes a returned item wait again until the given time.
+func (s *stream) requeue(item int, notBefore time.Time) {
 	delayed := delayedItem{item: item, notBefore: notBefore}
 	at, _ := slices.BinarySearchFunc(s.returned, delayed, func(a, b delayedItem) int {
 		return cmp.Or(a.notBefore.Compare(b.notBefore), cmp.Compare(a.item, b.item))
@@ -54,7 +54,7 @@
 	s.waiting++
 }
 
-// ready tells whether pop may give an item now.
+// ready reports whether pop may return an item now.
 func (s *stream) ready(now time.Time) bool {
 	return len(s.page) > 0 || s.cursor >= 0 || s.returnedReady(now)
 }
@@ -63,18 +63,18 @@
 	return len(s.returned) > 0 && !s.returned[0].notBefore.After(now)
 }
 
-// pop takes the next item that has neither result nor start. taken tells of a
-// grant that stands.
-func (s *stream) pop(state *State, now time.Time, taken func(ItemRef) bool) (waitingItem, bool, error) {
+// pop returns the next item with neither a result, a start nor, according to granted,
+// an active grant.
+func (s *stream) pop(state *State, now time.Time, granted func(ItemRef) bool) (waitingItem, bool, error) {
 	for s.ready(now) {
 		candidate, err := s.next(state, now)
 		if err != nil {
 			return waitingItem{}, false, err
 		}
-		if candidate.item < 0 || taken(ItemRef{Job: s.tracked.job.ID(), Item: candidate.item}) {
+		if candidate.item < 0 || granted(ItemRef{Job: s.tracked.job.ID(), Item: candidate.item}) {
 			continue
 		}
-		item, found, err := state.untaken(s.tracked.job, candidate)
+		item, found, err := state.findWaiting(s.tracked.job, candidate)
 		if err != nil {
 			return waitingItem{}, false, err
 		}
@@ -89,8 +89,8 @@
 	return waitingItem{}, false, nil
 }
 
-// next gives a candidate, with its line when it is of the page, or the item -1
-// when another try is needed.
+// next returns a candidate, with its line if it was read from the file. An item of -1
+// means that the caller must try again.
 func (s *stream) next(state *State, now time.Time) (waitingItem, error) {
 	if s.returnedReady(now) {
 		number := s.returned[0].item
@@ -101,15 +101,15 @@
 		return waitingItem{item: -1}, s.fill(state)
 	}
 	first := s.page[0]
-	s.page[0] = waitingItem{} // frees the line
+	s.page[0] = waitingItem{} // release the line
 	s.page = s.page[1:]
 	return first, nil
 }
 
-// fill reads on until it finds items of the service or the file ends.
+// fill reads the next page with items of the service, if the file has one.
 func (s *stream) fill(state *State) error {
 	for len(s.page) == 0 && s.cursor >= 0 {
-		items, next, err := state.waitingItems(s.tracked.job, s.cursor, pageLines)
+		items, next, err := state.waitingItems(s.tracked.job, s.cursor, linesPerPage)
 		if err != nil {
 			return err
 		}
@@ -123,32 +123,32 @@
 	return nil
 }
 
-// serviceQueue orders the streams of one service: tenants share by virtual time,
-// which grows with each item handed out; of a tenant's jobs the one with the
-// least slack goes first.
+// serviceQueue orders the streams of one service. Tenants share by fair queuing: a
+// tenant's virtual time grows with each granted item, and the lowest is served first.
+// Of a tenant's jobs the one with the least slack is served first.
 type serviceQueue struct {
 	service      api.ServiceName
 	tenants      map[api.TenantID]*tenantQueue
-	virtual      float64   // of the tenant that was served last
-	pace         float64   // items a second, smoothed
-	ended        int       // items since paceSince
-	paceSince    time.Time // zero at first
-	unknownSince time.Time // zero while the table has the service
+	virtualTime  float64   // of the tenant served last
+	rate         float64   // moving average of completed items per second
+	completed    int       // items since rateSince
+	rateSince    time.Time // zero before the first measurement
+	unknownSince time.Time // zero while the service is in the table
 }
 
 type tenantQueue struct {
-	tenant  api.TenantID
-	virtual float64
-	streams []*stream
+	tenant      api.TenantID
+	virtualTime float64
+	streams     []*stream
 }
 
-// add makes a stream wait. A tenant that had none waits no longer than others
-// for what it did not ask for before.
+// add adds a stream. A new tenant starts at the current virtual time, without credit
+// for the time before.
 func (q *serviceQueue) add(added *stream) {
 	tenant := added.tracked.job.Tenant
 	queue, ok := q.tenants[tenant]
 	if !ok {
-		queue = &tenantQueue{tenant: tenant, virtual: q.virtual}
+		queue = &tenantQueue{tenant: tenant, virtualTime: q.virtualTime}
 		q.tenants[tenant] = queue
 	}
 	queue.streams = append(queue.streams, added)
@@ -166,28 +166,29 @@
 	}
 }
 
-// next chooses the stream to serve; nil when none is ready.
+// next returns the stream to serve; nil if none is ready.
 func (q *serviceQueue) next(now time.Time) (*tenantQueue, *stream) {
 	var best *tenantQueue
 	for _, queue := range q.tenants {
 		if !queue.ready(now) {
 			continue
 		}
-		if best == nil || queue.virtual < best.virtual || queue.virtual == best.virtual && queue.tenant < best.tenant {
+		if best == nil || queue.virtualTime < best.virtualTime || queue.virtualTime == best.virtualTime && queue.tenant < best.tenant {
 			best = queue
 		}
 	}
 	if best == nil {
 		return nil, nil
 	}
-	return best, best.leastSlack(now, q.pace)
+	return best, best.leastSlack(now, q.rate)
 }
 
-// served counts items for the tenant's share. An idle tenant does not save up.
-func (q *serviceQueue) served(queue *tenantQueue, items int) {
-	queue.virtual = max(queue.virtual, q.virtual)
-	q.virtual = queue.virtual
-	queue.virtual += float64(items)
+// charge advances the virtual time of a tenant by the granted items. An idle tenant
+// accumulates no credit.
+func (q *serviceQueue) charge(queue *tenantQueue, items int) {
+	queue.virtualTime = max(queue.virtualTime, q.virtualTime)
+	q.virtualTime = queue.virtualTime
+	queue.virtualTime += float64(items)
 }
 
 func (q *tenantQueue) ready(now time.Time) bool {
@@ -209,8 +210,8 @@
 	return best
 }
 
-// slack is the time to the deadline without the time that the waiting items
-// take at the service's pace.
+// slack is the time left until the deadline once the waiting items have been processed
+// at the given rate of items per second.
 func (s *stream) slack(now time.Time, pace float64) time.Duration {
 	slack := s.tracked.job.Deadline.Sub(now)
 	if pace > 0 {
@@ -219,7 +220,7 @@
 	return slack
 }
 
-func (q *serviceQueue) waiting() int {
+func (q *serviceQueue) waitingItems() int {
 	total := 0
 	for _, queue := range q.tenants {
 		for _, stream := range queue.streams {
@@ -229,18 +230,18 @@
 	return total
 }
 
-// paceInterval is the shortest time over which the pace is measured.
-const paceInterval = time.Second
+// minRateInterval is the minimum time over which the rate is measured.
+const minRateInterval = time.Second
 
-// measurePace smooths the items that ended a second.
-func (q *serviceQueue) measurePace(now time.Time) {
+// updateRate updates the moving average of completed items per second.
+func (q *serviceQueue) updateRate(now time.Time) {
 	const weight = 0.3
-	elapsed := now.Sub(q.paceSince)
-	if !q.paceSince.IsZero() && elapsed < paceInterval {
+	elapsed := now.Sub(q.rateSince)
+	if !q.rateSince.IsZero() && elapsed < minRateInterval {
 		return
 	}
-	if !q.paceSince.IsZero() {
-		q.pace += weight * (float64(q.ended)/elapsed.Seconds() - q.pace)
+	if !q.rateSince.IsZero() {
+		q.rate += weight * (float64(q.completed)/elapsed.Seconds() - q.rate)
 	}
-	q.ended, q.paceSince = 0, now
+	q.completed, q.rateSince = 0, now
 }
