--- a/jobs/command.go
+++ b/jobs/command.go
@@ -189,8 +189,8 @@
 	Job       *Job           `json:"job,omitempty"`
 	File      *File          `json:"file,omitempty"`
 	Duplicate bool           `json:"duplicate,omitempty"` // the command was applied before
-	Accepted  int            `json:"accepted,omitempty"`  // Complete: number of results stored
-	More      bool           `json:"more,omitempty"`      // ExpireRetention: more remains to be deleted
+	Accepted  int            `json:"accepted,omitempty"`  // number of results, parts or jobs that took effect
+	More      bool           `json:"more,omitempty"`      // ExpireRetention, ExpireInline: more remains to be deleted
 	Recorded  *RecordRequest `json:"recorded,omitempty"`  // Claim, Record: the stored answer
 	Claimed   *ClaimRequest  `json:"claimed,omitempty"`   // Claim: the conflicting claim
 	Inline    *InlineJob     `json:"inline,omitempty"`    // SubmitInline, EndInline
--- a/jobs/dispatch.go
+++ b/jobs/dispatch.go
@@ -25,7 +25,7 @@
 	// becomes its result.
 	MaximumAttempts int
 	// Backoff is the delay before a failed item is granted again. It doubles
-	// with each attempt up to MaximumBackoff.
+	// with each attempt up to a maximum.
 	Backoff        time.Duration
 	MaximumBackoff time.Duration
 	// UnknownServiceGrace is how long items wait for a service that is missing
@@ -53,7 +53,7 @@
 // DispatchMessage is an input of Dispatcher.Step.
 type DispatchMessage interface{ dispatchMessage() }
 
-// ClaimArrived asks for items. It is answered by Granted, at once or when work
+// ClaimArrived asks for items. The answer, a Grant, follows at once or when work
 // arrives.
 type ClaimArrived struct {
 	Token uint64
@@ -63,15 +63,15 @@
 // ClaimGone withdraws a claim whose caller has gone away.
 type ClaimGone struct{ Token uint64 }
 
-// ItemsReturned returns items without a result, after the releases of the same
-// Settle were committed. It is answered by Noticed.
+// ItemsReturned returns items without a result, after the releases of the same Settle
+// were committed. The answer is a Notice.
 type ItemsReturned struct {
 	Token    uint64
 	Router   api.NodeID
 	Returned []ReturnedItem
 }
 
-// RenewArrived renews grants. It is answered by Noticed.
+// RenewArrived renews grants. The answer is a Notice.
 type RenewArrived struct {
 	Token uint64
 	Renew Renew
@@ -100,7 +100,7 @@
 // DispatchAction is an output of Dispatcher.Step, which the caller executes.
 type DispatchAction interface{ dispatchAction() }
 
-// Granted answers a claim.
+// Granted answers ClaimArrived.
 type Granted struct {
 	Token uint64
 	Grant Grant
--- a/jobs/dispatcher.go
+++ b/jobs/dispatcher.go
@@ -44,9 +44,8 @@
 	deadline time.Time
 }
 
-// NewDispatcher reads the active jobs and their started items from the state. A
-// started item whose grant is not renewed within Lifetime ends with an unknown
-// outcome.
+// NewDispatcher reads the active jobs and their started items from the state. A started
+// item whose grant is not renewed within its lifetime ends with an unknown outcome.
 func NewDispatcher(state *State, settings DispatcherSettings, now time.Time) (*Dispatcher, error) {
 	dispatcher := &Dispatcher{
 		state: state, settings: settings, epoch: settings.Term << epochBits,
--- a/jobs/inline.go
+++ b/jobs/inline.go
@@ -93,8 +93,8 @@
 	// Kept is the number of leading bytes of Text that are stored as parts of the item.
 	// It is only set in a command, where Command.Shortened removes them from Text.
 	Kept int `json:"kept,omitempty"`
-	// Sum is the checksum of the whole text if the first Kept bytes are removed from
-	// Text, and 0 otherwise.
+	// Sum is the checksum of the whole text if leading bytes were removed from Text,
+	// and 0 otherwise.
 	Sum uint32 `json:"sum,omitempty"`
 }
 
@@ -201,7 +201,7 @@
 	return true
 }
 
-func (c *change) keepInline(command KeepInline) Result {
+func (c *change) checkpointInline(command KeepInline) Result {
 	var result Result
 	for _, part := range command.Parts {
 		if c.appendInlinePart(part) {
--- a/jobs/inline_kept_test.go
+++ b/jobs/inline_kept_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func (s *inlineState) keepPart(index, offset int, text string) {
+func (s *inlineState) checkpoint(index, offset int, text string) {
 	s.apply(Command{KeepInline: &KeepInline{Parts: []InlinePart{{Job: "j", Index: index, Offset: offset, Text: text, Last: "1"}}}})
 }
 
@@ -36,7 +36,7 @@
 		s := newInlineState(t, Faults{})
 		s.apply(Command{SubmitInline: &SubmitInline{Job: "j", Items: inlineItems(1)}})
 		if test.kept != "" {
-			s.keepPart(0, 0, test.kept)
+			s.checkpoint(0, 0, test.kept)
 		}
 		command := shortened(0, test.text, test.named)
 		if got := len(command.CompleteInline.Results[0].Text); got != len(test.text)-test.named {
@@ -80,7 +80,7 @@
 		if len(other) == len(text) && rapid.Bool().Draw(t, "of another text") {
 			part = other
 		}
-		s.keepPart(0, from, part[from:to])
+		s.checkpoint(0, from, part[from:to])
 	}
 	if s.apply(shortened(0, text, rapid.IntRange(0, len(text)).Draw(t, "named"))).Accepted == 0 {
 		s.apply(Command{CompleteInline: &CompleteInline{Results: []InlineResult{{Job: "j", Text: text}}}})
--- a/jobs/queue.go
+++ b/jobs/queue.go
@@ -17,8 +17,8 @@
 // QueueName identifies a queue. All processes derive the same name from a route.
 type QueueName string
 
-// AdmitToQueue adds a job's tokens to a queue if the total stays within Bound.
-// Admitting a job that is counted already succeeds without effect.
+// AdmitToQueue adds a job's tokens to a queue if the total stays within the given
+// limit. Admitting a job that is counted already succeeds without effect.
 type AdmitToQueue struct {
 	Queue  QueueName `json:"queue"`
 	Job    JobID     `json:"job"`
--- a/jobs/run.go
+++ b/jobs/run.go
@@ -67,8 +67,8 @@
 }
 
 // Rooms is the number of batch requests that could start now, by row, with 0 for a full
-// one. It replaces the previous Rooms. The caller sends it several times a second and
-// when a batch request ends.
+// one. It replaces what was reported before. The caller sends it several times a second
+// and when a batch request ends.
 type Rooms struct{ Rooms []ClaimWant }
 
 // GrantArrived answers SendClaim. Grant is empty if Failed is set.
@@ -95,8 +95,8 @@
 	StartUnknown               // the outcome is not known: send it again
 )
 
-// ItemAdmitted reports that a request is running and that Rooms takes it into account
-// from now on.
+// ItemAdmitted reports that a request is running, and that the room reported from now
+// on takes it into account.
 type ItemAdmitted struct{ Request api.RequestID }
 
 // ItemFinished reports the end of a run.
--- a/jobs/runner.go
+++ b/jobs/runner.go
@@ -52,7 +52,7 @@
 // runnerRow is this router's work on one row.
 type runnerRow struct {
 	held      []*run // granted, waiting for room, oldest first
-	launching int    // starting, not yet counted in Rooms
+	launching int    // starting, not yet counted in rooms
 	running   int
 	duration  time.Duration // moving average of the time of a run
 }
@@ -298,7 +298,7 @@
 		row := r.row(admitted.key)
 		row.launching--
 		row.running++
-		r.rooms[admitted.key]-- // until the next Rooms
+		r.rooms[admitted.key]-- // until the next update
 		admitted.state = runRunning
 	}
 }
@@ -350,7 +350,7 @@
 	r.runs[refused.request] = refused
 	row := r.row(refused.key)
 	row.held = slices.Insert(row.held, 0, refused)
-	r.rooms[refused.key] = 0 // until the next Rooms
+	r.rooms[refused.key] = 0 // until the next update
 }
 
 func (row *runnerRow) recordDuration(took time.Duration) {
@@ -378,8 +378,8 @@
 	group.outbox = append(group.outbox, report{returned: returned})
 }
 
-// returnHeld returns items that waited longer than HoldTime for room, and all held
-// items on shutdown.
+// returnHeld returns items that waited too long for room, and all held items on
+// shutdown.
 func (r *Runner) returnHeld(now time.Time) {
 	for _, key := range r.sortedRows() {
 		for _, held := range slices.Clone(r.rows[key].held) {
--- a/jobs/simulation_test.go
+++ b/jobs/simulation_test.go
@@ -33,10 +33,10 @@
 
 var disturbanceKinds = []string{"crash_router", "pause_router", "isolate_router", "crash_leader", "pause_leader", "isolate_leader", "crash_store", "lossy"}
 
-func (w *cluster) inject(d disturbance) {
-	router, store := w.routers[d.Slot%len(w.routers)], w.stores[d.Slot%len(w.stores)]
-	if leaders := w.leaders(); len(leaders) > 0 && d.Kind != "crash_store" {
-		for _, candidate := range w.stores {
+func (c *cluster) inject(d disturbance) {
+	router, store := c.routers[d.Slot%len(c.routers)], c.stores[d.Slot%len(c.stores)]
+	if leaders := c.leaders(); len(leaders) > 0 && d.Kind != "crash_store" {
+		for _, candidate := range c.stores {
 			if string(candidate.id) == string(leaders[0].Leader) {
 				store = candidate
 			}
@@ -45,30 +45,30 @@
 	switch d.Kind {
 	case "crash_router":
 		router.crash()
-		w.simulation.After(d.Length, router.restart)
+		c.simulation.After(d.Length, router.restart)
 	case "pause_router":
-		w.pause(router.process, d.Length)
+		c.pause(router.process, d.Length)
 	case "isolate_router":
-		w.network.Isolate(router.name)
-		w.simulation.After(d.Length, w.network.Heal)
+		c.network.Isolate(router.name)
+		c.simulation.After(d.Length, c.network.Heal)
 	case "crash_leader", "crash_store":
 		store.crash()
-		w.simulation.After(d.Length, store.restart)
+		c.simulation.After(d.Length, store.restart)
 	case "pause_leader":
-		w.pause(store.process, d.Length)
+		c.pause(store.process, d.Length)
 	case "isolate_leader":
-		w.network.Isolate(string(store.id))
-		w.simulation.After(d.Length, w.network.Heal)
+		c.network.Isolate(string(store.id))
+		c.simulation.After(d.Length, c.network.Heal)
 	case "lossy":
-		w.network.SetFaults(sim.Faults{Loss: 0.1, Duplicate: 0.3, Late: 0.2, LateBy: 800 * time.Millisecond})
-		w.simulation.After(d.Length, func() { w.network.SetFaults(sim.Faults{}) })
+		c.network.SetFaults(sim.Faults{Loss: 0.1, Duplicate: 0.3, Late: 0.2, LateBy: 800 * time.Millisecond})
+		c.simulation.After(d.Length, func() { c.network.SetFaults(sim.Faults{}) })
 	}
 }
 
-func (w *cluster) pause(process *sim.Process, length time.Duration) {
+func (c *cluster) pause(process *sim.Process, length time.Duration) {
 	if process.Up() && !process.Paused() {
 		process.Pause()
-		w.simulation.After(length, process.Resume)
+		c.simulation.After(length, process.Resume)
 	}
 }
 
@@ -76,20 +76,20 @@
 // checks the final state.
 func simulate(o clusterOptions, disturbances []disturbance) *cluster {
 	const convergenceTimeout = 12 * time.Second
-	w := newCluster(o)
+	c := newCluster(o)
 	end := 3 * time.Second
 	for _, d := range disturbances {
-		w.simulation.After(d.At, func() { w.inject(d) })
+		c.simulation.After(d.At, func() { c.inject(d) })
 		end = max(end, d.At+d.Length)
 	}
-	w.simulation.Run(end)
-	for began := w.simulation.Elapsed(); len(w.violations) == 0 && !w.converged() && w.simulation.Elapsed()-began < convergenceTimeout; {
-		w.simulation.Run(200 * time.Millisecond)
+	c.simulation.Run(end)
+	for began := c.simulation.Elapsed(); len(c.violations) == 0 && !c.converged() && c.simulation.Elapsed()-began < convergenceTimeout; {
+		c.simulation.Run(200 * time.Millisecond)
 	}
-	if len(w.violations) == 0 {
-		w.checkFinal()
+	if len(c.violations) == 0 {
+		c.checkFinal()
 	}
-	return w
+	return c
 }
 
 func drawDisturbances(seed uint64, kinds []string, count int) []disturbance {
@@ -113,11 +113,11 @@
 		t.Run(kind, func(t *testing.T) {
 			sends := 0
 			for seed := range uint64(4) {
-				w := simulate(defaultClusterOptions(seed), drawDisturbances(seed, []string{kind}, 5))
-				if len(w.violations) > 0 {
-					t.Fatalf("seed %d: %v", seed, w.violations)
+				c := simulate(defaultClusterOptions(seed), drawDisturbances(seed, []string{kind}, 5))
+				if len(c.violations) > 0 {
+					t.Fatalf("seed %d: %v", seed, c.violations)
 				}
-				sends += w.sends
+				sends += c.sends
 			}
 			if sends < 100 {
 				t.Fatalf("only %d items were sent, want at least 100", sends)
@@ -129,12 +129,12 @@
 func TestItemsEndOnceUnderMixedDisturbances(t *testing.T) {
 	unknown, cancelled, expired, dropped := 0, 0, 0, 0
 	for seed := range uint64(20) {
-		w := simulate(defaultClusterOptions(seed), drawDisturbances(seed, disturbanceKinds, 10))
-		if len(w.violations) > 0 {
-			t.Fatalf("seed %d: %v", seed, w.violations)
+		c := simulate(defaultClusterOptions(seed), drawDisturbances(seed, disturbanceKinds, 10))
+		if len(c.violations) > 0 {
+			t.Fatalf("seed %d: %v", seed, c.violations)
 		}
-		for id := range w.clients.accepted {
-			job, _, _ := w.stores[0].state.Job(id)
+		for id := range c.clients.accepted {
+			job, _, _ := c.stores[0].state.Job(id)
 			unknown, dropped = unknown+job.Unknown, dropped+job.Dropped
 			switch job.Status {
 			case JobCancelled:
@@ -152,8 +152,8 @@
 
 func TestSameSeedGivesSameRun(t *testing.T) {
 	run := func() string {
-		w := simulate(defaultClusterOptions(3), drawDisturbances(3, disturbanceKinds, 10))
-		return fmt.Sprint(w.simulation.Fingerprint(), w.simulation.Events(), w.sends, w.lastIndex)
+		c := simulate(defaultClusterOptions(3), drawDisturbances(3, disturbanceKinds, 10))
+		return fmt.Sprint(c.simulation.Fingerprint(), c.simulation.Events(), c.sends, c.lastIndex)
 	}
 	if first, second := run(), run(); first != second {
 		t.Fatalf("the runs %s and %s differ", first, second)
@@ -178,8 +178,8 @@
 			for seed := range uint64(200) {
 				o := defaultClusterOptions(seed)
 				plant(&o)
-				if w := simulate(o, drawDisturbances(seed, kinds, 10)); len(w.violations) > 0 {
-					t.Logf("seed %d: %s", seed, w.violations[0])
+				if c := simulate(o, drawDisturbances(seed, kinds, 10)); len(c.violations) > 0 {
+					t.Logf("seed %d: %s", seed, c.violations[0])
 					return
 				}
 			}
@@ -200,9 +200,9 @@
 				Length: time.Duration(rapid.IntRange(1, 2000).Draw(t, "length ms")) * time.Millisecond,
 			}
 		}), 0, 8).Draw(t, "disturbances")
-		w := simulate(clusterOptions{seed: rapid.Uint64().Draw(t, "seed"), stores: 3, routers: 2, jobs: 4}, list)
-		if len(w.violations) > 0 {
-			t.Fatal(w.violations)
+		c := simulate(clusterOptions{seed: rapid.Uint64().Draw(t, "seed"), stores: 3, routers: 2, jobs: 4}, list)
+		if len(c.violations) > 0 {
+			t.Fatal(c.violations)
 		}
 	})
 }
--- a/jobs/simworld_test.go
+++ b/jobs/simworld_test.go
@@ -45,48 +45,48 @@
 }
 
 func newCluster(o clusterOptions) *cluster {
-	w := &cluster{
+	c := &cluster{
 		clusterOptions: o, simulation: sim.New(o.seed), dispatcher: DefaultDispatcherSettings(), runner: DefaultRunnerSettings(),
 		cancelled: map[JobID]bool{}, starts: map[ItemRef]Start{}, records: map[ItemRef]string{}, executions: map[ItemRef]int{},
 	}
-	w.dispatcher.Lifetime, w.dispatcher.Backoff = 600*time.Millisecond, 20*time.Millisecond
-	w.runner.ClaimWait, w.runner.RenewInterval, w.runner.HoldTime = 300*time.Millisecond, 150*time.Millisecond, 200*time.Millisecond
-	w.network = w.simulation.NewNetwork(func(_, _ string) time.Duration { return 500 * time.Microsecond })
+	c.dispatcher.Lifetime, c.dispatcher.Backoff = 600*time.Millisecond, 20*time.Millisecond
+	c.runner.ClaimWait, c.runner.RenewInterval, c.runner.HoldTime = 300*time.Millisecond, 150*time.Millisecond, 200*time.Millisecond
+	c.network = c.simulation.NewNetwork(func(_, _ string) time.Duration { return 500 * time.Microsecond })
 	for slot := range o.stores {
-		w.voters = append(w.voters, replication.ReplicaID(fmt.Sprintf("store-%d", slot)))
+		c.voters = append(c.voters, replication.ReplicaID(fmt.Sprintf("store-%d", slot)))
 	}
-	for _, id := range w.voters {
-		store := &simStore{cluster: w, id: id, process: w.simulation.NewProcess(string(id)), applied: NewMemoryStorage()}
-		w.stores = append(w.stores, store)
-		w.network.Attach(store.process, store.receive)
+	for _, id := range c.voters {
+		store := &simStore{cluster: c, id: id, process: c.simulation.NewProcess(string(id)), applied: NewMemoryStorage()}
+		c.stores = append(c.stores, store)
+		c.network.Attach(store.process, store.receive)
 		store.start()
 	}
 	for slot := range o.routers {
-		router := &simRouter{cluster: w, name: fmt.Sprintf("router-%d", slot), slots: 3}
-		router.process = w.simulation.NewProcess(router.name)
-		w.routers = append(w.routers, router)
-		w.network.Attach(router.process, func(_ string, message any) { router.answered(message.(reply)) })
+		router := &simRouter{cluster: c, name: fmt.Sprintf("router-%d", slot), slots: 3}
+		router.process = c.simulation.NewProcess(router.name)
+		c.routers = append(c.routers, router)
+		c.network.Attach(router.process, func(_ string, message any) { router.answered(message.(reply)) })
 		router.start()
 	}
-	w.clients = newSimClient(w)
-	return w
+	c.clients = newSimClient(c)
+	return c
 }
 
-func (w *cluster) reportViolation(format string, arguments ...any) {
-	w.violations = append(w.violations, fmt.Sprintf(format, arguments...))
-	w.simulation.Stop()
+func (c *cluster) reportViolation(format string, arguments ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, arguments...))
+	c.simulation.Stop()
 }
 
-func (w *cluster) uniqueID(prefix string) string {
-	w.serial++
-	return fmt.Sprintf("%s-%06d", prefix, w.serial)
+func (c *cluster) uniqueID(prefix string) string {
+	c.serial++
+	return fmt.Sprintf("%s-%06d", prefix, c.serial)
 }
 
 // leaders returns what heartbeats would report: the store with the highest term among
 // those that consider themselves leader.
-func (w *cluster) leaders() []GroupLeader {
+func (c *cluster) leaders() []GroupLeader {
 	var found []GroupLeader
-	for _, store := range w.stores {
+	for _, store := range c.stores {
 		if !store.process.Up() || store.process.Paused() || store.dispatcher == nil {
 			continue
 		}
@@ -98,77 +98,77 @@
 }
 
 // checkApplied checks each entry when the first replica applies it.
-func (w *cluster) checkApplied(store *simStore, index uint64, command Command, result Result) {
-	if index <= w.lastIndex {
+func (c *cluster) checkApplied(store *simStore, index uint64, command Command, result Result) {
+	if index <= c.lastIndex {
 		return
 	}
-	w.lastIndex = index
+	c.lastIndex = index
 	raw, _ := json.Marshal(result)
-	w.simulation.Tracef("entry %d %s", index, raw)
+	c.simulation.Tracef("entry %d %s", index, raw)
 	switch {
 	case command.Cancel != nil && result.Code == "":
 		if result.Job.Status == JobCancelling || result.Job.Status == JobCancelled {
-			w.cancelled[command.Cancel.Job] = true
+			c.cancelled[command.Cancel.Job] = true
 		}
 	case command.Start != nil && result.Code == "" && !result.Duplicate:
-		w.checkStart(*command.Start)
+		c.checkStart(*command.Start)
 	case command.Complete != nil:
 		for _, completed := range command.Complete.Results {
-			w.checkRecord(store, completed.Item)
+			c.checkRecord(store, completed.Item)
 		}
 	}
 }
 
-func (w *cluster) checkStart(start Start) {
-	if w.cancelled[start.Item.Job] {
-		w.reportViolation("item %v started after its job's cancel was committed", start.Item)
+func (c *cluster) checkStart(start Start) {
+	if c.cancelled[start.Item.Job] {
+		c.reportViolation("item %v started after its job's cancel was committed", start.Item)
 	}
-	if known, ok := w.starts[start.Item]; ok && known.Epoch >= start.Epoch {
-		w.reportViolation("item %v started under grant %d after %d", start.Item, start.Epoch, known.Epoch)
+	if known, ok := c.starts[start.Item]; ok && known.Epoch >= start.Epoch {
+		c.reportViolation("item %v started under grant %d after %d", start.Item, start.Epoch, known.Epoch)
 	}
-	w.starts[start.Item] = start
+	c.starts[start.Item] = start
 }
 
-func (w *cluster) checkRecord(store *simStore, item ItemRef) {
+func (c *cluster) checkRecord(store *simStore, item ItemRef) {
 	var record string
 	_ = store.applied.View(func(r Reader) error {
 		record = string(r.Get(resultKey(item)))
 		return nil
 	})
-	if known, ok := w.records[item]; ok && known != record {
-		w.reportViolation("item %v: its record changed from %s to %s", item, known, record)
+	if known, ok := c.records[item]; ok && known != record {
+		c.reportViolation("item %v: its record changed from %s to %s", item, known, record)
 	}
 	if record != "" {
-		w.records[item] = record
+		c.records[item] = record
 	}
 }
 
 // recordExecution is called when an engine begins to run a request.
-func (w *cluster) recordExecution(run RunItem) {
-	w.sends++
+func (c *cluster) recordExecution(run RunItem) {
+	c.sends++
 	item := run.Item.Item
 	if run.Item.Repeatable {
 		return
 	}
-	if start := w.starts[item]; start.Request != run.Request {
-		w.reportViolation("item %v was sent as %s before its start was committed (start %+v)", item, run.Request, start)
+	if start := c.starts[item]; start.Request != run.Request {
+		c.reportViolation("item %v was sent as %s before its start was committed (start %+v)", item, run.Request, start)
 	}
-	w.executions[item]++
-	if w.executions[item] > 1 {
-		w.reportViolation("non-repeatable item %v ran %d times", item, w.executions[item])
+	c.executions[item]++
+	if c.executions[item] > 1 {
+		c.reportViolation("non-repeatable item %v ran %d times", item, c.executions[item])
 	}
 }
 
 // converged reports whether all calls are answered, all jobs have ended, and all
 // replicas have applied the whole log.
-func (w *cluster) converged() bool {
-	if len(w.clients.accepted) < w.jobs || len(w.clients.calls) > 0 {
+func (c *cluster) converged() bool {
+	if len(c.clients.accepted) < c.jobs || len(c.clients.calls) > 0 {
 		return false
 	}
-	for _, store := range w.stores {
+	for _, store := range c.stores {
 		index, err := store.state.Applied()
 		active, _ := store.state.ActiveJobs()
-		if err != nil || index != w.lastIndex || len(active) > 0 || !store.process.Up() {
+		if err != nil || index != c.lastIndex || len(active) > 0 || !store.process.Up() {
 			return false
 		}
 	}
@@ -177,73 +177,73 @@
 
 // checkFinal checks that every acknowledged job has ended, every item has one record,
 // the counts add up, and all replicas have the same state.
-func (w *cluster) checkFinal() {
-	for _, store := range w.stores {
-		if index, _ := store.state.Applied(); index != w.lastIndex {
-			w.reportViolation("%s has applied %d of %d entries", store.id, index, w.lastIndex)
+func (c *cluster) checkFinal() {
+	for _, store := range c.stores {
+		if index, _ := store.state.Applied(); index != c.lastIndex {
+			c.reportViolation("%s has applied %d of %d entries", store.id, index, c.lastIndex)
 			return
 		}
 	}
-	for _, id := range sortedKeys(w.clients.accepted) {
-		w.checkJob(id, w.clients.accepted[id])
+	for _, id := range sortedKeys(c.clients.accepted) {
+		c.checkJob(id, c.clients.accepted[id])
 	}
 	var first bytes.Buffer
-	for i, store := range w.stores {
+	for i, store := range c.stores {
 		var snapshot bytes.Buffer
 		if _, err := store.state.WriteSnapshot(&snapshot); err != nil {
-			w.reportViolation("%s: %v", store.id, err)
+			c.reportViolation("%s: %v", store.id, err)
 		}
 		if i == 0 {
 			first = snapshot
 		} else if !bytes.Equal(first.Bytes(), snapshot.Bytes()) {
-			w.reportViolation("the states of %s and %s differ", w.stores[0].id, store.id)
+			c.reportViolation("the states of %s and %s differ", c.stores[0].id, store.id)
 		}
 	}
 }
 
-func (w *cluster) checkJob(id JobID, items int) {
-	state := w.stores[0].state
+func (c *cluster) checkJob(id JobID, items int) {
+	state := c.stores[0].state
 	job, found, err := state.Job(id)
 	if err != nil || !found {
-		w.reportViolation("job %s was acknowledged but is missing: %v", id, err)
+		c.reportViolation("job %s was acknowledged but is missing: %v", id, err)
 		return
 	}
 	if !job.Status.Ended() || job.Started != 0 || job.Total != items || job.settled()+job.Unfinished != items {
-		w.reportViolation("job %s of %d items has not ended or has wrong counts: %+v", id, items, job)
+		c.reportViolation("job %s of %d items has not ended or has wrong counts: %+v", id, items, job)
 		return
 	}
 	next, completed, failed, unfinished := 0, 0, 0, 0
 	for from := 0; from >= 0; {
 		var page []ItemResult
 		if page, from, err = state.Results(id, from, 7); err != nil {
-			w.reportViolation("results of %s: %v", id, err)
+			c.reportViolation("results of %s: %v", id, err)
 			return
 		}
 		for _, result := range page {
 			if want := fmt.Sprint("item-", next); result.Item.Item != next || result.CustomID != want {
-				w.reportViolation("job %s: item %d has the record of %d, %q", id, next, result.Item.Item, result.CustomID)
+				c.reportViolation("job %s: item %d has the record of %d, %q", id, next, result.Item.Item, result.CustomID)
 			}
 			next++
-			_, recorded := w.records[result.Item]
+			_, recorded := c.records[result.Item]
 			switch {
 			case !recorded:
 				unfinished++
 			case !result.Failed():
 				completed++
-				w.checkBody(result)
+				c.checkBody(result)
 			default:
 				failed++
 			}
 		}
 	}
 	if next != items || completed != job.Completed || failed != job.Failed || unfinished != job.Unfinished {
-		w.reportViolation("job %s: %d results, %d completed, %d failed, %d unfinished are not %+v", id, next, completed, failed, unfinished, job)
+		c.reportViolation("job %s: %d results, %d completed, %d failed, %d unfinished are not %+v", id, next, completed, failed, unfinished, job)
 	}
 }
 
-func (w *cluster) checkBody(result ItemResult) {
+func (c *cluster) checkBody(result ItemResult) {
 	if want, _ := json.Marshal(result.CustomID); string(result.Body) != string(want) {
-		w.reportViolation("item %v has the answer of another item: %s", result.Item, result.Body)
+		c.reportViolation("item %v has the answer of another item: %s", result.Item, result.Body)
 	}
 }
 
@@ -257,17 +257,17 @@
 	accepted map[JobID]int // items by acknowledged job
 }
 
-func newSimClient(w *cluster) *simClient {
-	c := &simClient{cluster: w, process: w.simulation.NewProcess("client"), calls: map[uint64]func(Result){}, accepted: map[JobID]int{}}
-	w.network.Attach(c.process, func(_ string, message any) {
+func newSimClient(parent *cluster) *simClient {
+	c := &simClient{cluster: parent, process: parent.simulation.NewProcess("client"), calls: map[uint64]func(Result){}, accepted: map[JobID]int{}}
+	parent.network.Attach(c.process, func(_ string, message any) {
 		answer := message.(reply)
 		if done, ok := c.calls[answer.id]; ok && !answer.failed {
 			delete(c.calls, answer.id)
 			done(answer.body.(Result))
 		}
 	})
-	random := w.simulation.Random()
-	for number := range w.jobs {
+	random := parent.simulation.Random()
+	for number := range parent.jobs {
 		c.process.After(time.Duration(random.Int64N(int64(2*time.Second))), func() { c.runJob(number) })
 	}
 	return c
--- a/jobs/state.go
+++ b/jobs/state.go
@@ -141,7 +141,7 @@
 	case command.CompleteInline != nil:
 		return c.completeInline(*command.CompleteInline)
 	case command.KeepInline != nil:
-		return c.keepInline(*command.KeepInline)
+		return c.checkpointInline(*command.KeepInline)
 	case command.EndInline != nil:
 		return c.endInline(*command.EndInline)
 	case command.ExpireInline != nil:
