--- a/jobs/inline_kept_test.go
+++ b/jobs/inline_kept_test.go
@@ -106,6 +106,6 @@
 		}).Example(seed)
 	}
 	if !caught {
-		t.Error("no mismatch was detected with TrustKept")
+		t.Error("no mismatch was detected with the injected fault")
 	}
 }
--- a/jobs/inline_test.go
+++ b/jobs/inline_test.go
@@ -134,7 +134,7 @@
 		return s.apply(Command{KeepInline: &KeepInline{Parts: []InlinePart{{Job: "j", Offset: offset, Text: text, Last: last}}}}).Accepted
 	}
 	if keep(0, "one", "1") != 1 || keep(0, "one", "1") != 0 || keep(5, "gap", "9") != 0 || keep(3, "\ntwo", "2") != 1 {
-		t.Error("a part was taken out of order")
+		t.Error("a part was accepted out of order")
 	}
 	if partial, _ := s.state.InlinePartial("j", 0); partial.Text != "one\ntwo" || partial.Last != "2" {
 		t.Errorf("%+v", partial)
--- a/jobs/queue_test.go
+++ b/jobs/queue_test.go
@@ -152,7 +152,7 @@
 		m.report(group, true)
 	}
 	if counted := m.state.queuedTokens(); counted != m.waitingTokens() {
-		return fmt.Errorf("%d tokens counted, %d wait", counted, m.waitingTokens())
+		return fmt.Errorf("%d tokens counted, %d are waiting", counted, m.waitingTokens())
 	}
 	if room := bound - m.waitingTokens(); room > 0 && m.state.admit("fits", room, bound).Code != "" {
 		return errors.New("a job that fits was refused")
--- a/jobs/runner_sends.go
+++ b/jobs/runner_sends.go
@@ -25,8 +25,8 @@
 }
 
 // sendClaim claims items for the available room, unless a claim is pending. While this
-// router has items of the group, a claim without wants stays pending, so that
-// cancellations arrive at once. A pending claim is replaced when another row has room.
+// router has items of the group, an empty claim stays pending, so that cancellations
+// arrive at once. A pending claim is replaced when another row has room.
 func (r *Runner) sendClaim(now time.Time, group *runnerGroup) []RunnerAction {
 	if r.stopping || now.Before(group.claimNotBefore) || r.unsettledBytes > r.settings.MaximumUnsettledBytes {
 		return nil
@@ -59,7 +59,8 @@
 }
 
 // wants returns what to claim: for each row, its free room and the runs expected to end
-// within the lookahead, less the held items. Rows with half of that held are left out.
+// within the lookahead, less the held items. Rows that hold at least half of that
+// already are left out.
 func (r *Runner) wants() []ClaimWant {
 	var wants []ClaimWant
 	for key := range r.rooms {
--- a/jobs/runner_test.go
+++ b/jobs/runner_test.go
@@ -81,7 +81,7 @@
 	r.now = r.now.Add(2 * r.settings.HoldTime)
 	r.room(5)
 	if runs := actionsOf[RunItem](r.actions); len(runs) != 0 {
-		t.Fatal("an item held longer than HoldTime was run")
+		t.Fatal("an item that was held for too long was run")
 	}
 	if report := r.settle(t).Settle; len(report.Returned) != 1 || report.Returned[0].Reason != ReturnNoRoom {
 		t.Fatalf("report %+v", report)
@@ -165,7 +165,7 @@
 	}
 	r.step(SettleAnswered{Group: 1, Serial: second.Serial})
 	if !r.Idle() || r.unsettledBytes != 0 {
-		t.Fatalf("%d bytes are kept", r.unsettledBytes)
+		t.Fatalf("%d bytes are unsettled", r.unsettledBytes)
 	}
 }
 
@@ -188,7 +188,7 @@
 	}
 	r.step(SettleAnswered{Group: 1, Serial: rest.Serial})
 	if !r.Idle() || r.unsettledBytes != 0 {
-		t.Fatalf("%d bytes are kept", r.unsettledBytes)
+		t.Fatalf("%d bytes are unsettled", r.unsettledBytes)
 	}
 }
 
--- a/jobs/snapshot.go
+++ b/jobs/snapshot.go
@@ -65,8 +65,8 @@
 
 // ReadSnapshot replaces the contents of the storage with a snapshot and opens the
 // resulting state. It uses bounded memory and several transactions. If it is
-// interrupted, or fails with ErrBadSnapshot, OpenState rejects the storage until a
-// later ReadSnapshot succeeds.
+// interrupted or fails, OpenState rejects the storage until a later ReadSnapshot
+// succeeds. A truncated or corrupted snapshot gives an error that wraps ErrBadSnapshot.
 func ReadSnapshot(storage Storage, r io.Reader) (*State, error) {
 	if err := clearStorage(storage); err != nil {
 		return nil, fmt.Errorf("read snapshot: %w", err)
