--- a/jobs/simulation_test.go
+++ b/jobs/simulation_test.go
@@ -23,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-// disturbance is one fault; it ends by itself.
+// disturbance is a temporary fault of a process or the network.
 type disturbance struct {
 	At     time.Duration
 	Kind   string
@@ -33,10 +33,10 @@
 
 var disturbanceKinds = []string{"crash_router", "pause_router", "isolate_router", "crash_leader", "pause_leader", "isolate_leader", "crash_store", "lossy"}
 
-func (w *world) inject(d disturbance) {
-	router, store := w.routers[d.Slot%len(w.routers)], w.stores[d.Slot%len(w.stores)]
-	if leaders := w.leaders(); len(leaders) > 0 && d.Kind != "crash_store" {
-		for _, candidate := range w.stores {
+func (c *cluster) inject(d disturbance) {
+	router, store := c.routers[d.Slot%len(c.routers)], c.stores[d.Slot%len(c.stores)]
+	if leaders := c.leaders(); len(leaders) > 0 && d.Kind != "crash_store" {
+		for _, candidate := range c.stores {
 			if string(candidate.id) == string(leaders[0].Leader) {
 				store = candidate
 			}
@@ -45,51 +45,51 @@
 	switch d.Kind {
 	case "crash_router":
 		router.crash()
-		w.simulation.After(d.Length, router.restart)
+		c.simulation.After(d.Length, router.restart)
 	case "pause_router":
-		w.pause(router.process, d.Length)
+		c.pause(router.process, d.Length)
 	case "isolate_router":
-		w.network.Isolate(router.name)
-		w.simulation.After(d.Length, w.network.Heal)
+		c.network.Isolate(router.name)
+		c.simulation.After(d.Length, c.network.Heal)
 	case "crash_leader", "crash_store":
 		store.crash()
-		w.simulation.After(d.Length, store.restart)
+		c.simulation.After(d.Length, store.restart)
 	case "pause_leader":
-		w.pause(store.process, d.Length)
+		c.pause(store.process, d.Length)
 	case "isolate_leader":
-		w.network.Isolate(string(store.id))
-		w.simulation.After(d.Length, w.network.Heal)
+		c.network.Isolate(string(store.id))
+		c.simulation.After(d.Length, c.network.Heal)
 	case "lossy":
-		w.network.SetFaults(sim.Faults{Loss: 0.1, Duplicate: 0.3, Late: 0.2, LateBy: 800 * time.Millisecond})
-		w.simulation.After(d.Length, func() { w.network.SetFaults(sim.Faults{}) })
+		c.network.SetFaults(sim.Faults{Loss: 0.1, Duplicate: 0.3, Late: 0.2, LateBy: 800 * time.Millisecond})
+		c.simulation.After(d.Length, func() { c.network.SetFaults(sim.Faults{}) })
 	}
 }
 
-func (w *world) pause(process *sim.Process, length time.Duration) {
+func (c *cluster) pause(process *sim.Process, length time.Duration) {
 	if process.Up() && !process.Paused() {
 		process.Pause()
-		w.simulation.After(length, process.Resume)
+		c.simulation.After(length, process.Resume)
 	}
 }
 
-// simulate lets a fleet live through the disturbances, then in peace, and gives
-// what was violated.
-func simulate(o worldOptions, disturbances []disturbance) *world {
-	const peace = 12 * time.Second
-	w := newWorld(o)
+// simulate runs a cluster through the disturbances, then waits for it to converge and
+// checks the final state.
+func simulate(o clusterOptions, disturbances []disturbance) *cluster {
+	const convergenceTimeout = 12 * time.Second
+	c := newCluster(o)
 	end := 3 * time.Second
 	for _, d := range disturbances {
-		w.simulation.After(d.At, func() { w.inject(d) })
+		c.simulation.After(d.At, func() { c.inject(d) })
 		end = max(end, d.At+d.Length)
 	}
-	w.simulation.Run(end)
-	for began := w.simulation.Elapsed(); len(w.broken) == 0 && !w.quiet() && w.simulation.Elapsed()-began < peace; {
-		w.simulation.Run(200 * time.Millisecond)
+	c.simulation.Run(end)
+	for began := c.simulation.Elapsed(); len(c.violations) == 0 && !c.converged() && c.simulation.Elapsed()-began < convergenceTimeout; {
+		c.simulation.Run(200 * time.Millisecond)
 	}
-	if len(w.broken) == 0 {
-		w.check()
+	if len(c.violations) == 0 {
+		c.checkFinal()
 	}
-	return w
+	return c
 }
 
 func drawDisturbances(seed uint64, kinds []string, count int) []disturbance {
@@ -104,37 +104,37 @@
 	return list
 }
 
-func standardWorld(seed uint64) worldOptions {
-	return worldOptions{seed: seed, stores: 3, routers: 3, jobs: 8}
+func defaultClusterOptions(seed uint64) clusterOptions {
+	return clusterOptions{seed: seed, stores: 3, routers: 3, jobs: 8}
 }
 
-func TestEveryItemEndsOnceUnderEachDisturbance(t *testing.T) {
+func TestItemsEndOnceUnderEachDisturbance(t *testing.T) {
 	for _, kind := range append([]string{"none"}, disturbanceKinds...) {
 		t.Run(kind, func(t *testing.T) {
 			sends := 0
 			for seed := range uint64(4) {
-				w := simulate(standardWorld(seed), drawDisturbances(seed, []string{kind}, 5))
-				if len(w.broken) > 0 {
-					t.Fatalf("seed %d: %v", seed, w.broken)
+				c := simulate(defaultClusterOptions(seed), drawDisturbances(seed, []string{kind}, 5))
+				if len(c.violations) > 0 {
+					t.Fatalf("seed %d: %v", seed, c.violations)
 				}
-				sends += w.sends
+				sends += c.sends
 			}
 			if sends < 100 {
-				t.Fatalf("only %d items were sent: the run shows too little", sends)
+				t.Fatalf("only %d items were sent, want at least 100", sends)
 			}
 		})
 	}
 }
 
-func TestEveryItemEndsOnceUnderMixedDisturbances(t *testing.T) {
+func TestItemsEndOnceUnderMixedDisturbances(t *testing.T) {
 	unknown, cancelled, expired, dropped := 0, 0, 0, 0
 	for seed := range uint64(20) {
-		w := simulate(standardWorld(seed), drawDisturbances(seed, disturbanceKinds, 10))
-		if len(w.broken) > 0 {
-			t.Fatalf("seed %d: %v", seed, w.broken)
+		c := simulate(defaultClusterOptions(seed), drawDisturbances(seed, disturbanceKinds, 10))
+		if len(c.violations) > 0 {
+			t.Fatalf("seed %d: %v", seed, c.violations)
 		}
-		for id := range w.clients.accepted {
-			job, _, _ := w.stores[0].state.Job(id)
+		for id := range c.clients.accepted {
+			job, _, _ := c.stores[0].state.Job(id)
 			unknown, dropped = unknown+job.Unknown, dropped+job.Dropped
 			switch job.Status {
 			case JobCancelled:
@@ -146,50 +146,51 @@
 	}
 	t.Logf("%d items unknown, %d late results dropped, %d jobs cancelled, %d expired", unknown, dropped, cancelled, expired)
 	if unknown == 0 || cancelled == 0 || expired == 0 || dropped == 0 {
-		t.Fatal("the runs do not show all that they should")
+		t.Fatal("the runs must include unknown, cancelled, expired and dropped cases")
 	}
 }
 
 func TestSameSeedGivesSameRun(t *testing.T) {
 	run := func() string {
-		w := simulate(standardWorld(3), drawDisturbances(3, disturbanceKinds, 10))
-		return fmt.Sprint(w.simulation.Fingerprint(), w.simulation.Events(), w.sends, w.last)
+		c := simulate(defaultClusterOptions(3), drawDisturbances(3, disturbanceKinds, 10))
+		return fmt.Sprint(c.simulation.Fingerprint(), c.simulation.Events(), c.sends, c.lastIndex)
 	}
 	if first, second := run(), run(); first != second {
 		t.Fatalf("the runs %s and %s differ", first, second)
 	}
 }
 
-// TestPlantedFaultsAreCaught shows that the checks can fail.
-func TestPlantedFaultsAreCaught(t *testing.T) {
-	cases := map[string]func(*worldOptions){
-		"accept-second-result":        func(o *worldOptions) { o.faults.AcceptSecondResult = true },
-		"start-after-cancel":          func(o *worldOptions) { o.faults.StartAfterCancel = true },
-		"grant-without-fence":         func(o *worldOptions) { o.faults.IgnoreEpoch = true },
-		"forget-returned-item":        func(o *worldOptions) { o.faults.ForgetReturned = true },
-		"send-before-start-committed": func(o *worldOptions) { o.runnerFaults.SendBeforeStart = true },
+// TestChecksDetectInjectedFaults guards against checks that can never fail.
+func TestChecksDetectInjectedFaults(t *testing.T) {
+	cases := map[string]func(*clusterOptions){
+		"accept-second-result":        func(o *clusterOptions) { o.faults.AcceptSecondResult = true },
+		"start-after-cancel":          func(o *clusterOptions) { o.faults.StartAfterCancel = true },
+		"grant-without-fence":         func(o *clusterOptions) { o.faults.IgnoreEpoch = true },
+		"forget-returned-item":        func(o *clusterOptions) { o.faults.ForgetReturned = true },
+		"send-before-start-committed": func(o *clusterOptions) { o.runnerFaults.SendBeforeStart = true },
 	}
 	for name, plant := range cases {
 		kinds := disturbanceKinds
 		if name == "grant-without-fence" {
-			kinds = []string{"lossy"} // it takes a start that comes late
+			kinds = []string{"lossy"} // requires a delayed start
 		}
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(200) {
-				o := standardWorld(seed)
+				o := defaultClusterOptions(seed)
 				plant(&o)
-				if w := simulate(o, drawDisturbances(seed, kinds, 10)); len(w.broken) > 0 {
-					t.Logf("seed %d: %s", seed, w.broken[0])
+				if c := simulate(o, drawDisturbances(seed, kinds, 10)); len(c.violations) > 0 {
+					t.Logf("seed %d: %s", seed, c.violations[0])
 					return
 				}
 			}
-			t.Fatal("not caught")
+			t.Fatal("the injected fault was not detected")
 		})
 	}
 }
 
-// TestRapidDisturbances searches for the smallest plan that breaks an invariant.
-func TestRapidDisturbances(t *testing.T) {
+// TestRandomDisturbancesKeepInvariants checks random disturbances and shrinks those
+// that violate an invariant.
+func TestRandomDisturbancesKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) disturbance {
 			return disturbance{
@@ -199,9 +200,9 @@
 				Length: time.Duration(rapid.IntRange(1, 2000).Draw(t, "length ms")) * time.Millisecond,
 			}
 		}), 0, 8).Draw(t, "disturbances")
-		w := simulate(worldOptions{seed: rapid.Uint64().Draw(t, "seed"), stores: 3, routers: 2, jobs: 4}, list)
-		if len(w.broken) > 0 {
-			t.Fatal(w.broken)
+		c := simulate(clusterOptions{seed: rapid.Uint64().Draw(t, "seed"), stores: 3, routers: 2, jobs: 4}, list)
+		if len(c.violations) > 0 {
+			t.Fatal(c.violations)
 		}
 	})
 }
