--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -11,29 +11,29 @@
 	"github.com/dykewing/dykewing/sim"
 )
 
-// HeaderBytes is what HTTP/1.1 adds to one exchange, both ways together, as
-// TestHeartbeatOnTheWire of package node counts it; TCP and IP are not in it.
+// HeaderBytes is the HTTP/1.1 overhead of one exchange in both directions, without
+// TCP and IP, as counted by a test of package node.
 const HeaderBytes = 240
 
-// MembershipOptions size a Membership.
+// MembershipOptions configures a Membership.
 type MembershipOptions struct {
 	Seed            uint64
 	Regions         int
 	Zones           int
 	RoutersPerZone  int
 	StoresPerZone   int
-	Sidecars        int // in all
+	Sidecars        int // total
 	ServicesPerZone int // rows that the routers of a zone report
 	ServicesPerNode int // rows that one router reports
 	Interval        time.Duration
 	SuspectTimeout  time.Duration
-	SummaryInterval time.Duration // between changes of a node's load; 0 is none
-	MeasureEvery    int           // every how many exchanges are encoded to count bytes; 0 is none
-	Refuse          bool          // machines outlive their processes and refuse connections for them
+	SummaryInterval time.Duration // between changes of a node's load; 0 means none
+	MeasureEvery    int           // one in so many exchanges is encoded to count bytes; 0 means none
+	Refuse          bool          // hosts of crashed processes refuse connections
 	Fault           membership.Fault
 }
 
-// DefaultMembershipOptions are the size of letter 1: 670 nodes in 15 zones.
+// DefaultMembershipOptions describes a fleet of about 670 nodes in 15 zones.
 func DefaultMembershipOptions() MembershipOptions {
 	return MembershipOptions{
 		Seed: 1, Regions: 6, Zones: 15, RoutersPerZone: 43, StoresPerZone: 2,
@@ -43,13 +43,12 @@
 	}
 }
 
-// Traffic counts what a node sent and received; Bytes is an estimate from the
-// exchanges that were encoded.
+// Traffic counts a node's exchanges and the bytes of those that were encoded.
 type Traffic struct {
-	Exchanges int // begun by the node
+	Exchanges int // started by the node
 	Answered  int // answered by the node
 	Measured  int
-	Bytes     int // of the measured: bodies and headers, both ways
+	Bytes     int // of the measured exchanges: bodies and headers, both directions
 }
 
 // Member is one simulated node.
@@ -58,7 +57,7 @@
 	Process *sim.Process
 	Node    api.Node
 	Traffic Traffic
-	// OnAction, when set, sees each action of the machine.
+	// OnAction, if set, is called with each action of the machine.
 	OnAction func(membership.Action)
 
 	summary  api.Summary
@@ -67,7 +66,7 @@
 	waiting  map[uint64]membership.Send
 }
 
-// Membership is a simulated fleet of membership machines.
+// Membership simulates a fleet of membership machines.
 type Membership struct {
 	Simulation *sim.Simulation
 	Network    *sim.Network
@@ -89,14 +88,14 @@
 	exchange membership.Exchange
 }
 
-// One-way latencies by distance.
+// One-way latencies.
 const (
-	zoneLatency   = 250 * time.Microsecond
-	regionLatency = time.Millisecond
-	farLatency    = 30 * time.Millisecond
+	zoneLatency        = 250 * time.Microsecond
+	regionLatency      = time.Millisecond
+	crossRegionLatency = 30 * time.Millisecond
 )
 
-// NewMembership builds the fleet; nodes start within the first interval.
+// NewMembership returns a fleet whose nodes start within the first interval.
 func NewMembership(options MembershipOptions) *Membership {
 	simulation := sim.New(options.Seed)
 	fleet := &Membership{Simulation: simulation, options: options, byName: map[string]*Member{}, random: simulation.Fork()}
@@ -133,10 +132,10 @@
 	f.Network.Attach(member.Process, func(from string, message any) { f.deliver(member, from, message) })
 }
 
-// Member finds a member by its name.
+// Member returns the member with the name, or nil.
 func (f *Membership) Member(name string) *Member { return f.byName[name] }
 
-// Start gives the member a new machine of the incarnation and lets it tick.
+// Start gives the member a new machine with the incarnation and starts its ticks.
 func (f *Membership) Start(member *Member, incarnation uint64) {
 	member.Node.Incarnation = incarnation
 	member.waiting = map[uint64]membership.Send{}
@@ -153,7 +152,7 @@
 	}
 }
 
-// seeds are the first two routers of the first two zones and of the own.
+// seeds returns the first two routers of the first two zones and of the member's own.
 func (f *Membership) seeds(member *Member) []string {
 	var seeds []string
 	perZone := f.options.RoutersPerZone + f.options.StoresPerZone
@@ -171,7 +170,7 @@
 	member.Process.After(f.options.Interval, func() { f.tick(member) })
 }
 
-// changeLoad gives the member a new load.
+// changeLoad gives the member a random load.
 func (f *Membership) changeLoad(member *Member) {
 	services := make([]api.ServiceSummary, f.options.ServicesPerNode)
 	first := f.random.IntN(max(f.options.ServicesPerZone, 1))
@@ -192,13 +191,11 @@
 	f.report(member)
 }
 
-// SetRevision gives the member a table revision.
 func (f *Membership) SetRevision(member *Member, revision int64) {
 	member.revision = revision
 	f.report(member)
 }
 
-// Leave marks the member as leaving.
 func (f *Membership) Leave(member *Member) {
 	member.leaving = true
 	f.report(member)
@@ -208,7 +205,7 @@
 	f.step(member, membership.SelfChanged{Leaving: member.leaving, TableRevision: member.revision, Summary: member.summary})
 }
 
-// Stop sends the member's last message and ends it.
+// Stop announces the member's shutdown and ends its process.
 func (f *Membership) Stop(member *Member) {
 	f.step(member, membership.Stopped{})
 	member.Process.Crash()
@@ -246,7 +243,7 @@
 	})
 }
 
-// refuse answers an exchange as the machine of a process that is gone does.
+// refuse fails an exchange like a host on which no process listens.
 func (f *Membership) refuse(member *Member, token uint64) {
 	if send, open := member.waiting[token]; open {
 		delete(member.waiting, token)
@@ -276,8 +273,8 @@
 	}
 }
 
-// measure encodes a share of the exchanges; headers are counted with the
-// request.
+// measure encodes a sample of the exchanges to count their bytes; headers are counted
+// with the request.
 func (f *Membership) measure(member *Member, token uint64, exchange membership.Exchange, headers int) {
 	if f.options.MeasureEvery == 0 || token%uint64(f.options.MeasureEvery) != 0 {
 		return
@@ -290,25 +287,24 @@
 	member.Traffic.Bytes += len(body) + headers
 }
 
-// ResetTraffic starts counting anew.
 func (f *Membership) ResetTraffic() {
 	for _, member := range f.Members {
 		member.Traffic = Traffic{}
 	}
 }
 
-// BytesPerSecond estimates what the member sent and received a second over the
-// time since ResetTraffic.
+// BytesPerSecond estimates the member's traffic in both directions; elapsed is the time
+// since ResetTraffic.
 func (f *Membership) BytesPerSecond(member *Member, elapsed time.Duration) float64 {
 	return float64(member.Traffic.Bytes*f.options.MeasureEvery) / elapsed.Seconds()
 }
 
-// latency is one way, by the distance of the two nodes.
+// latency returns the one-way latency between two nodes.
 func (f *Membership) latency(from, to string) time.Duration {
 	a, b := f.byName[from], f.byName[to]
 	switch {
 	case a == nil || b == nil || a.Node.Location.Region != b.Node.Location.Region:
-		return farLatency
+		return crossRegionLatency
 	case a.Node.Location != b.Node.Location:
 		return regionLatency
 	}
--- a/membership/growth_test.go
+++ b/membership/growth_test.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// start is what the start of one zone at once costs.
-type startCost struct {
-	exchanges float64       // begun by a member, mean
-	known     time.Duration // until all knew all
+// startupCost is the cost of starting all members of a zone at once.
+type startupCost struct {
+	exchanges float64       // mean number started per member
+	converged time.Duration // until every member knew every other
 }
 
-const heartbeat = 400 * time.Millisecond
+const startupInterval = 400 * time.Millisecond
 
-func startOf(t *testing.T, members int) startCost {
+func measureStartup(t *testing.T, members int) startupCost {
 	t.Helper()
 	options := DefaultMembershipOptions()
 	options.Seed, options.MeasureEvery, options.SummaryInterval = 5, 0, 0
-	options.Interval, options.SuspectTimeout = heartbeat, time.Second
+	options.Interval, options.SuspectTimeout = startupInterval, time.Second
 	options.Regions, options.Zones, options.RoutersPerZone, options.StoresPerZone = 1, 1, 2, members-2
 	fleet := NewMembership(options)
 	const observed = 12 * time.Second
-	known, err := within(fleet, observed, func() bool {
+	known, err := runUntil(fleet, observed, func() bool {
 		for _, member := range fleet.Members {
 			if len(member.Machine.Records()) != members-1 {
 				return false
@@ -30,27 +30,26 @@
 		return true
 	})
 	if err != nil {
-		t.Fatalf("%d members do not all know all: %v", members, err)
+		t.Fatalf("membership of %d members did not converge: %v", members, err)
 	}
 	fleet.Simulation.Run(observed - known)
-	cost := startCost{known: known}
+	cost := startupCost{converged: known}
 	for _, member := range fleet.Members {
 		cost.exchanges += float64(member.Traffic.Exchanges) / float64(members)
 	}
 	return cost
 }
 
-// Symptom: in the first seconds of a fleet each process allocated 40 MB for exchanges of
-// membership. Sequence: all members of a zone start at once, each joins and tells all
-// others at once. Cause: what a start costs all was the square of the zone.
-func TestAStartCostsAMemberAsMuchInALargerZone(t *testing.T) {
-	once, twice := startOf(t, 100), startOf(t, 200)
-	t.Logf("100 members: %+v; 200 members: %+v", once, twice)
-	if twice.exchanges > 1.1*once.exchanges {
-		t.Errorf("a member begins %.0f exchanges in a zone of 100, %.0f in one of 200", once.exchanges, twice.exchanges)
+// Guards against a quadratic number of exchanges when all members of a zone start at
+// once and announce themselves.
+func TestStartupCostPerMemberIsIndependentOfZoneSize(t *testing.T) {
+	small, large := measureStartup(t, 100), measureStartup(t, 200)
+	t.Logf("100 members: %+v; 200 members: %+v", small, large)
+	if large.exchanges > 1.1*small.exchanges {
+		t.Errorf("%.0f exchanges per member in a zone of 100, %.0f in a zone of 200", small.exchanges, large.exchanges)
 	}
-	const soon = 8 * time.Second // a third of the time that a fleet has before its callers come
-	if twice.known > soon {
-		t.Errorf("all know all after %v", twice.known)
+	const maxConvergence = 8 * time.Second
+	if large.converged > maxConvergence {
+		t.Errorf("membership converged after %v, too late", large.converged)
 	}
 }
--- a/membership/homes_test.go
+++ b/membership/homes_test.go
@@ -8,29 +8,28 @@
 	"github.com/dykewing/dykewing/placement"
 )
 
-// Homes watches which routers take themselves for home of which workers.
+// Homes records which routers consider themselves home of which workers.
 type Homes struct {
 	fleet   *Membership
 	workers []api.Worker
-	owners  map[api.NodeID]*ownedWorkers
+	routers map[api.NodeID]*routerHomes
 }
 
-type ownedWorkers struct {
+type routerHomes struct {
 	homes *placement.Homes
-	mine  []api.Worker
+	owned []api.Worker
 }
 
-// Overlap sums up, over time and workers, the slots that had more than one home
-// and those that had none.
+// Overlap accumulates the time during which slots had more than one home or none.
 type Overlap struct {
-	Doubled  float64       // slot-seconds with two homes or more
-	Homeless float64       // slot-seconds with none
-	LastBad  time.Duration // after the start, when a worker last had not just one
+	Doubled  float64       // slot-seconds with more than one home
+	Homeless float64       // slot-seconds without a home
+	LastBad  time.Duration // time of the last sample in which some worker did not have exactly one home
 }
 
-// NewHomes watches workers of the fleet's first zone.
+// NewHomes returns a Homes for workers in the fleet's first zone.
 func NewHomes(fleet *Membership, workers, slots int) *Homes {
-	h := &Homes{fleet: fleet, owners: map[api.NodeID]*ownedWorkers{}}
+	h := &Homes{fleet: fleet, routers: map[api.NodeID]*routerHomes{}}
 	for i := range workers {
 		h.workers = append(h.workers, api.Worker{
 			ID: api.WorkerID(fmt.Sprintf("worker-%04d", i)), Location: fleet.Members[0].Node.Location, Slots: slots,
@@ -39,32 +38,32 @@
 	return h
 }
 
-// Watch runs the fleet for a while and measures in steps.
+// Watch runs the fleet for the duration and samples it after each step.
 func (h *Homes) Watch(duration, step time.Duration) Overlap {
 	var overlap Overlap
 	for elapsed := time.Duration(0); elapsed < duration; elapsed += step {
 		h.fleet.Simulation.Run(step)
-		bad := false
+		invalid := false
 		for i, count := range h.count() {
 			slots := float64(h.workers[i].Slots) * step.Seconds()
 			switch {
 			case count > 1:
 				overlap.Doubled += slots
-				bad = true
+				invalid = true
 			case count == 0:
 				overlap.Homeless += slots
-				bad = true
+				invalid = true
 			}
 		}
-		if bad {
+		if invalid {
 			overlap.LastBad = elapsed + step
 		}
 	}
 	return overlap
 }
 
-// count gives for each worker how many running routers take themselves for its
-// home.
+// count returns, for each worker, the number of running routers that consider
+// themselves its home.
 func (h *Homes) count() []int {
 	index := map[api.WorkerID]int{}
 	for i, worker := range h.workers {
@@ -83,13 +82,13 @@
 }
 
 func (h *Homes) owned(member *Member) []api.Worker {
-	owner, ok := h.owners[member.Node.ID]
+	owner, ok := h.routers[member.Node.ID]
 	if !ok {
-		owner = &ownedWorkers{homes: placement.NewHomes(member.Node.ID)}
-		h.owners[member.Node.ID] = owner
+		owner = &routerHomes{homes: placement.NewHomes(member.Node.ID)}
+		h.routers[member.Node.ID] = owner
 	}
 	if member.Machine.Settled() && owner.homes.SetNodes(member.Machine.Nodes()) {
-		owner.mine = owner.homes.Mine(h.workers)
+		owner.owned = owner.homes.Mine(h.workers)
 	}
-	return owner.mine
+	return owner.owned
 }
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,16 +1,18 @@
-// Package membership keeps a node's view of the other processes.
+// Package membership implements SWIM-style cluster membership and failure
+// detection.
 //
-// Within a zone every member knows every other: one heartbeat an interval goes
-// to the next of a shuffled ring, a missing answer is checked through other
-// members before the peer is suspected, and a suspected peer has a while to
-// refute with a higher incarnation. Changes ride on the heartbeats in a bounded
-// number of bytes. Of the other zones a node knows only a ZoneSummary, which a
-// few representatives of each zone exchange. Nodes that are not members
-// (sidecars) ask one member for what has changed.
+// Within a zone every member tracks every other. Once per interval a member
+// probes the next peer of a shuffled ring. A failed probe is repeated indirectly
+// through other members before the peer is marked suspect, and a suspect is
+// declared dead unless it refutes with a higher incarnation before the suspicion
+// times out. Changes are piggybacked on heartbeats up to a byte limit. Across
+// zones, nodes hold only a ZoneSummary per zone, exchanged by a few
+// representatives of each zone. Nodes that are not members (sidecars) poll one
+// member for changes.
 //
-// The shell carries each Send as one HTTP exchange: the peer's machine is
-// stepped with Incoming and answers with Reply; the sender is stepped with
-// Answered, or with Unreachable when there was none.
+// A Machine does no I/O. The caller carries out each Send as one HTTP exchange:
+// it steps the peer's machine with Incoming and returns its Reply, then steps the
+// sender with Answered, or with Unreachable if no reply arrived.
 package membership
 
 import (
@@ -22,29 +24,29 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Settings of a Machine. Zero values of the optional ones take the defaults.
+// Settings configures a Machine. Zero values of optional fields select the defaults.
 type Settings struct {
 	Self           api.Node
-	Seeds          []string      // addresses asked while no peer is known
+	Seeds          []string      // addresses contacted while no peer is known
 	Interval       time.Duration // between heartbeats
-	SuspectTimeout time.Duration // from suspicion to death, before scaling with the zone
+	SuspectTimeout time.Duration // from suspect to dead, before scaling with the zone's size
 	Random         *rand.Rand
 
-	MaximumBytes   int // optional: JSON of the updates on a heartbeat
-	IndirectProbes int // optional: peers asked before a suspicion
+	MaximumBytes   int // optional: limit on the JSON size of a heartbeat's updates
+	IndirectProbes int // optional: peers asked to probe before a peer is suspected
 	SyncTicks      int // optional: ticks between anti-entropy exchanges
-	ZoneTicks      int // optional: ticks between exchanges of a representative with other zones
-	PublishTicks   int // optional: ticks between versions of the zone's summary
-	Gateways       int // optional: routers named to other zones
-	ObserveTicks   int // optional: ticks between an observer's questions
+	ZoneTicks      int // optional: ticks between a representative's exchanges with other zones
+	PublishTicks   int // optional: ticks between publications of the zone's summary
+	Gateways       int // optional: routers advertised to other zones
+	ObserveTicks   int // optional: ticks between an observer's polls
 
-	Fault Fault // planted in tests
+	Fault Fault // injected by tests
 }
 
-// Fault is a planted defect; tests show with it that their checks can fail.
+// Fault selects an injected defect, with which tests verify that their checks can fail.
 type Fault string
 
-// The planted faults.
+// Injectable faults.
 const (
 	FaultNone              Fault = ""
 	FaultNoRefutation      Fault = "no-refutation"
@@ -54,92 +56,93 @@
 )
 
 const (
-	defaultMaximumBytes   = 2000
+	defaultMaxUpdateBytes = 2000
 	defaultIndirectProbes = 3
 	defaultSyncTicks      = 5
 	defaultZoneTicks      = 4
 	defaultPublishTicks   = 10
-	defaultGateways       = 8
+	defaultMaxGateways    = 8
 	defaultObserveTicks   = 2
 )
 
 func (s Settings) withDefaults() Settings {
-	setDefault(&s.MaximumBytes, defaultMaximumBytes)
+	setDefault(&s.MaximumBytes, defaultMaxUpdateBytes)
 	setDefault(&s.IndirectProbes, defaultIndirectProbes)
 	setDefault(&s.SyncTicks, defaultSyncTicks)
 	setDefault(&s.ZoneTicks, defaultZoneTicks)
 	setDefault(&s.PublishTicks, defaultPublishTicks)
-	setDefault(&s.Gateways, defaultGateways)
+	setDefault(&s.Gateways, defaultMaxGateways)
 	setDefault(&s.ObserveTicks, defaultObserveTicks)
 	return s
 }
 
-func setDefault(value *int, standard int) {
+func setDefault(value *int, fallback int) {
 	if *value == 0 {
-		*value = standard
+		*value = fallback
 	}
 }
 
-// Machine is the membership state machine of one node.
+// Machine is the membership state machine of one node. It is not safe for
+// concurrent use.
 type Machine struct {
-	settings Settings
-	observer bool // asks a member instead of being one
-	self     api.Node
-	entries  map[api.NodeID]*entry // of the own zone; an observer's: of its source's zone
-	zones    map[api.Location]*zoneEntry
-	queue    *updateQueue
-	stamp    uint64 // grows with each change, for observers' cursors
-	urgent   uint64 // stamp of the node's own last urgent change
-	ticks    int
-	lastTick time.Time
+	settings    Settings
+	observer    bool // polls a member instead of being one
+	self        api.Node
+	entries     map[api.NodeID]*entry // by id; of the node's own zone, or for an observer of its source's zone
+	zones       map[api.Location]*zoneEntry
+	queue       *updateQueue
+	changeIndex uint64 // incremented on each change; observers' cursors refer to it
+	urgentIndex uint64 // changeIndex of the node's own last urgent change
+	ticks       int
+	lastTick    time.Time
 
-	ring     []api.NodeID // members still to be probed in this round
-	indirect map[api.NodeID]*indirectCheck
-	leaving  map[api.NodeID]bool // peers that have not confirmed the leaving mark yet
-	lastPush time.Time           // of the zone's summary to all zones
-	pushDue  bool                // such a push waits
-	joined   bool                // a member has told this node of the others
-	rival    string              // address seen once under the own id
+	probeRing        []api.NodeID // members not yet probed in this round
+	indirectProbes   map[api.NodeID]*indirectProbe
+	unackedLeaves    map[api.NodeID]bool // peers that have not acknowledged the leaving mark
+	lastPush         time.Time           // when the zone's summary was last pushed to all zones
+	pushPending      bool                // a push is deferred by minPushTicks
+	joined           bool                // a member has sent its full view
+	duplicateAddress string              // address of another process seen once with this node's id
 
-	source Contact // observer: whom it asks
-	// sourceIsSeed: the source was drawn without knowing a member.
+	source Contact // observer: the member that it polls
+	// sourceIsSeed: the source was chosen from the seeds, before any member was known.
 	sourceIsSeed bool
 	cursor       Observe
-	location     api.Location // of entries
+	location     api.Location // zone that the entries belong to
 }
 
 type entry struct {
-	record  Record
-	since   time.Time // when the status began
-	stamp   uint64    // of the last change
-	urgent  uint64    // of the last change that was more than a load
-	changed time.Time // when the record last changed
-	refused bool      // a suspect whose process does not listen
+	record      Record
+	statusSince time.Time // when the status last changed
+	changeIndex uint64    // Machine.changeIndex of the last change
+	urgentIndex uint64    // Machine.changeIndex of the last change beyond the load summary
+	changed     time.Time // when the record last changed
+	refused     bool      // suspect whose host refused the connection
 }
 
-// NewMachine starts with a view that holds only the node itself. A sidecar is
-// an observer, every other role a member of its zone.
+// NewMachine returns a Machine whose view holds only the node itself. A sidecar is
+// an observer; any other role is a member of its zone.
 func NewMachine(settings Settings) *Machine {
 	settings = settings.withDefaults()
 	return &Machine{
 		settings: settings, observer: settings.Self.Role == api.RoleSidecar, self: settings.Self,
 		entries: map[api.NodeID]*entry{}, zones: map[api.Location]*zoneEntry{},
-		queue: newUpdateQueue(), indirect: map[api.NodeID]*indirectCheck{},
-		leaving: map[api.NodeID]bool{}, location: settings.Self.Location,
+		queue: newUpdateQueue(), indirectProbes: map[api.NodeID]*indirectProbe{},
+		unackedLeaves: map[api.NodeID]bool{}, location: settings.Self.Location,
 	}
 }
 
-// Step takes one message.
+// Step processes one message and returns the actions to carry out, in order.
 func (m *Machine) Step(now time.Time, message Message) []Action {
 	switch message := message.(type) {
 	case Tick:
 		return m.tick(now)
 	case Incoming:
-		return m.receive(now, message.Exchange)
+		return m.handleIncoming(now, message.Exchange)
 	case Answered:
-		return m.answered(now, message)
+		return m.handleReply(now, message)
 	case Unreachable:
-		return m.unreachable(now, message)
+		return m.handleUnreachable(now, message)
 	case SelfChanged:
 		return m.changeSelf(now, message)
 	case Stopped:
@@ -148,26 +151,24 @@
 	return nil
 }
 
-// tick does one interval's work.
 func (m *Machine) tick(now time.Time) []Action {
 	m.ticks++
-	m.forgivePause(now)
+	m.restartSuspicionsAfterPause(now)
 	if m.observer {
-		return m.observe()
+		return m.observeSource()
 	}
 	actions := m.expire(now)
 	if m.ticks == settleTicks {
 		actions = append(actions, ViewChanged{})
 	}
 	actions = append(actions, m.probeNext()...)
-	actions = append(actions, m.synchronise()...)
+	actions = append(actions, m.runAntiEntropy()...)
 	return append(actions, m.representZone(now)...)
 }
 
-// receive answers a peer's exchange.
-func (m *Machine) receive(now time.Time, exchange Exchange) []Action {
+func (m *Machine) handleIncoming(now time.Time, exchange Exchange) []Action {
 	if m.observer {
-		// It knows nothing at first hand: an asker must not take it for a member.
+		// An observer has no first-hand state, so its reply must not look like a member's.
 		return []Action{Reply{Exchange: Exchange{From: m.self.ID, Location: m.self.Location}}}
 	}
 	actions := append(m.merge(now, exchange), m.mergeZones(now, exchange.Zones)...)
@@ -176,10 +177,10 @@
 		reply.Updates = nil
 	}
 	if exchange.Reached != "" {
-		delete(m.indirect, exchange.Reached)
+		delete(m.indirectProbes, exchange.Reached)
 	}
 	if exchange.Probe != nil {
-		actions = append(actions, m.probeFor(exchange)...)
+		actions = append(actions, m.probeOnBehalf(exchange)...)
 	}
 	m.answerDigest(&reply, exchange)
 	reply.Zones = m.newerZones(exchange)
@@ -189,20 +190,19 @@
 	return append(actions, Reply{Exchange: reply})
 }
 
-// answered takes the answer to a Send.
-func (m *Machine) answered(now time.Time, message Answered) []Action {
+func (m *Machine) handleReply(now time.Time, message Answered) []Action {
 	if m.observer {
-		return m.observed(now, message)
+		return m.handleObserveReply(now, message)
 	}
-	delete(m.indirect, message.Sent.Peer)
-	delete(m.leaving, message.Sent.Peer)
+	delete(m.indirectProbes, message.Sent.Peer)
+	delete(m.unackedLeaves, message.Sent.Peer)
 	before := m.self.Incarnation
 	actions := append(m.merge(now, message.Exchange), m.mergeZones(now, message.Exchange.Zones)...)
 	if _, known := m.entries[message.Sent.Peer]; known && m.self.Incarnation != before {
-		// The peer took this node for gone and has not heard the refutation.
+		// The peer held this node as suspect or dead and has not seen the refutation yet.
 		actions = append(actions, m.send(message.Sent.Peer, PurposePush, m.exchange(message.Sent.Peer)))
 	}
-	actions = append(actions, m.introduce(message.Exchange)...)
+	actions = append(actions, m.announceJoin(message.Exchange)...)
 	if message.Sent.Purpose == PurposeProbeForOther {
 		result := Exchange{From: m.self.ID, Location: m.self.Location, Reached: message.Sent.Peer}
 		actions = append(actions, Send{
@@ -213,23 +213,23 @@
 	return actions
 }
 
-// settleTicks is after how many ticks without an answer a node takes itself for
-// the first of its zone.
+// settleTicks is the number of ticks without contact after which a node assumes
+// that it is the first of its zone.
 const settleTicks = 10
 
-// Settled tells whether the view is more than the node itself, or the node has
-// waited long enough to be the first. Before, it must not act on what it alone
-// knows: it would take itself for home of every worker.
+// Settled reports whether the node has received a member's view or waited long
+// enough to be the first of its zone. Until then callers must not act on the view,
+// in which the node would be home of every worker.
 func (m *Machine) Settled() bool {
 	others := slices.ContainsFunc(m.settings.Seeds, func(seed string) bool { return seed != m.self.Address })
 	return m.joined || !others || m.ticks >= settleTicks
 }
 
-// introduce makes a node that has just joined known: to some members, which pass it on
-// with their heartbeats. A router tells all routers at once, so that the workers it
-// becomes home of have two homes only briefly. Telling every member cost a zone of
-// hundreds that started together the square of its size in exchanges.
-func (m *Machine) introduce(exchange Exchange) []Action {
+// announceJoin announces a node that has just joined to a few members, which gossip
+// it on; announcing it to all would cost O(n²) exchanges when a zone starts at once.
+// A router is announced to all routers, so that workers that move to it have two
+// homes only briefly.
+func (m *Machine) announceJoin(exchange Exchange) []Action {
 	if m.joined || !exchange.Whole || exchange.Location != m.self.Location {
 		return nil
 	}
@@ -246,7 +246,8 @@
 	return actions
 }
 
-// exchange is a heartbeat or its answer with what fits of the changes.
+// exchange builds a heartbeat or its reply: the node's own record, what the receiver
+// may have to refute, and as many pending updates as fit.
 func (m *Machine) exchange(to api.NodeID) Exchange {
 	exchange := Exchange{From: m.self.ID, Location: m.self.Location}
 	exchange.Updates = append(exchange.Updates, m.selfRecord())
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -11,20 +11,20 @@
 	"github.com/dykewing/dykewing/sim"
 )
 
-const settle = 40 * time.Second
+const settleTime = 40 * time.Second
 
-// zoneOf starts one zone and lets it settle.
-func zoneOf(seed uint64, routers int, fault membership.Fault) *Membership {
+// newSettledZone starts one zone and runs it for settleTime.
+func newSettledZone(seed uint64, routers int, fault membership.Fault) *Membership {
 	options := DefaultMembershipOptions()
 	options.Seed, options.Fault, options.MeasureEvery = seed, fault, 0
 	options.Regions, options.Zones, options.RoutersPerZone, options.StoresPerZone = 1, 1, routers, 0
 	fleet := NewMembership(options)
-	fleet.Simulation.Run(settle)
+	fleet.Simulation.Run(settleTime)
 	return fleet
 }
 
-// statusAt is what one member holds of another.
-func statusAt(holder, of *Member) membership.Status {
+// statusInView returns the status of a member in the holder's view; empty if unknown.
+func statusInView(holder, of *Member) membership.Status {
 	for _, record := range holder.Machine.Records() {
 		if record.Node.ID == of.Node.ID {
 			return record.Status
@@ -33,18 +33,18 @@
 	return ""
 }
 
-// allHold tells whether each running member holds the status of the one.
-func allHold(fleet *Membership, of *Member, status membership.Status) bool {
+// allSeeStatus reports whether every other running member sees the member with the status.
+func allSeeStatus(fleet *Membership, of *Member, status membership.Status) bool {
 	for _, holder := range fleet.Members {
-		if holder != of && holder.Process.Up() && statusAt(holder, of) != status {
+		if holder != of && holder.Process.Up() && statusInView(holder, of) != status {
 			return false
 		}
 	}
 	return true
 }
 
-// within runs until the condition holds and gives the time that took.
-func within(fleet *Membership, bound time.Duration, condition func() bool) (time.Duration, error) {
+// runUntil runs the fleet until the condition holds and returns the time taken.
+func runUntil(fleet *Membership, bound time.Duration, condition func() bool) (time.Duration, error) {
 	const step = 100 * time.Millisecond
 	begin := fleet.Simulation.Now()
 	for fleet.Simulation.Now().Sub(begin) < bound {
@@ -53,11 +53,11 @@
 		}
 		fleet.Simulation.Run(step)
 	}
-	return bound, fmt.Errorf("not within %v", bound)
+	return bound, fmt.Errorf("condition not met within %v", bound)
 }
 
-// countDeaths counts declarations of death of members that run.
-func countDeaths(fleet *Membership) *int {
+// countFalseDeaths counts how often running members are declared dead.
+func countFalseDeaths(fleet *Membership) *int {
 	deaths := 0
 	for _, holder := range fleet.Members {
 		holder.OnAction = func(action membership.Action) {
@@ -69,15 +69,15 @@
 	return &deaths
 }
 
-func TestEveryCrashIsDetectedByAll(t *testing.T) {
+func TestAllMembersDetectCrash(t *testing.T) {
 	const bound = 25 * time.Second
 	for seed := uint64(1); seed <= 2; seed++ {
-		fleet := zoneOf(seed, 45, membership.FaultNone)
+		fleet := newSettledZone(seed, 45, membership.FaultNone)
 		fleet.Network.SetFaults(sim.Faults{Loss: 0.02})
 		for _, victim := range []int{3, 17, 44} {
 			member := fleet.Members[victim]
 			member.Process.Crash()
-			took, err := within(fleet, bound, func() bool { return allHold(fleet, member, membership.StatusDead) })
+			took, err := runUntil(fleet, bound, func() bool { return allSeeStatus(fleet, member, membership.StatusDead) })
 			if err != nil {
 				t.Fatalf("seed %d: crash of %s: %v", seed, member.Node.ID, err)
 			}
@@ -86,25 +86,25 @@
 	}
 }
 
-// TestNoDetectionWithoutSuspicion shows that the check of detection can fail: with an
-// endless suspicion a member that crashed stays in view.
-func TestNoDetectionWithoutSuspicion(t *testing.T) {
+// Verifies that the check for detection can fail: if suspicions do not time out, a
+// crashed member stays in the view.
+func TestCrashIsUndetectedWithoutSuspicionTimeout(t *testing.T) {
 	options := DefaultMembershipOptions()
 	options.MeasureEvery, options.SuspectTimeout = 0, time.Hour
 	options.Regions, options.Zones, options.RoutersPerZone, options.StoresPerZone = 1, 1, 12, 0
 	fleet := NewMembership(options)
-	fleet.Simulation.Run(settle)
+	fleet.Simulation.Run(settleTime)
 	member := fleet.Members[3]
 	member.Process.Crash()
-	if _, err := within(fleet, 25*time.Second, func() bool { return allHold(fleet, member, membership.StatusDead) }); err == nil {
-		t.Fatal("a member that is never taken for dead was found gone")
+	if _, err := runUntil(fleet, 25*time.Second, func() bool { return allSeeStatus(fleet, member, membership.StatusDead) }); err == nil {
+		t.Fatal("a crashed member was declared dead although suspicions do not time out")
 	}
 }
 
-func TestLossBringsNoFalseDeath(t *testing.T) {
+func TestMessageLossCausesNoFalseDeath(t *testing.T) {
 	run := func(fault membership.Fault) int {
-		fleet := zoneOf(11, 16, fault)
-		deaths := countDeaths(fleet)
+		fleet := newSettledZone(11, 16, fault)
+		deaths := countFalseDeaths(fleet)
 		fleet.Network.SetFaults(sim.Faults{Loss: 0.12, Late: 0.05, LateBy: 500 * time.Millisecond})
 		fleet.Simulation.Run(5 * time.Minute)
 		return *deaths
@@ -114,80 +114,79 @@
 	}
 	for _, fault := range []membership.Fault{membership.FaultNoRefutation, membership.FaultIgnoreIncarnation} {
 		if run(fault) == 0 {
-			t.Errorf("planted fault %s: the check saw no false death", fault)
+			t.Errorf("injected fault %s: no false death detected", fault)
 		}
 	}
 }
 
-// TestOneWayCutIsNoDeath cuts one pair: each still reaches the other through
-// the rest of the zone.
-func TestOneWayCutIsNoDeath(t *testing.T) {
+// Drops one member's messages to another; indirect probes still get through.
+func TestOneWayPartitionCausesNoSuspicion(t *testing.T) {
 	suspected := func(fault membership.Fault) bool {
-		fleet := zoneOf(12, 12, fault)
-		one, other := fleet.Members[2], fleet.Members[7]
-		fleet.Network.Cut(one.Process.Name(), other.Process.Name())
+		fleet := newSettledZone(12, 12, fault)
+		from, to := fleet.Members[2], fleet.Members[7]
+		fleet.Network.Cut(from.Process.Name(), to.Process.Name())
 		seen := false
 		for range 120 {
 			fleet.Simulation.Run(time.Second)
-			seen = seen || statusAt(one, other) == membership.StatusSuspect
+			seen = seen || statusInView(from, to) == membership.StatusSuspect
 		}
 		return seen
 	}
 	if suspected(membership.FaultNone) {
-		t.Error("a peer that others reach was suspected")
+		t.Error("a peer that indirect probes reach was suspected")
 	}
 	if !suspected(membership.FaultSkipIndirect) {
-		t.Error("planted fault skip-indirect-check: the check saw no suspicion")
+		t.Error("injected fault skip-indirect-check: no suspicion detected")
 	}
 }
 
-func TestPausedNodeRefutesAndAccusesNobody(t *testing.T) {
-	fleet := zoneOf(21, 20, membership.FaultNone)
+func TestPausedNodeRefutesAndDeclaresNobodyDead(t *testing.T) {
+	fleet := newSettledZone(21, 20, membership.FaultNone)
 	paused := fleet.Members[5]
 	paused.Process.Pause()
-	if _, err := within(fleet, 25*time.Second, func() bool { return allHold(fleet, paused, membership.StatusDead) }); err != nil {
+	if _, err := runUntil(fleet, 25*time.Second, func() bool { return allSeeStatus(fleet, paused, membership.StatusDead) }); err != nil {
 		t.Fatalf("the paused node was not declared dead: %v", err)
 	}
 	fleet.Simulation.Run(time.Minute)
-	deaths := countDeaths(fleet)
+	deaths := countFalseDeaths(fleet)
 	paused.Process.Resume()
-	took, err := within(fleet, 30*time.Second, func() bool { return allHold(fleet, paused, membership.StatusAlive) })
+	took, err := runUntil(fleet, 30*time.Second, func() bool { return allSeeStatus(fleet, paused, membership.StatusAlive) })
 	if err != nil || *deaths > 0 {
-		t.Fatalf("after the pause: %v, %d false deaths", err, *deaths)
+		t.Fatalf("after resuming: %v, %d false deaths", err, *deaths)
 	}
-	t.Logf("alive again for all after %v", took)
+	t.Logf("alive in all views after %v", took)
 }
 
-// TestDeadStaysDead lets a node with an old view wake after a crash is known.
-func TestDeadStaysDead(t *testing.T) {
+// Resumes a node with a stale view after all others have detected a crash.
+func TestStaleViewDoesNotResurrectDeadNode(t *testing.T) {
 	resurrected := func(fault membership.Fault) bool {
-		fleet := zoneOf(31, 15, fault)
+		fleet := newSettledZone(31, 15, fault)
 		victim, sleeper := fleet.Members[3], fleet.Members[9]
 		sleeper.Process.Pause()
 		victim.Process.Crash()
 		fleet.Simulation.Run(30 * time.Second)
 		sleeper.Process.Resume()
-		seen := false
+		revived := false
 		for range 300 {
 			fleet.Simulation.Run(100 * time.Millisecond)
 			for _, holder := range fleet.Members {
-				if holder != victim && holder != sleeper && statusAt(holder, victim) != membership.StatusDead {
-					seen = true
+				if holder != victim && holder != sleeper && statusInView(holder, victim) != membership.StatusDead {
+					revived = true
 				}
 			}
 		}
-		return seen
+		return revived
 	}
 	if resurrected(membership.FaultNone) {
-		t.Error("an old record brought a dead node back")
+		t.Error("a stale record resurrected a dead node")
 	}
 	if !resurrected(membership.FaultResurrectDead) {
-		t.Error("planted fault resurrect-dead-record: the check saw nothing")
+		t.Error("injected fault resurrect-dead-record: no resurrection detected")
 	}
 }
 
-func TestHalvesOfAZoneFindTogether(t *testing.T) {
-	fleet := zoneOf(41, 16, membership.FaultNone)
+func TestPartitionedZoneMergesAfterHealing(t *testing.T) {
+	fleet := newSettledZone(41, 16, membership.FaultNone)
 	half := fleet.Members[:8]
 	for _, a := range half {
 		for _, b := range fleet.Members[8:] {
@@ -199,27 +198,27 @@
 	if live := len(half[0].Machine.Nodes()); live != 8 {
 		t.Fatalf("%d live nodes in half of the zone, want 8", live)
 	}
-	deaths := countDeaths(fleet)
+	deaths := countFalseDeaths(fleet)
 	fleet.Network.Heal()
-	took, err := within(fleet, time.Minute, func() bool {
+	took, err := runUntil(fleet, time.Minute, func() bool {
 		for _, member := range fleet.Members {
-			if !allHold(fleet, member, membership.StatusAlive) {
+			if !allSeeStatus(fleet, member, membership.StatusAlive) {
 				return false
 			}
 		}
 		return true
 	})
 	if err != nil {
-		t.Fatalf("after the cut healed: %v", err)
+		t.Fatalf("after the partition healed: %v", err)
 	}
 	if *deaths > 0 {
-		t.Errorf("%d members that others knew to live were declared dead after the cut", *deaths)
+		t.Errorf("%d running members were declared dead after the partition healed", *deaths)
 	}
-	t.Logf("whole again after %v", took)
+	t.Logf("merged after %v", took)
 }
 
-func TestLeavingMarkReachesAllAtOnce(t *testing.T) {
-	fleet := zoneOf(51, 45, membership.FaultNone)
+func TestLeavingMarkReachesAllWithinOneSecond(t *testing.T) {
+	fleet := newSettledZone(51, 45, membership.FaultNone)
 	leaver := fleet.Members[4]
 	fleet.Leave(leaver)
 	known := func() bool {
@@ -232,14 +231,14 @@
 		}
 		return leaver.Machine.LeavePending() == 0
 	}
-	took, err := within(fleet, time.Second, known)
+	took, err := runUntil(fleet, time.Second, known)
 	if err != nil {
-		t.Fatalf("leaving mark: %v", err)
+		t.Fatalf("spread of the leaving mark: %v", err)
 	}
-	t.Logf("leaving known to 44 peers after %v", took)
-	deaths := countDeaths(fleet)
+	t.Logf("leaving mark acknowledged by 44 peers after %v", took)
+	deaths := countFalseDeaths(fleet)
 	fleet.Stop(leaver)
-	if took, err = within(fleet, 10*time.Second, func() bool { return allHold(fleet, leaver, membership.StatusDead) }); err != nil {
+	if took, err = runUntil(fleet, 10*time.Second, func() bool { return allSeeStatus(fleet, leaver, membership.StatusDead) }); err != nil {
 		t.Fatalf("stopped node: %v", err)
 	}
 	t.Logf("stop known to all after %v", took)
@@ -248,20 +247,20 @@
 	}
 }
 
-func TestRestartSupersedesTheOldLife(t *testing.T) {
-	fleet := zoneOf(61, 10, membership.FaultNone)
+func TestRestartSupersedesPreviousIncarnation(t *testing.T) {
+	fleet := newSettledZone(61, 10, membership.FaultNone)
 	member := fleet.Members[2]
 	member.Process.Crash()
 	fleet.Simulation.Run(30 * time.Second)
 	member.Process.Restart()
-	fleet.Start(member, 0) // its clock went back: an older incarnation than the dead one
-	if _, err := within(fleet, 20*time.Second, func() bool { return allHold(fleet, member, membership.StatusAlive) }); err != nil {
+	fleet.Start(member, 0) // an older incarnation than the dead one, as after a clock step
+	if _, err := runUntil(fleet, 20*time.Second, func() bool { return allSeeStatus(fleet, member, membership.StatusAlive) }); err != nil {
 		t.Fatalf("restarted node: %v", err)
 	}
 }
 
-func TestTwoProcessesOfOneIDAreReported(t *testing.T) {
-	fleet := zoneOf(71, 6, membership.FaultNone)
+func TestDuplicateIDIsReported(t *testing.T) {
+	fleet := newSettledZone(71, 6, membership.FaultNone)
 	victim, impostor := fleet.Members[1], fleet.Members[4]
 	reports := 0
 	victim.OnAction = func(action membership.Action) {
@@ -279,13 +278,13 @@
 	}
 }
 
-func TestSidecarFollowsItsZone(t *testing.T) {
+func TestSidecarViewFollowsZone(t *testing.T) {
 	options := DefaultMembershipOptions()
 	options.MeasureEvery, options.Zones, options.Regions = 0, 3, 2
 	options.RoutersPerZone, options.StoresPerZone, options.Sidecars = 10, 1, 5
 	fleet := NewMembership(options)
-	fleet.Simulation.Run(settle)
-	const view = 1 + 11 + 2*(8+1) // itself, its zone, two zones' gateways and store
+	fleet.Simulation.Run(settleTime)
+	const view = 1 + 11 + 2*(8+1) // itself, its zone, and the gateways and store of two zones
 	sidecars := fleet.Members[len(fleet.Members)-options.Sidecars:]
 	for _, sidecar := range sidecars {
 		if count := len(sidecar.Machine.Nodes()); count != view {
@@ -295,7 +294,7 @@
 	for _, member := range fleet.Members[:3] {
 		member.Process.Crash()
 	}
-	sees := func() bool {
+	updated := func() bool {
 		for _, sidecar := range sidecars {
 			for _, node := range sidecar.Machine.Nodes() {
 				if !fleet.Member(string(node.ID)).Process.Up() {
@@ -305,38 +304,38 @@
 		}
 		return true
 	}
-	took, err := within(fleet, time.Minute, sees)
+	took, err := runUntil(fleet, time.Minute, updated)
 	if err != nil {
-		t.Fatalf("crashed routers in a sidecar's view: %v", err)
+		t.Fatalf("sidecars' views with crashed routers: %v", err)
 	}
-	t.Logf("sidecars know of the crashes after %v", took)
+	t.Logf("crashes removed from sidecars' views after %v", took)
 }
 
-func TestRegionCutOffForMinutesComesBack(t *testing.T) {
+func TestPartitionedRegionRecovers(t *testing.T) {
 	options := DefaultMembershipOptions()
 	options.MeasureEvery, options.Zones, options.Regions = 0, 4, 2
 	options.RoutersPerZone, options.StoresPerZone = 9, 1
 	fleet := NewMembership(options)
 	fleet.Simulation.Run(time.Minute)
-	deaths := countDeaths(fleet)
-	cutRegions(fleet)
+	deaths := countFalseDeaths(fleet)
+	partitionRegions(fleet)
 	fleet.Simulation.Run(5 * time.Minute)
 	first := fleet.Members[0]
-	if offers := foreignOffers(first); offers != 8 {
+	if offers := remoteOffers(first); offers != 8 {
 		t.Errorf("%d gateways still offer services, want the 8 of the other zone in the region", offers)
 	}
 	fleet.Network.Heal()
-	took, err := within(fleet, 2*time.Minute, func() bool { return foreignOffers(first) == 3*8 })
+	took, err := runUntil(fleet, 2*time.Minute, func() bool { return remoteOffers(first) == 3*8 })
 	if err != nil {
-		t.Fatalf("after the cut: %v; %d offers", err, foreignOffers(first))
+		t.Fatalf("after the partition healed: %v; %d offers", err, remoteOffers(first))
 	}
 	if *deaths > 0 {
-		t.Errorf("%d deaths declared within whole zones", *deaths)
+		t.Errorf("%d false deaths within zones", *deaths)
 	}
-	t.Logf("all zones offer again after %v", took)
+	t.Logf("all zones offer services again after %v", took)
 }
 
-func cutRegions(fleet *Membership) {
+func partitionRegions(fleet *Membership) {
 	for _, a := range fleet.Members {
 		for _, b := range fleet.Members {
 			if a.Node.Location.Region != b.Node.Location.Region {
@@ -346,30 +345,30 @@
 	}
 }
 
-// foreignOffers counts other zones' gateways that offer services.
-func foreignOffers(member *Member) int {
+// remoteOffers counts other zones' gateways that offer services.
+func remoteOffers(member *Member) int {
 	offers := 0
 	for _, node := range member.Machine.Nodes() {
-		foreign := node.Location != member.Node.Location
-		if foreign && node.Role == api.RoleRouter && len(node.Summary.Services) > 0 {
+		remote := node.Location != member.Node.Location
+		if remote && node.Role == api.RoleRouter && len(node.Summary.Services) > 0 {
 			offers++
 		}
 	}
 	return offers
 }
 
-// TestSidecarUnderASeedsAddressMisleadsNobody: settings may name a sidecar
+// TestSidecarAsSeedIsNotTakenForMember: settings may name a sidecar
 // among the peers.
-func TestSidecarUnderASeedsAddressMisleadsNobody(t *testing.T) {
-	machineOf := func(role api.Role, id, seed string) *membership.Machine {
+func TestSidecarAsSeedIsNotTakenForMember(t *testing.T) {
+	newMachine := func(role api.Role, id, seed string) *membership.Machine {
 		return membership.NewMachine(membership.Settings{
 			Self:  api.Node{ID: api.NodeID(id), Role: role, Address: id, Incarnation: 1},
 			Seeds: []string{seed}, Interval: time.Second, SuspectTimeout: time.Second,
 			Random: rand.New(rand.NewPCG(1, 1)),
 		})
 	}
-	sidecar := machineOf(api.RoleSidecar, "sidecar", "elsewhere")
-	for _, asker := range []*membership.Machine{machineOf(api.RoleRouter, "router", "sidecar"), machineOf(api.RoleSidecar, "other", "sidecar")} {
+	sidecar := newMachine(api.RoleSidecar, "sidecar", "elsewhere")
+	for _, asker := range []*membership.Machine{newMachine(api.RoleRouter, "router", "sidecar"), newMachine(api.RoleSidecar, "other", "sidecar")} {
 		for _, action := range asker.Step(sim.Epoch, membership.Tick{}) {
 			sent, ok := action.(membership.Send)
 			if !ok {
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -10,11 +10,11 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// retentionFactor times the suspect timeout is how long a dead record stays, so
-// that an older rumour cannot bring it back.
-const retentionFactor = 60
+// deadRetentionFactor times the suspect timeout is how long a dead record is kept,
+// so that a stale update cannot bring the node back.
+const deadRetentionFactor = 60
 
-// merge takes the updates of a peer of the same zone.
+// merge applies the updates of a peer of the same zone.
 func (m *Machine) merge(now time.Time, exchange Exchange) []Action {
 	if exchange.Location != m.self.Location || m.observer {
 		return nil
@@ -30,8 +30,8 @@
 			continue
 		}
 		if exchange.Whole && record.Status == StatusDead && record.Node.ID != exchange.From {
-			// A whole view may come from the other side of a cut that healed:
-			// whom it gave up may refute here.
+			// A full view may come from the other side of a healed partition:
+			// give the nodes that it declared dead a chance to refute.
 			if _, known := m.entries[record.Node.ID]; !known {
 				continue
 			}
@@ -39,8 +39,7 @@
 		}
 		more, differs := m.mergeRecord(now, record)
 		if exchange.Whole && !m.joined {
-			// Its teller has passed it on already; a node that joins has no news but
-			// itself.
+			// The sender has already gossiped these records.
 			m.queue.drop(record.Node.ID)
 		}
 		actions = append(actions, more...)
@@ -52,13 +51,13 @@
 	return actions
 }
 
-// mergeRecord orders statuses by incarnation and then gravity, and contents by
-// incarnation and then summary sequence.
+// mergeRecord orders statuses by incarnation, then severity, and contents by
+// incarnation, then summary sequence. It reports whether the record changed.
 func (m *Machine) mergeRecord(now time.Time, record Record) ([]Action, bool) {
 	record.Node.Location = m.location
 	known, ok := m.entries[record.Node.ID]
 	if !ok {
-		m.set(now, record, true)
+		m.storeRecord(now, record, true)
 		return nil, true
 	}
 	next := known.record
@@ -66,8 +65,8 @@
 		next.Status = record.Status
 		next.Node.Incarnation = record.Node.Incarnation
 	}
-	// News of a dead node's load would only spread its death anew, also to those
-	// who know that it lives.
+	// Updating a dead node's load would requeue its death, which may since have been
+	// refuted elsewhere.
 	if next.Status != StatusDead && newerContent(record.Node, known.record.Node) {
 		incarnation := next.Node.Incarnation
 		next.Node = record.Node
@@ -80,37 +79,37 @@
 		next.Node.Incarnation != known.record.Node.Incarnation ||
 		next.Node.Leaving != known.record.Node.Leaving ||
 		next.Node.TableRevision != known.record.Node.TableRevision ||
-		!sameOffers(next.Node.Summary.Services, known.record.Node.Summary.Services)
+		!sameOfferedRows(next.Node.Summary.Services, known.record.Node.Summary.Services)
 	var actions []Action
 	if next.Status == StatusDead && known.record.Status != StatusDead {
 		actions = append(actions, Died{Node: next.Node.ID, Leaving: next.Node.Leaving})
 	}
-	m.set(now, next, urgent)
+	m.storeRecord(now, next, urgent)
 	return actions, true
 }
 
-// set stores a record and queues it for the heartbeats.
-func (m *Machine) set(now time.Time, record Record, urgent bool) {
+// storeRecord stores a record and queues it for gossip.
+func (m *Machine) storeRecord(now time.Time, record Record, urgent bool) {
 	known, ok := m.entries[record.Node.ID]
 	if !ok {
-		known = &entry{since: now}
+		known = &entry{statusSince: now}
 		m.entries[record.Node.ID] = known
 	}
 	if record.Status != known.record.Status {
-		known.since, known.refused = now, false
+		known.statusSince, known.refused = now, false
 	}
-	m.stamp++
-	known.record, known.stamp, known.changed = record, m.stamp, now
+	m.changeIndex++
+	known.record, known.changeIndex, known.changed = record, m.changeIndex, now
 	if urgent {
-		known.urgent = m.stamp
+		known.urgentIndex = m.changeIndex
 	}
 	m.queue.put(record.Node.ID, urgent)
 	if record.Status == StatusDead {
-		delete(m.leaving, record.Node.ID)
+		delete(m.unackedLeaves, record.Node.ID)
 	}
 }
 
-// supersedes tells whether the status of a stands over that of b.
+// supersedes reports whether the status of a overrides that of b.
 func supersedes(a, b Record, fault Fault) bool {
 	byIncarnation := cmp.Compare(a.Node.Incarnation, b.Node.Incarnation)
 	if fault == FaultIgnoreIncarnation {
@@ -119,7 +118,7 @@
 	if fault == FaultResurrectDead && b.Status == StatusDead && a.Status == StatusAlive {
 		return true
 	}
-	return cmp.Or(byIncarnation, cmp.Compare(gravity(a.Status), gravity(b.Status))) > 0
+	return cmp.Or(byIncarnation, cmp.Compare(severity(a.Status), severity(b.Status))) > 0
 }
 
 func newerContent(a, b api.Node) bool {
@@ -129,7 +128,7 @@
 	) > 0
 }
 
-func gravity(status Status) int {
+func severity(status Status) int {
 	switch status {
 	case StatusSuspect:
 		return 1
@@ -139,45 +138,46 @@
 	return 0
 }
 
-// refute answers a rumour of the node's own death, or a record of its id from
-// another process, with a higher incarnation that it pushes to some peers.
+// refute responds to a suspicion of this node, or to a record with its id from
+// another process, with a higher incarnation, which it pushes to some peers.
 func (m *Machine) refute(record Record) []Action {
 	if record.Node.Incarnation < m.self.Incarnation {
 		return nil
 	}
-	foreign := record.Node.Address != m.self.Address
-	if record.Status == StatusAlive && !foreign {
+	otherProcess := record.Node.Address != m.self.Address
+	if record.Status == StatusAlive && !otherProcess {
 		return nil
 	}
 	var actions []Action
-	if foreign {
-		actions = m.noteRival(record)
+	if otherProcess {
+		actions = m.reportDuplicateID(record)
 	}
 	if m.settings.Fault == FaultNoRefutation {
 		return actions
 	}
 	m.self.Incarnation = record.Node.Incarnation + 1
 	m.self.Summary.Sequence++
-	m.stamp++
-	if foreign {
-		return actions // the other process answers each push with one of its own
+	m.changeIndex++
+	if otherProcess {
+		return actions // pushing would start a loop: the other process pushes in return
 	}
 	return append(actions, m.push(m.settings.IndirectProbes)...)
 }
 
-// noteRival tells of a second process under this id once its record has come
-// back after a refutation: a single one may be this node's own earlier life.
-func (m *Machine) noteRival(record Record) []Action {
+// reportDuplicateID reports a second process with this node's id once its record
+// reappears after a refutation: a single record may be of this node's previous
+// incarnation.
+func (m *Machine) reportDuplicateID(record Record) []Action {
 	address := record.Node.Address
-	if m.rival != address {
-		m.rival = address
+	if m.duplicateAddress != address {
+		m.duplicateAddress = address
 		return nil
 	}
 	return []Action{DuplicateID{Address: address}}
 }
 
-// changeSelf takes what the node says of itself. A new leaving mark goes to
-// every member at once, a new table revision to some.
+// changeSelf updates the node's own record. A new leaving mark is pushed to every
+// member at once, a new table revision or a change of the offered rows to a few.
 func (m *Machine) changeSelf(now time.Time, message SelfChanged) []Action {
 	leaves := message.Leaving && !m.self.Leaving
 	newRevision := message.TableRevision > m.self.TableRevision
@@ -186,42 +186,42 @@
 	if !leaves && !newRevision && message.Leaving == m.self.Leaving && reflect.DeepEqual(summary, m.self.Summary) {
 		return nil
 	}
-	newOffers := !sameOffers(summary.Services, m.self.Summary.Services)
+	offersChanged := !sameOfferedRows(summary.Services, m.self.Summary.Services)
 	summary.Sequence++
 	m.self.Leaving = message.Leaving
 	m.self.TableRevision = max(message.TableRevision, m.self.TableRevision)
 	m.self.Summary = summary
-	m.stamp++
-	if leaves || newRevision || newOffers {
-		m.urgent = m.stamp
+	m.changeIndex++
+	if leaves || newRevision || offersChanged {
+		m.urgentIndex = m.changeIndex
 	}
 	actions := []Action{ViewChanged{}}
 	switch {
 	case m.observer:
 	case leaves:
 		for _, id := range m.liveMembers() {
-			m.leaving[id] = true
+			m.unackedLeaves[id] = true
 		}
 		actions = append(actions, m.push(math.MaxInt)...)
-		actions = append(actions, m.publishNow(now)...)
+		actions = append(actions, m.publishUrgent(now)...)
 	case newRevision:
 		actions = append(actions, m.push(m.settings.IndirectProbes)...)
-		actions = append(actions, m.publishNow(now)...)
-	case newOffers:
+		actions = append(actions, m.publishUrgent(now)...)
+	case offersChanged:
 		actions = append(actions, m.push(m.settings.IndirectProbes)...)
 	}
 	return actions
 }
 
-// sameOffers tells whether two loads are of the same rows with workers, the
-// rows in the same order.
-func sameOffers(a, b []api.ServiceSummary) bool {
+// sameOfferedRows reports whether a and b list the same rows in the same order, with
+// workers for the same ones.
+func sameOfferedRows(a, b []api.ServiceSummary) bool {
 	return slices.EqualFunc(a, b, func(a, b api.ServiceSummary) bool {
 		return a.Key() == b.Key() && (a.Workers > 0) == (b.Workers > 0)
 	})
 }
 
-// stop tells some members that the node is gone.
+// stop announces the node's own death to some members.
 func (m *Machine) stop() []Action {
 	if m.observer {
 		return nil
@@ -237,7 +237,7 @@
 	return actions
 }
 
-// push sends a heartbeat at once to count random members.
+// push sends an immediate heartbeat to count random members.
 func (m *Machine) push(count int) []Action {
 	var actions []Action
 	for _, id := range m.randomMembers(count, "") {
@@ -250,7 +250,7 @@
 	return Send{Address: m.entries[id].record.Node.Address, Peer: id, Purpose: purpose, Exchange: exchange}
 }
 
-// liveMembers lists the other members that are not dead, sorted.
+// liveMembers returns the ids of the other members that are not dead, sorted.
 func (m *Machine) liveMembers() []api.NodeID {
 	members := make([]api.NodeID, 0, len(m.entries))
 	for id, e := range m.entries {
@@ -262,8 +262,9 @@
 	return members
 }
 
-func (m *Machine) randomMembers(count int, without api.NodeID) []api.NodeID {
-	members := slices.DeleteFunc(m.liveMembers(), func(id api.NodeID) bool { return id == without })
+// randomMembers returns up to count live members other than exclude, in random order.
+func (m *Machine) randomMembers(count int, exclude api.NodeID) []api.NodeID {
+	members := slices.DeleteFunc(m.liveMembers(), func(id api.NodeID) bool { return id == exclude })
 	m.settings.Random.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 	return members[:min(count, len(members))]
 }
--- a/membership/messages.go
+++ b/membership/messages.go
@@ -6,31 +6,31 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Status is what the view holds of a node.
+// Status is the state of a node in the view.
 type Status string
 
-// The statuses. Suspect nodes still count as live until the suspicion ends.
+// Statuses of a node. A suspect counts as live until its suspicion times out.
 const (
 	StatusAlive   Status = "alive"
 	StatusSuspect Status = "suspect"
 	StatusDead    Status = "dead"
 )
 
-// Record is one node of the sender's zone; it is also what travels. Its
-// location is left out on the wire: it is the zone's.
+// Record is the state of one node of the sender's zone. The node's location is
+// omitted on the wire, since it is the zone's.
 type Record struct {
 	Node   api.Node `json:"node"`
-	Status Status   `json:"status,omitempty"` // empty is alive
+	Status Status   `json:"status,omitempty"` // empty means alive
 }
 
-// Contact is a node of a zone that other zones may address.
+// Contact identifies a node that other zones may address.
 type Contact struct {
 	ID      api.NodeID `json:"id"`
 	Role    api.Role   `json:"role"`
 	Address string     `json:"address"`
 }
 
-// StoreContact is a store with the groups that it leads.
+// StoreContact is a store and the groups that it leads.
 type StoreContact struct {
 	Contact
 	Groups   []api.GroupSummary `json:"groups,omitempty"`
@@ -38,7 +38,7 @@
 	DiskFull bool               `json:"disk_full,omitempty"`
 }
 
-// ZoneSummary is what other zones know of a zone. The higher Version stands.
+// ZoneSummary is what other zones know about a zone. The highest Version wins.
 type ZoneSummary struct {
 	Location      api.Location         `json:"location"`
 	Version       int64                `json:"version"`
@@ -46,89 +46,88 @@
 	TableRevision int64                `json:"table_revision,omitempty"`
 	Gateways      []Contact            `json:"gateways,omitempty"` // routers that forward to the zone's homes
 	Stores        []StoreContact       `json:"stores,omitempty"`
-	Services      []api.ServiceSummary `json:"services,omitempty"` // sums over the zone
+	Services      []api.ServiceSummary `json:"services,omitempty"` // summed over the zone
 }
 
-// ZoneVersion tells which version of a zone's summary the sender holds.
+// ZoneVersion is the version of a zone's summary that the sender holds; 0 if none.
 type ZoneVersion struct {
 	Location api.Location `json:"location"`
 	Version  int64        `json:"version"`
 }
 
-// Exchange is the body of every membership message and of its answer. A
-// heartbeat carries updates and versions; the other parts are for the rarer
-// exchanges.
+// Exchange is the body of every membership request and of its reply. Heartbeats
+// carry Updates and Versions; the other fields are for less frequent exchanges.
 type Exchange struct {
 	From     api.NodeID   `json:"from"`
 	Location api.Location `json:"location"`
-	// Updates are records of the sender's zone, the sender's own first.
+	// Updates holds records of the sender's zone, its own first.
 	Updates []Record `json:"updates,omitempty"`
-	// Whole says that Updates are all that the sender knows.
+	// Whole is set if Updates holds every record that the sender knows.
 	Whole bool `json:"whole,omitempty"`
-	// Digest asks to be answered with all records if the receiver, of the same
-	// zone, has another digest of its live members.
+	// Digest of the sender's live members; 0 if absent. A receiver of the same zone
+	// whose digest differs replies with all its records.
 	Digest uint64 `json:"digest,omitempty"`
-	// Versions ask to be answered with newer summaries.
+	// Versions requests the zone summaries that are newer at the receiver.
 	Versions []ZoneVersion `json:"versions,omitempty"`
 	Zones    []ZoneSummary `json:"zones,omitempty"`
-	// Probe asks the receiver to probe that node for the sender.
+	// Probe asks the receiver to probe this node on the sender's behalf.
 	Probe *Contact `json:"probe,omitempty"`
-	// Reached says that the sender's probe of this node was answered.
+	// Reached is the node that the sender probed successfully on the receiver's behalf.
 	Reached api.NodeID `json:"reached,omitempty"`
 	Observe *Observe   `json:"observe,omitempty"`
-	Cursor  *Cursor    `json:"cursor,omitempty"` // answers Observe
+	Cursor  *Cursor    `json:"cursor,omitempty"` // in the reply to Observe
 }
 
-// Observe asks for what changed at a peer since a cursor, for a node that is
-// not a member. A cursor of another source or life asks for everything.
+// Observe requests the changes at a member since a cursor, for a node that is not a
+// member itself. A cursor of another source or incarnation requests everything.
 type Observe struct {
 	Source api.NodeID `json:"source,omitempty"`
 	Life   uint64     `json:"life,omitempty"`
 	After  uint64     `json:"after,omitempty"`
-	// Brief asks for urgent changes only: of status, leaving mark and table
-	// revision. The cursor stays.
+	// Brief requests only urgent changes: of status, incarnation, leaving mark, table
+	// revision and offered rows. The cursor does not advance.
 	Brief bool `json:"brief,omitempty"`
 }
 
-// Cursor is where an observer's next question goes on.
+// Cursor is the position from which an observer's next poll continues.
 type Cursor struct {
 	Life  uint64 `json:"life"`
 	Stamp uint64 `json:"stamp"`
-	Reset bool   `json:"reset,omitempty"` // the answer replaces all that it had
+	Reset bool   `json:"reset,omitempty"` // the reply replaces the observer's whole view
 }
 
-// Message is what a Machine is stepped with.
+// Message is an input of Machine.Step.
 type Message interface{ membershipMessage() }
 
-// Tick drives heartbeats; the shell sends it every Settings.Interval.
+// Tick drives heartbeats and timeouts; the caller sends it every Settings.Interval.
 type Tick struct{}
 
-// Incoming is an exchange from a peer; the machine answers with Reply.
+// Incoming is a request from a peer; the machine responds with one Reply.
 type Incoming struct{ Exchange Exchange }
 
-// Answered is the answer to a Send.
+// Answered is the reply to a Send.
 type Answered struct {
 	Sent     Send
 	Exchange Exchange
 }
 
-// Unreachable says that a Send had no answer within the probe timeout. Refused
-// says that the peer's machine answered that no process listens there.
+// Unreachable reports that a Send had no reply within the probe timeout. Refused is
+// set if the peer's host refused the connection, so that no process listens there.
 type Unreachable struct {
 	Sent    Send
 	Refused bool
 }
 
-// SelfChanged replaces what the node says of itself: summary, table revision,
-// leaving. The machine keeps the incarnation.
+// SelfChanged replaces the node's advertised load, table revision and leaving mark.
+// The machine keeps the incarnation and numbers the summary itself.
 type SelfChanged struct {
 	Leaving       bool
 	TableRevision int64
 	Summary       api.Summary
 }
 
-// Stopped is the node's last message: it tells some peers that it is gone, so
-// that none needs to suspect it.
+// Stopped is the node's last message. Some peers are told that the node is dead, so
+// that they need not detect it.
 type Stopped struct{}
 
 func (Tick) membershipMessage()        {}
@@ -138,47 +137,47 @@
 func (SelfChanged) membershipMessage() {}
 func (Stopped) membershipMessage()     {}
 
-// Action is what a Machine asks for.
+// Action is an output of Machine.Step that the caller carries out.
 type Action interface{ membershipAction() }
 
-// Purpose says why an exchange is sent.
+// Purpose is the reason for a Send.
 type Purpose string
 
-// The purposes of a Send.
+// Purposes of a Send.
 const (
-	PurposeProbe         Purpose = "probe"     // the interval's heartbeat
-	PurposeIndirect      Purpose = "indirect"  // asks a peer to probe another
-	PurposeProbeForOther Purpose = "probe_for" // carries out such a request
-	PurposeResult        Purpose = "result"    // reports that it succeeded
+	PurposeProbe         Purpose = "probe"     // regular heartbeat
+	PurposeIndirect      Purpose = "indirect"  // requests an indirect probe
+	PurposeProbeForOther Purpose = "probe_for" // performs an indirect probe
+	PurposeResult        Purpose = "result"    // reports a successful indirect probe
 	PurposePush          Purpose = "push"      // spreads an urgent change
 	PurposeSync          Purpose = "sync"      // anti-entropy and joining
-	PurposeZone          Purpose = "zone"      // between representatives
-	PurposeObserve       Purpose = "observe"   // of a node that is not a member
+	PurposeZone          Purpose = "zone"      // between zone representatives
+	PurposeObserve       Purpose = "observe"   // poll by an observer
 )
 
-// Send asks for one exchange with the process at Address.
+// Send requests one exchange with the process at Address.
 type Send struct {
 	Address  string
-	Peer     api.NodeID // empty when it is not known yet
+	Peer     api.NodeID // empty if not known yet
 	Purpose  Purpose
-	Origin   Contact // PurposeProbeForOther: who asked
+	Origin   Contact // PurposeProbeForOther: the member that asked
 	Exchange Exchange
 }
 
-// Reply answers the Incoming of this step.
+// Reply is the response to the Incoming message of this step.
 type Reply struct{ Exchange Exchange }
 
-// ViewChanged says that Nodes or Zones has changed.
+// ViewChanged reports that the results of Nodes or Zones have changed.
 type ViewChanged struct{}
 
-// Died says that a member was declared dead by this node or by a rumour.
+// Died reports that a member was declared dead, by this node or by a peer.
 type Died struct {
 	Node     api.NodeID
-	Observed time.Duration // how long it was suspected here; 0 by rumour
-	Leaving  bool          // it had announced that it would go
+	Observed time.Duration // how long it was suspect here; 0 if learned from a peer
+	Leaving  bool          // it had announced its shutdown
 }
 
-// DuplicateID says that another process runs under this node's id.
+// DuplicateID reports that another process, at Address, uses this node's id.
 type DuplicateID struct{ Address string }
 
 func (Send) membershipAction()        {}
--- a/membership/moves_test.go
+++ b/membership/moves_test.go
@@ -12,16 +12,15 @@
 )
 
 const (
-	fullSettle = 90 * time.Second
-	measured   = 60 * time.Second
-	watchStep  = 20 * time.Millisecond
-	watched    = 40 * time.Second
-	zoneSlots  = 32
-	zoneWorker = 667
+	fullSettleTime = 90 * time.Second
+	measureTime    = 60 * time.Second
+	watchInterval  = 20 * time.Millisecond
+	watchTime      = 40 * time.Second
+	slotsPerWorker = 32
+	workersPerZone = 667
 )
 
-// TestSameSeedGivesSameTraffic holds that a fleet's run hangs on its seed alone.
-func TestSameSeedGivesSameTraffic(t *testing.T) {
+func TestSimulationIsDeterministic(t *testing.T) {
 	run := func(seed uint64) string {
 		options := DefaultMembershipOptions()
 		options.Seed, options.Zones, options.Regions, options.RoutersPerZone, options.MeasureEvery = seed, 3, 2, 6, 1
@@ -36,24 +35,24 @@
 	}
 	first, second := run(1), run(1)
 	if first != second {
-		t.Error("two runs of one seed differ")
+		t.Error("two runs with one seed differ")
 	}
 	if first == run(2) {
-		t.Error("two seeds gave one run: the check sees nothing")
+		t.Error("runs with different seeds are equal, so the comparison detects nothing")
 	}
 }
 
-// fullZone is one zone of the size of letter 1.
-func fullZone(seed uint64) *Membership {
+// newFullZone starts one zone of the default size and lets it settle.
+func newFullZone(seed uint64) *Membership {
 	options := DefaultMembershipOptions()
 	options.Seed, options.Zones, options.Regions, options.MeasureEvery = seed, 1, 1, 0
 	fleet := NewMembership(options)
-	fleet.Simulation.Run(fullSettle)
+	fleet.Simulation.Run(fullSettleTime)
 	return fleet
 }
 
-// moves are the ways in which homes move, each with the bound on the virtual
-// time until each worker has one home again.
+// moves lists the events that move homes, each with the maximum virtual time until
+// every worker has exactly one home again.
 var moves = []struct {
 	name  string
 	bound time.Duration
@@ -78,36 +77,36 @@
 	}},
 }
 
-func TestEachWorkerHasOneHomeSoonAfterAMove(t *testing.T) {
+func TestEachWorkerHasOneHomeAfterMove(t *testing.T) {
 	for _, move := range moves {
-		fleet := fullZone(5)
-		homes := NewHomes(fleet, 200, zoneSlots)
-		if before := homes.Watch(time.Second, watchStep); before.Doubled+before.Homeless > 0 {
+		fleet := newFullZone(5)
+		homes := NewHomes(fleet, 200, slotsPerWorker)
+		if before := homes.Watch(time.Second, watchInterval); before.Doubled+before.Homeless > 0 {
 			t.Fatalf("%s: %+v before the move", move.name, before)
 		}
 		move.move(fleet, fleet.Members[7])
-		overlap := homes.Watch(watched, 5*watchStep)
+		overlap := homes.Watch(watchTime, 5*watchInterval)
 		if overlap.LastBad > move.bound {
-			t.Errorf("%s: a worker had not just one home %v after it, want at most %v", move.name, overlap.LastBad, move.bound)
+			t.Errorf("%s: some worker did not have exactly one home %v after the move, want at most %v", move.name, overlap.LastBad, move.bound)
 		}
 		t.Logf("%s: %+v", move.name, overlap)
 	}
 }
 
-// BenchmarkHomesMoving measures what a move costs at 667 workers of 32 slots:
-// slot-seconds with two homes and with none.
-func BenchmarkHomesMoving(b *testing.B) {
+// BenchmarkHomeMoves measures the slot-seconds with more than one home and without a
+// home after a move, with 667 workers of 32 slots.
+func BenchmarkHomeMoves(b *testing.B) {
 	for _, move := range moves {
 		b.Run(move.name, func(b *testing.B) {
 			var total Overlap
 			seed := uint64(0)
 			for b.Loop() {
 				seed++
-				fleet := fullZone(seed)
-				homes := NewHomes(fleet, zoneWorker, zoneSlots)
-				homes.Watch(watchStep, watchStep)
+				fleet := newFullZone(seed)
+				homes := NewHomes(fleet, workersPerZone, slotsPerWorker)
+				homes.Watch(watchInterval, watchInterval)
 				move.move(fleet, fleet.Members[int(seed)%40])
-				overlap := homes.Watch(watched, watchStep)
+				overlap := homes.Watch(watchTime, watchInterval)
 				total.Doubled += overlap.Doubled
 				total.Homeless += overlap.Homeless
 				total.LastBad = max(total.LastBad, overlap.LastBad)
@@ -119,13 +118,13 @@
 	}
 }
 
-// BenchmarkFleet measures 670 nodes in 15 zones some time after a start of all,
-// without sidecars and with as many of them.
+// BenchmarkFleet measures CPU time, memory, traffic and staleness of 670 nodes in 15
+// zones, without sidecars and with as many of them.
 func BenchmarkFleet(b *testing.B) {
 	for _, size := range []struct {
 		sidecars int
 		after    time.Duration
-	}{{0, fullSettle}, {670, fullSettle}, {670, 400 * time.Second}} {
+	}{{0, fullSettleTime}, {670, fullSettleTime}, {670, 400 * time.Second}} {
 		b.Run(fmt.Sprintf("sidecars=%d/after=%v", size.sidecars, size.after), func(b *testing.B) {
 			for b.Loop() {
 				measureFleet(b, size.sidecars, size.after)
@@ -137,24 +136,24 @@
 func measureFleet(b *testing.B, sidecars int, after time.Duration) {
 	options := DefaultMembershipOptions()
 	options.MeasureEvery, options.Sidecars = 0, sidecars
-	before := heap()
+	before := heapBytes()
 	fleet := NewMembership(options)
 	fleet.Simulation.Run(after)
 	count := float64(len(fleet.Members))
-	b.ReportMetric(float64(heap()-before)/count/1024, "KiB/node")
-	began := time.Now()
-	fleet.Simulation.Run(measured)
-	b.ReportMetric(time.Since(began).Seconds()/count/measured.Seconds()*100, "step-core-%/node")
+	b.ReportMetric(float64(heapBytes()-before)/count/1024, "KiB/node")
+	start := time.Now()
+	fleet.Simulation.Run(measureTime)
+	b.ReportMetric(time.Since(start).Seconds()/count/measureTime.Seconds()*100, "step-core-%/node")
 	fleet.options.MeasureEvery = 1
 	fleet.ResetTraffic()
-	began = time.Now()
-	fleet.Simulation.Run(measured)
-	b.ReportMetric(time.Since(began).Seconds()/count/measured.Seconds()*100, "with-encode-core-%/node")
+	start = time.Now()
+	fleet.Simulation.Run(measureTime)
+	b.ReportMetric(time.Since(start).Seconds()/count/measureTime.Seconds()*100, "with-encode-core-%/node")
 	reportTraffic(b, fleet)
 	reportAges(b, fleet)
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
@@ -168,17 +167,17 @@
 			continue
 		}
 		count++
-		bytes := fleet.BytesPerSecond(member, measured)
+		bytes := fleet.BytesPerSecond(member, measureTime)
 		sum += bytes
 		most = max(most, bytes)
 		exchanges += member.Traffic.Exchanges + member.Traffic.Answered
 	}
 	b.ReportMetric(sum/count, "B/s/node")
 	b.ReportMetric(most, "B/s/busiest")
-	b.ReportMetric(float64(exchanges)/count/measured.Seconds(), "exchanges/s/node")
+	b.ReportMetric(float64(exchanges)/count/measureTime.Seconds(), "exchanges/s/node")
 }
 
-// reportAges tells how old the loads are that nodes hold of others.
+// reportAges reports the age of the loads in the nodes' views.
 func reportAges(b *testing.B, fleet *Membership) {
 	zoneAge, zones, lag, records := 0.0, 0.0, 0.0, 0.0
 	now := fleet.Simulation.Now().UnixMilli()
@@ -199,8 +198,8 @@
 	b.ReportMetric(lag/records, "load-age-s")
 }
 
-// BenchmarkFalseDeaths counts declarations of death of running members in a
-// zone of 45 over a virtual hour.
+// BenchmarkFalseDeaths counts how often running members of a zone of 45 are declared
+// dead in one virtual hour.
 func BenchmarkFalseDeaths(b *testing.B) {
 	for _, loss := range []float64{0.01, 0.05} {
 		b.Run(fmt.Sprintf("loss=%v", loss), func(b *testing.B) {
@@ -208,7 +207,7 @@
 			seed := uint64(100)
 			for b.Loop() {
 				seed++
-				fleet := fullZone(seed)
+				fleet := newFullZone(seed)
 				for _, member := range fleet.Members {
 					member.OnAction = func(action membership.Action) {
 						if _, died := action.(membership.Died); died {
--- a/membership/observer.go
+++ b/membership/observer.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// loadTicks is how often, in ticks, an observer asks for loads too: they are
-// most of the bytes, while a leaving mark must come within one interval.
-const loadTicks = 4
+// fullObserveTicks is the number of ticks between polls that include loads. Loads are
+// most of the bytes; the polls between carry only urgent changes.
+const fullObserveTicks = 4
 
-// sourceTicks is for how many ticks an observer keeps to a source. Most draw
-// theirs soon after a start, when few members are known; a new draw spreads them,
-// at the price of one whole answer.
-const sourceTicks = 300
+// sourceRotationTicks is the number of ticks after which an observer chooses a new
+// source. Most choose their first one when few members are known; rotation spreads
+// the load, at the cost of one full reply.
+const sourceRotationTicks = 300
 
-// observe asks the source for what has changed. An observer keeps to one source
-// while that answers and stays, so that only changes travel.
-func (m *Machine) observe() []Action {
-	if (m.ticks+m.phase())%sourceTicks == 0 || !m.keepsSource() || m.sourceIsSeed && len(m.candidates()) > 0 {
+// observeSource polls the source for changes. An observer keeps its source while it
+// is usable, so that only changes are transferred.
+func (m *Machine) observeSource() []Action {
+	if (m.ticks+m.phase())%sourceRotationTicks == 0 || !m.sourceUsable() || m.sourceIsSeed && len(m.candidates()) > 0 {
 		m.source, m.cursor = m.chooseSource(), Observe{}
-		// A seed is only the way in: observers that all keep to the few seeds
-		// of their settings would load these with the whole zone's answers.
+		// A seed only bootstraps: observers that all kept to the few configured
+		// seeds would overload them.
 		m.sourceIsSeed = m.source.ID == ""
 	}
-	if m.source.Address == "" || !m.observesNow() {
+	if m.source.Address == "" || !m.observeDue() {
 		return nil
 	}
 	cursor := m.cursor
-	cursor.Brief = cursor.Source != "" && m.ticks%loadTicks != 0
+	cursor.Brief = cursor.Source != "" && m.ticks%fullObserveTicks != 0
 	exchange := Exchange{From: m.self.ID, Location: m.self.Location, Observe: &cursor}
 	return []Action{Send{Address: m.source.Address, Peer: m.source.ID, Purpose: PurposeObserve, Exchange: exchange}}
 }
 
-// observesNow spares every other tick once the source has answered: loads of
-// all the zone's members changed meanwhile, and they travel once.
-func (m *Machine) observesNow() bool {
+// observeDue limits polling to every ObserveTicks-th tick once the source has
+// replied, so that several changes of a load are transferred once.
+func (m *Machine) observeDue() bool {
 	return m.cursor.Source == "" || m.ticks%m.settings.ObserveTicks == 0
 }
 
-// keepsSource is false when the source leaves, or is of another zone although
-// the own one has become known.
-func (m *Machine) keepsSource() bool {
+// sourceUsable is false if there is no source, if it is leaving and another candidate
+// exists, or if it is in another zone while the node's own zone has contacts.
+func (m *Machine) sourceUsable() bool {
 	if m.source.Address == "" {
 		return false
 	}
@@ -56,7 +56,7 @@
 	return true
 }
 
-// candidates are members that an observer may ask, of the own zone if possible.
+// candidates returns the members that an observer may poll, of its own zone if possible.
 func (m *Machine) candidates() []Contact {
 	var candidates []Contact
 	for _, id := range sortedKeys(m.entries) {
@@ -73,15 +73,15 @@
 
 func (m *Machine) chooseSource() Contact {
 	candidates := m.candidates()
-	// Seeds stay in the draw, so that an old view never shuts the node in.
+	// Seeds remain candidates, so that a stale view cannot isolate the node.
 	for _, seed := range m.settings.Seeds {
 		known := slices.ContainsFunc(candidates, func(c Contact) bool { return c.Address == seed })
-		if !known && seed != m.self.Address && (len(candidates) == 0 || m.settings.Random.Float64() < strayShare) {
+		if !known && seed != m.self.Address && (len(candidates) == 0 || m.settings.Random.Float64() < rejoinShare) {
 			candidates = append(candidates, Contact{Address: seed})
 		}
 	}
 	if len(candidates) == 0 {
-		candidates = m.foreignContacts()
+		candidates = m.remoteContacts()
 	}
 	if len(candidates) == 0 {
 		return Contact{}
@@ -89,46 +89,46 @@
 	return candidates[m.settings.Random.IntN(len(candidates))]
 }
 
-// answerObserve adds what changed after the cursor.
+// answerObserve adds the changes after the observer's cursor to the reply.
 func (m *Machine) answerObserve(reply *Exchange, observe Observe) {
-	life := m.settings.Self.Incarnation
+	incarnation := m.settings.Self.Incarnation
 	after := observe.After
-	known := observe.Source == m.self.ID && observe.Life == life
+	known := observe.Source == m.self.ID && observe.Life == incarnation
 	if !known {
 		after = 0
 	}
 	if known && observe.Brief {
 		reply.Updates = m.urgentRecords(after)
-		reply.Cursor = &Cursor{Life: life, Stamp: after}
+		reply.Cursor = &Cursor{Life: incarnation, Stamp: after}
 		return
 	}
 	reply.Updates = m.records(after)
-	reply.Zones = m.zonesWhere(func(zone *zoneEntry) bool { return zone.stamp > after })
-	reply.Cursor = &Cursor{Life: life, Stamp: m.stamp, Reset: !known}
+	reply.Zones = m.zonesWhere(func(zone *zoneEntry) bool { return zone.changeIndex > after })
+	reply.Cursor = &Cursor{Life: incarnation, Stamp: m.changeIndex, Reset: !known}
 }
 
-// urgentRecords gives what changed after the stamp in more than its load.
+// urgentRecords returns the records with a change after the index in more than their
+// load.
 func (m *Machine) urgentRecords(after uint64) []Record {
 	var records []Record
-	if m.urgent > after {
+	if m.urgentIndex > after {
 		records = append(records, m.selfRecord())
 	}
 	for _, id := range sortedKeys(m.entries) {
-		if e := m.entries[id]; e.urgent > after {
+		if e := m.entries[id]; e.urgentIndex > after {
 			records = append(records, wireRecord(e.record))
 		}
 	}
 	return records
 }
 
-// observed takes the source's answer.
-func (m *Machine) observed(now time.Time, message Answered) []Action {
+func (m *Machine) handleObserveReply(now time.Time, message Answered) []Action {
 	exchange := message.Exchange
 	if message.Sent.Address != m.source.Address {
 		return nil
 	}
 	if exchange.Cursor == nil {
-		m.source = Contact{} // another observer, under a seed's address
+		m.source = Contact{} // the seed is an observer itself
 		return nil
 	}
 	if exchange.Cursor.Reset {
@@ -140,7 +140,7 @@
 	m.cursor = Observe{Source: exchange.From, Life: exchange.Cursor.Life, After: exchange.Cursor.Stamp}
 	changed := exchange.Cursor.Reset
 	for _, record := range exchange.Updates {
-		changed = m.adopt(now, record) || changed
+		changed = m.applyObserved(now, record) || changed
 	}
 	if len(m.mergeZones(now, exchange.Zones)) > 0 || changed {
 		return []Action{ViewChanged{}}
@@ -148,8 +148,9 @@
 	return nil
 }
 
-// adopt takes a record as the source holds it.
-func (m *Machine) adopt(now time.Time, record Record) bool {
+// applyObserved stores a record as received from the source. It reports whether the
+// view changed.
+func (m *Machine) applyObserved(now time.Time, record Record) bool {
 	record.Node.Location = m.location
 	id := record.Node.ID
 	known, ok := m.entries[id]
@@ -163,6 +164,6 @@
 	if ok && reflect.DeepEqual(known.record, record) {
 		return false
 	}
-	m.entries[id] = &entry{record: record, since: now}
+	m.entries[id] = &entry{record: record, statusSince: now}
 	return true
 }
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -7,49 +7,51 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// pauseTicks without a tick say that this node stood still: what it heard
-// nothing of in that time is no evidence against others.
+// pauseTicks is the gap between ticks, in intervals, beyond which this node itself is
+// assumed to have been paused, so that missing replies are no evidence against peers.
 const pauseTicks = 3
 
-// indirectTicks is how long the peers that were asked have to reach the target.
-const indirectTicks = 2
+// indirectTimeoutTicks is the timeout of indirect probes, in intervals.
+const indirectTimeoutTicks = 2
 
-// refusedTicks is how long a node whose connections are refused is suspected: a
-// restart within that time is not a death.
-const refusedTicks = 3
+// refusedSuspicionTicks bounds, in intervals, the suspicion of a node that refuses
+// connections. It leaves time for a restart.
+const refusedSuspicionTicks = 3
 
-// indirectCheck is a probe that failed and that others repeat.
-type indirectCheck struct {
+// indirectProbe is a failed probe that other members are repeating.
+type indirectProbe struct {
 	deadline    time.Time
 	incarnation uint64
 }
 
-// forgivePause starts running suspicions anew after the node stood still.
-func (m *Machine) forgivePause(now time.Time) {
+// restartSuspicionsAfterPause cancels indirect probes and restarts the timeouts of
+// suspicions if this node was paused.
+func (m *Machine) restartSuspicionsAfterPause(now time.Time) {
 	gap := now.Sub(m.lastTick)
 	if !m.lastTick.IsZero() && gap > pauseTicks*m.settings.Interval {
-		clear(m.indirect)
+		clear(m.indirectProbes)
 		for _, e := range m.entries {
 			if e.record.Status == StatusSuspect {
-				e.since = now
+				e.statusSince = now
 			}
 		}
 	}
 	m.lastTick = now
 }
 
-// suspicionTimeout grows modestly with the zone, as a refutation takes longer.
+// suspicionTimeout grows with the logarithm of the zone's size, as does the time that a
+// refutation takes to spread.
 func (m *Machine) suspicionTimeout() time.Duration {
 	factor := max(1, math.Log10(float64(len(m.entries)+1)))
 	return time.Duration(factor * float64(m.settings.SuspectTimeout))
 }
 
-// expire ends indirect checks, suspicions and the retention of the dead.
+// expire handles the timeouts of indirect probes, suspicions and dead records.
 func (m *Machine) expire(now time.Time) []Action {
 	var actions []Action
-	for _, id := range sortedKeys(m.indirect) {
-		if check := m.indirect[id]; now.After(check.deadline) {
-			delete(m.indirect, id)
+	for _, id := range sortedKeys(m.indirectProbes) {
+		if check := m.indirectProbes[id]; now.After(check.deadline) {
+			delete(m.indirectProbes, id)
 			actions = append(actions, m.suspect(now, id, check.incarnation)...)
 		}
 	}
@@ -61,24 +63,24 @@
 
 func (m *Machine) expireEntry(now time.Time, id api.NodeID) []Action {
 	e := m.entries[id]
-	held := now.Sub(e.since)
+	age := now.Sub(e.statusSince)
 	switch e.record.Status {
 	case StatusSuspect:
 		timeout := m.suspicionTimeout()
 		if e.refused {
-			// Its machine says that the process is gone: no probe was lost.
-			timeout = min(timeout, refusedTicks*m.settings.Interval)
+			// The refused connection proves that the process is gone.
+			timeout = min(timeout, refusedSuspicionTicks*m.settings.Interval)
 		}
-		if held <= timeout {
+		if age <= timeout {
 			return nil
 		}
 		record := e.record
 		record.Status = StatusDead
-		m.set(now, record, true)
-		actions := []Action{Died{Node: id, Observed: held, Leaving: record.Node.Leaving}, ViewChanged{}}
+		m.storeRecord(now, record, true)
+		actions := []Action{Died{Node: id, Observed: age, Leaving: record.Node.Leaving}, ViewChanged{}}
 		return append(actions, m.push(m.settings.IndirectProbes)...)
 	case StatusDead:
-		if held > retentionFactor*m.settings.SuspectTimeout {
+		if age > deadRetentionFactor*m.settings.SuspectTimeout {
 			delete(m.entries, id)
 			m.queue.drop(id)
 		}
@@ -86,18 +88,17 @@
 	return nil
 }
 
-// probeNext sends the interval's heartbeat to the next member of the ring, so
-// that each is probed once a round.
+// probeNext probes the next member of the ring; each member is probed once per round.
 func (m *Machine) probeNext() []Action {
 	for {
-		if len(m.ring) == 0 {
-			m.ring = m.randomMembers(math.MaxInt, "")
+		if len(m.probeRing) == 0 {
+			m.probeRing = m.randomMembers(math.MaxInt, "")
 		}
-		if len(m.ring) == 0 {
+		if len(m.probeRing) == 0 {
 			return nil
 		}
-		id := m.ring[0]
-		m.ring = m.ring[1:]
+		id := m.probeRing[0]
+		m.probeRing = m.probeRing[1:]
 		if e, ok := m.entries[id]; ok && e.record.Status != StatusDead {
 			exchange := m.exchange(id)
 			exchange.Versions = m.versions()
@@ -106,14 +107,15 @@
 	}
 }
 
-// unreachable takes the failure of a Send.
-func (m *Machine) unreachable(now time.Time, message Unreachable) []Action {
+// handleUnreachable starts indirect probes of the peer, or suspects it at once if it
+// refused the connection or no other member can probe it.
+func (m *Machine) handleUnreachable(now time.Time, message Unreachable) []Action {
 	sent := message.Sent
 	if m.observer {
 		m.source = Contact{}
 		return nil
 	}
-	delete(m.leaving, sent.Peer)
+	delete(m.unackedLeaves, sent.Peer)
 	e, ok := m.entries[sent.Peer]
 	if ok && message.Refused && e.record.Status == StatusSuspect {
 		e.refused = true
@@ -133,11 +135,11 @@
 	if len(helpers) == 0 || m.settings.Fault == FaultSkipIndirect {
 		return m.suspect(now, sent.Peer, e.record.Node.Incarnation)
 	}
-	if _, running := m.indirect[sent.Peer]; running {
+	if _, running := m.indirectProbes[sent.Peer]; running {
 		return nil
 	}
-	m.indirect[sent.Peer] = &indirectCheck{
-		deadline: now.Add(indirectTicks * m.settings.Interval), incarnation: e.record.Node.Incarnation,
+	m.indirectProbes[sent.Peer] = &indirectProbe{
+		deadline: now.Add(indirectTimeoutTicks * m.settings.Interval), incarnation: e.record.Node.Incarnation,
 	}
 	target := Contact{ID: sent.Peer, Role: e.record.Node.Role, Address: e.record.Node.Address}
 	var actions []Action
@@ -148,8 +150,8 @@
 	return actions
 }
 
-// probeFor probes a target for a peer.
-func (m *Machine) probeFor(exchange Exchange) []Action {
+// probeOnBehalf probes the node that the sender of the exchange asked for.
+func (m *Machine) probeOnBehalf(exchange Exchange) []Action {
 	asker, ok := m.entries[exchange.From]
 	if !ok {
 		return nil
@@ -161,7 +163,8 @@
 	}}
 }
 
-// suspect marks a member and tells it at once, so that it can refute.
+// suspect marks a member as suspect, if its incarnation is still the same, and notifies
+// it so that it can refute.
 func (m *Machine) suspect(now time.Time, id api.NodeID, incarnation uint64) []Action {
 	e, ok := m.entries[id]
 	if !ok || e.record.Status != StatusAlive || e.record.Node.Incarnation != incarnation {
@@ -169,7 +172,7 @@
 	}
 	record := e.record
 	record.Status = StatusSuspect
-	m.set(now, record, true)
+	m.storeRecord(now, record, true)
 	exchange := Exchange{From: m.self.ID, Location: m.self.Location, Updates: []Record{m.selfRecord(), wireRecord(record)}}
 	return []Action{m.send(id, PurposePush, exchange), ViewChanged{}}
 }
--- a/membership/queue.go
+++ b/membership/queue.go
@@ -8,15 +8,15 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Retransmissions of a change, times log2 of the zone's size. An urgent change
-// is one of status, of the leaving mark or of the table revision; a new summary
-// is not, since the next one follows.
+// Factors of log2 of the zone's size that give the transmissions of a change. Load
+// summaries need fewer than urgent changes (of status, incarnation, leaving mark, table
+// revision or offered rows), since a newer summary soon follows.
 const (
-	urgentFactor  = 3
-	summaryFactor = 1
+	urgentRetransmitFactor  = 3
+	summaryRetransmitFactor = 1
 )
 
-// updateQueue holds which entries have changed and still ride on heartbeats.
+// updateQueue holds the changed entries that are still to be piggybacked on heartbeats.
 type updateQueue struct {
 	pending map[api.NodeID]*pendingUpdate
 }
@@ -31,8 +31,8 @@
 	return &updateQueue{pending: map[api.NodeID]*pendingUpdate{}}
 }
 
-// put queues the entry anew. An urgent change stays urgent when a summary
-// follows it.
+// put queues the entry and resets its transmissions. A pending urgent change is kept
+// if the new one is not urgent.
 func (q *updateQueue) put(id api.NodeID, urgent bool) {
 	known, ok := q.pending[id]
 	if ok && known.urgent && !urgent {
@@ -43,9 +43,9 @@
 
 func (q *updateQueue) drop(id api.NodeID) { delete(q.pending, id) }
 
-// take gives the records that fit into budget bytes: urgent ones first, then
-// those that were sent least. A record about the receiver itself goes only when
-// there is something to refute.
+// take returns records that fit into budget bytes: urgent ones first, then those
+// transmitted least often. Records of the receiver itself are skipped; see
+// Machine.exchange. Records that have reached their transmit limit leave the queue.
 func (q *updateQueue) take(to api.NodeID, entries map[api.NodeID]*entry, budget int) []Record {
 	var records []Record
 	for _, update := range q.ordered() {
@@ -85,14 +85,14 @@
 }
 
 func transmitLimit(urgent bool, nodes int) int {
-	factor := summaryFactor
+	factor := summaryRetransmitFactor
 	if urgent {
-		factor = urgentFactor
+		factor = urgentRetransmitFactor
 	}
 	return factor * max(bits.Len(uint(nodes)), 2)
 }
 
-// wireRecord leaves out what the receiver can fill in.
+// wireRecord omits what the receiver can fill in.
 func wireRecord(record Record) Record {
 	record.Node = withoutLocation(record.Node)
 	if record.Status == StatusAlive {
@@ -101,7 +101,7 @@
 	return record
 }
 
-// Sizes of the JSON of a record's parts without its names, rounded up.
+// Approximate JSON sizes in bytes of a record's parts, without their names.
 const (
 	nodeBytes    = 130
 	serviceBytes = 85
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -10,19 +10,19 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// strayShare of the anti-entropy exchanges goes to a seed or a dead member, so
-// that two halves of a zone that gave each other up find together again.
-const strayShare = 0.25
+// rejoinShare is the fraction of anti-entropy exchanges that go to a seed or a dead
+// member, so that the halves of a partitioned zone merge again.
+const rejoinShare = 0.25
 
-// joinTicks is how many of its first ticks a node compares on each.
-const joinTicks = 5
+// initialSyncTicks is the number of first ticks with an anti-entropy exchange on each.
+const initialSyncTicks = 5
 
-// synchronise compares with a random member every SyncTicks, and on every tick
-// while the node knows no member.
-func (m *Machine) synchronise() []Action {
+// runAntiEntropy compares digests with a random member every SyncTicks, and on every
+// tick while the node knows no member or has just started.
+func (m *Machine) runAntiEntropy() []Action {
 	alone := len(m.liveMembers()) == 0
-	young := m.ticks <= joinTicks
-	if !alone && !young && (m.ticks+m.phase())%m.settings.SyncTicks != 0 {
+	starting := m.ticks <= initialSyncTicks
+	if !alone && !starting && (m.ticks+m.phase())%m.settings.SyncTicks != 0 {
 		return nil
 	}
 	address, peer, ok := m.syncTarget(alone)
@@ -34,13 +34,13 @@
 	return []Action{Send{Address: address, Peer: peer, Purpose: PurposeSync, Exchange: exchange}}
 }
 
-// phase spreads the nodes' rarer exchanges over the ticks.
+// phase offsets the node's periodic exchanges, so that nodes do not send them in step.
 func (m *Machine) phase() int { return int(xxhash.Sum64String(string(m.self.ID)) % 1024) }
 
 func (m *Machine) syncTarget(alone bool) (string, api.NodeID, bool) {
-	if alone || m.settings.Random.Float64() < strayShare {
-		if strays := m.strays(); len(strays) > 0 {
-			chosen := strays[m.settings.Random.IntN(len(strays))]
+	if alone || m.settings.Random.Float64() < rejoinShare {
+		if contacts := m.rejoinContacts(); len(contacts) > 0 {
+			chosen := contacts[m.settings.Random.IntN(len(contacts))]
 			return chosen.Address, chosen.ID, true
 		}
 	}
@@ -50,35 +50,36 @@
 	return "", "", false
 }
 
-// strays are addresses at which members may live that are not in the view:
-// seeds, the dead, and the gateways that others name for the own zone.
-func (m *Machine) strays() []Contact {
+// rejoinContacts returns addresses of possible members that are not in the view:
+// seeds, dead members, and the own zone's contacts in its published summary.
+func (m *Machine) rejoinContacts() []Contact {
 	live := map[string]bool{m.self.Address: true}
-	var strays []Contact
+	var contacts []Contact
 	for _, id := range sortedKeys(m.entries) {
 		node := m.entries[id].record.Node
 		if m.entries[id].record.Status == StatusDead {
-			strays = append(strays, Contact{ID: id, Address: node.Address})
+			contacts = append(contacts, Contact{ID: id, Address: node.Address})
 		} else {
 			live[node.Address] = true
 		}
 	}
-	// All nodes have the same few seeds: only a representative asks them again.
-	if len(live) == 1 || m.rank(m.gateways()) < representatives {
+	// All nodes share a few seeds: only representatives keep contacting them.
+	if len(live) == 1 || m.rank(m.gateways()) < representativesPerZone {
 		for _, seed := range m.settings.Seeds {
-			strays = append(strays, Contact{Address: seed})
+			contacts = append(contacts, Contact{Address: seed})
 		}
 	}
 	if own, ok := m.zones[m.self.Location]; ok {
-		strays = append(strays, own.contacts()...)
+		contacts = append(contacts, own.contacts()...)
 	}
-	if len(strays) == 0 {
-		strays = m.foreignContacts()
+	if len(contacts) == 0 {
+		contacts = m.remoteContacts()
 	}
-	return slices.DeleteFunc(strays, func(c Contact) bool { return live[c.Address] })
+	return slices.DeleteFunc(contacts, func(c Contact) bool { return live[c.Address] })
 }
 
-// answerDigest adds all records when the sender, of the same zone, holds others.
+// answerDigest adds all records to the reply if the sender is of the same zone and its
+// digest differs.
 func (m *Machine) answerDigest(reply *Exchange, exchange Exchange) {
 	if exchange.Digest == 0 || exchange.Location != m.self.Location || exchange.Digest == m.digest() {
 		return
@@ -86,19 +87,18 @@
 	reply.Updates, reply.Whole = m.records(0), true
 }
 
-// records gives the node's own record and all that changed after the stamp.
+// records returns the node's own record and those that changed after the index.
 func (m *Machine) records(after uint64) []Record {
 	records := []Record{m.selfRecord()}
 	for _, id := range sortedKeys(m.entries) {
-		if e := m.entries[id]; e.stamp > after {
+		if e := m.entries[id]; e.changeIndex > after {
 			records = append(records, wireRecord(e.record))
 		}
 	}
 	return records
 }
 
-// digest sums up the live members without their summaries, which change too
-// often to be compared.
+// digest hashes the live members without their load summaries, which change too often.
 func (m *Machine) digest() uint64 {
 	hash := xxhash.New()
 	var line []byte
--- a/membership/view.go
+++ b/membership/view.go
@@ -8,9 +8,9 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Nodes lists the live nodes of the zone, the node itself among them, and of
-// each other zone its gateways and stores, sorted by id. A gateway stands for
-// its whole zone: its summary holds the zone's sums.
+// Nodes returns the live nodes of the zone, including the node itself, and the
+// gateways and stores of every other zone, sorted by id. A gateway represents its
+// zone: its Summary holds the sums over the zone. Suspects are included and marked.
 func (m *Machine) Nodes() []api.Node {
 	nodes := []api.Node{m.self}
 	for _, e := range m.entries {
@@ -21,36 +21,36 @@
 		}
 	}
 	for _, location := range m.otherZones() {
-		nodes = append(nodes, m.foreignNodes(m.zones[location])...)
+		nodes = append(nodes, m.remoteNodes(m.zones[location])...)
 	}
 	slices.SortFunc(nodes, func(a, b api.Node) int { return cmp.Compare(a.ID, b.ID) })
 	return slices.CompactFunc(nodes, func(a, b api.Node) bool { return a.ID == b.ID })
 }
 
-// foreignNodes turns a zone's summary into nodes. A stale zone offers no
-// services, but its nodes stay known, so that contact can be made again.
-func (m *Machine) foreignNodes(zone *zoneEntry) []api.Node {
+// remoteNodes returns the nodes of another zone's summary. A stale zone offers no
+// services, but its nodes are kept so that it can be contacted again.
+func (m *Machine) remoteNodes(zone *zoneEntry) []api.Node {
 	var nodes []api.Node
 	stale := m.stale(zone)
 	for _, contact := range zone.summary.Gateways {
 		if !contact.Role.Represents() {
 			continue
 		}
-		node := m.foreignNode(zone, contact)
+		node := m.remoteNode(zone, contact)
 		if !stale {
 			node.Summary = api.Summary{Sequence: uint64(zone.summary.Version), Services: zone.summary.Services}
 		}
 		nodes = append(nodes, node)
 	}
 	for _, store := range zone.summary.Stores {
-		node := m.foreignNode(zone, store.Contact)
+		node := m.remoteNode(zone, store.Contact)
 		node.Summary = api.Summary{Sequence: uint64(zone.summary.Version), Groups: store.Groups, Replica: store.Replica, DiskFull: store.DiskFull}
 		nodes = append(nodes, node)
 	}
 	return nodes
 }
 
-func (m *Machine) foreignNode(zone *zoneEntry, contact Contact) api.Node {
+func (m *Machine) remoteNode(zone *zoneEntry, contact Contact) api.Node {
 	return api.Node{
 		ID: contact.ID, Role: contact.Role, Address: contact.Address,
 		Location: zone.summary.Location, TableRevision: zone.summary.TableRevision,
@@ -62,14 +62,14 @@
 	return m.lastTick.Sub(zone.received) > limit
 }
 
-// Zones lists the summaries of all known zones, the own one among them once it
-// is published, sorted.
+// Zones returns the summaries of all known zones, including the node's own once it is
+// published, sorted by location.
 func (m *Machine) Zones() []ZoneSummary {
 	return m.zonesWhere(func(*zoneEntry) bool { return true })
 }
 
-// Records lists what is known of the zone's other members, the suspect and the
-// dead among them, sorted by id.
+// Records returns the records of the zone's other members, including suspect and dead
+// ones, sorted by id.
 func (m *Machine) Records() []Record {
 	records := make([]Record, 0, len(m.entries))
 	for _, id := range sortedKeys(m.entries) {
@@ -78,9 +78,9 @@
 	return records
 }
 
-// LeavePending counts the members that have not confirmed yet that they know of
-// this node's leaving mark.
-func (m *Machine) LeavePending() int { return len(m.leaving) }
+// LeavePending returns the number of members that have not acknowledged this node's
+// leaving mark.
+func (m *Machine) LeavePending() int { return len(m.unackedLeaves) }
 
-// Self is what the node says of itself.
+// Self returns the node's own record.
 func (m *Machine) Self() api.Node { return m.self }
--- a/membership/zones.go
+++ b/membership/zones.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	representatives = 2 // of a zone: the first of its gateways
-	gatewayKey      = "zone-gateway"
-	// staleFactor times PublishTicks without a new version make a zone stale:
-	// no new traffic is offered to it until it is heard of again.
+	representativesPerZone = 2 // the first gateways of a zone
+	gatewayKey             = "zone-gateway"
+	// staleFactor times PublishTicks without a new version make a zone stale: it is
+	// offered no new traffic until a new version arrives.
 	staleFactor = 6
-	// heartbeatZones bounds the summaries that answer a heartbeat.
-	heartbeatZones = 3
-	// pushTicks is the least time between pushes to all zones, in intervals.
-	pushTicks = 2
+	// maxHeartbeatZones bounds the zone summaries in the reply to a heartbeat.
+	maxHeartbeatZones = 3
+	// minPushTicks is the minimum time between pushes to all zones, in intervals.
+	minPushTicks = 2
 )
 
 type zoneEntry struct {
-	summary  ZoneSummary
-	received time.Time // when this version came
-	stamp    uint64
+	summary     ZoneSummary
+	received    time.Time // when this version arrived
+	changeIndex uint64
 }
 
 func (z *zoneEntry) contacts() []Contact {
@@ -36,15 +36,15 @@
 	return contacts
 }
 
-// representZone keeps the zone's summary and exchanges it with other zones, on
-// the few members that rendezvous hashing chooses.
+// representZone publishes the zone's summary and exchanges it with other zones, if
+// this node is among the representatives that rendezvous hashing selects.
 func (m *Machine) representZone(now time.Time) []Action {
 	if (m.ticks+m.phase())%m.settings.ZoneTicks != 0 {
 		return nil
 	}
 	gateways := m.gateways()
 	rank := m.rank(gateways)
-	if rank >= representatives {
+	if rank >= representativesPerZone {
 		return nil
 	}
 	var actions []Action
@@ -52,28 +52,29 @@
 	own, published := m.zones[m.self.Location]
 	period := time.Duration(m.settings.PublishTicks*(1+rank)) * m.settings.Interval
 	switch {
-	case published && (m.pushDue || urgentDifference(own.summary, summary)):
+	case published && (m.pushPending || differsUrgently(own.summary, summary)):
 		m.publish(now, summary)
-		actions = append(actions, m.pushZone(now)...)
+		actions = append(actions, m.pushZoneSummary(now)...)
 	case !published || now.Sub(own.received) >= period:
 		m.publish(now, summary)
 	}
-	return append(actions, m.exchangeZones()...)
+	return append(actions, m.exchangeZoneSummaries()...)
 }
 
-// publishNow spreads an urgent change to the other zones, if this node speaks
-// for its own.
-func (m *Machine) publishNow(now time.Time) []Action {
+// publishUrgent publishes and pushes the zone's summary at once, if this node is a
+// representative.
+func (m *Machine) publishUrgent(now time.Time) []Action {
 	gateways := m.gateways()
-	if m.rank(gateways) >= representatives {
+	if m.rank(gateways) >= representativesPerZone {
 		return nil
 	}
 	m.publish(now, m.buildSummary(gateways))
-	return m.pushZone(now)
+	return m.pushZoneSummary(now)
 }
 
-// gateways are the routers that other zones are told of, the representatives
-// first; a zone without routers names other members.
+// gateways returns the routers and frontends advertised to other zones, in rendezvous
+// order, so that the representatives come first. A zone without any advertises other
+// members.
 func (m *Machine) gateways() []Contact {
 	var routers, others []scoredContact
 	add := func(node api.Node) {
@@ -96,28 +97,30 @@
 	slices.SortFunc(routers, func(a, b scoredContact) int {
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.ID, b.ID))
 	})
-	var first []Contact
-	for _, each := range routers[:min(len(routers), m.settings.Gateways)] {
-		first = append(first, each.Contact)
+	var gateways []Contact
+	for _, scored := range routers[:min(len(routers), m.settings.Gateways)] {
+		gateways = append(gateways, scored.Contact)
 	}
-	return first
+	return gateways
 }
 
-// scoredContact is a contact with its place in the rendezvous order.
+// scoredContact is a contact with its rendezvous score; the highest comes first.
 type scoredContact struct {
 	Contact
 	score uint64
 }
 
+// rank returns this node's index among the gateways, or representativesPerZone if it is
+// not one of them.
 func (m *Machine) rank(gateways []Contact) int {
 	rank := slices.IndexFunc(gateways, func(c Contact) bool { return c.ID == m.self.ID })
 	if rank < 0 {
-		return representatives
+		return representativesPerZone
 	}
 	return rank
 }
 
-// buildSummary sums up the zone as this node sees it.
+// buildSummary aggregates this node's view of the zone.
 func (m *Machine) buildSummary(gateways []Contact) ZoneSummary {
 	summary := ZoneSummary{Location: m.self.Location, Gateways: gateways}
 	services := map[api.RowKey]*api.ServiceSummary{}
@@ -174,12 +177,13 @@
 }
 
 func (m *Machine) setZone(now time.Time, summary ZoneSummary) {
-	m.stamp++
-	m.zones[summary.Location] = &zoneEntry{summary: summary, received: now, stamp: m.stamp}
+	m.changeIndex++
+	m.zones[summary.Location] = &zoneEntry{summary: summary, received: now, changeIndex: m.changeIndex}
 }
 
-// urgentDifference tells whether other zones would go wrong with the old one.
-func urgentDifference(old, next ZoneSummary) bool {
+// differsUrgently reports whether gateways, stores, group leaders or offered rows
+// changed, so that other zones would act on wrong data until the next publication.
+func differsUrgently(old, next ZoneSummary) bool {
 	if !reflect.DeepEqual(old.Gateways, next.Gateways) || len(old.Stores) != len(next.Stores) {
 		return true
 	}
@@ -187,14 +191,14 @@
 		if old.Stores[i].Replica != next.Stores[i].Replica || old.Stores[i].DiskFull != next.Stores[i].DiskFull {
 			return true
 		}
-		if !reflect.DeepEqual(leaderships(old.Stores[i]), leaderships(next.Stores[i])) {
+		if !reflect.DeepEqual(leaderTerms(old.Stores[i]), leaderTerms(next.Stores[i])) {
 			return true
 		}
 	}
-	return !reflect.DeepEqual(offered(old), offered(next))
+	return !reflect.DeepEqual(offeredRows(old), offeredRows(next))
 }
 
-func leaderships(store StoreContact) map[api.GroupID]uint64 {
+func leaderTerms(store StoreContact) map[api.GroupID]uint64 {
 	leads := map[api.GroupID]uint64{}
 	for _, group := range store.Groups {
 		leads[group.Group] = group.Term
@@ -202,8 +206,8 @@
 	return leads
 }
 
-// offered are the rows for which the zone has a worker.
-func offered(summary ZoneSummary) map[api.RowKey]bool {
+// offeredRows returns the rows for which the zone has a worker.
+func offeredRows(summary ZoneSummary) map[api.RowKey]bool {
 	rows := map[api.RowKey]bool{}
 	for _, service := range summary.Services {
 		if service.Workers > 0 {
@@ -213,45 +217,45 @@
 	return rows
 }
 
-// exchangeZones compares the zones' versions with a gateway of the next zone.
-func (m *Machine) exchangeZones() []Action {
+// exchangeZoneSummaries compares versions with a contact of a random other zone.
+func (m *Machine) exchangeZoneSummaries() []Action {
 	others := m.otherZones()
 	if len(others) == 0 {
-		return m.introduceZone()
+		return m.contactSeeds()
 	}
 	zone := m.zones[others[m.settings.Random.IntN(len(others))]]
-	return m.sendZone(zone.contacts(), true)
+	return m.sendZoneSummary(zone.contacts(), true)
 }
 
-// introduceZone tells a seed of this zone while no other zone is known.
-func (m *Machine) introduceZone() []Action {
+// contactSeeds sends this zone's summary to a seed while no other zone is known.
+func (m *Machine) contactSeeds() []Action {
 	var seeds []Contact
 	for _, seed := range m.settings.Seeds {
 		if seed != m.self.Address {
 			seeds = append(seeds, Contact{Address: seed})
 		}
 	}
-	return m.sendZone(seeds, true)
+	return m.sendZoneSummary(seeds, true)
 }
 
-// pushZone sends the own summary to one contact of every other zone, at most
-// once in pushTicks: a later change waits for the next turn.
-func (m *Machine) pushZone(now time.Time) []Action {
-	m.pushDue = now.Sub(m.lastPush) < pushTicks*m.settings.Interval
-	if m.pushDue {
+// pushZoneSummary sends the zone's own summary to one contact of every other zone, at
+// most once per minPushTicks; otherwise it sets pushPending for a later tick.
+func (m *Machine) pushZoneSummary(now time.Time) []Action {
+	m.pushPending = now.Sub(m.lastPush) < minPushTicks*m.settings.Interval
+	if m.pushPending {
 		return nil
 	}
 	m.lastPush = now
 	var actions []Action
 	for _, location := range m.otherZones() {
-		actions = append(actions, m.sendZone(m.zones[location].contacts(), false)...)
+		actions = append(actions, m.sendZoneSummary(m.zones[location].contacts(), false)...)
 	}
 	return actions
 }
 
-// sendZone sends the own summary to one of the contacts; with compare it also
-// asks for what the contact knows better.
-func (m *Machine) sendZone(contacts []Contact, compare bool) []Action {
+// sendZoneSummary sends the zone's own summary to a random contact. With compare it
+// also requests summaries that are newer there.
+func (m *Machine) sendZoneSummary(contacts []Contact, compare bool) []Action {
 	if len(contacts) == 0 {
 		return nil
 	}
@@ -266,7 +270,7 @@
 	return []Action{Send{Address: chosen.Address, Peer: chosen.ID, Purpose: PurposeZone, Exchange: exchange}}
 }
 
-// otherZones lists the known zones but the view's own, sorted.
+// otherZones returns the known zones except that of the entries, sorted.
 func (m *Machine) otherZones() []api.Location {
 	var locations []api.Location
 	for location := range m.zones {
@@ -282,7 +286,7 @@
 	return cmp.Or(cmp.Compare(a.Region, b.Region), cmp.Compare(a.Zone, b.Zone))
 }
 
-func (m *Machine) foreignContacts() []Contact {
+func (m *Machine) remoteContacts() []Contact {
 	var contacts []Contact
 	for _, location := range m.otherZones() {
 		contacts = append(contacts, m.zones[location].contacts()...)
@@ -302,8 +306,8 @@
 	return versions
 }
 
-// newerZones gives the summaries that are newer here than the sender's; of those
-// that a heartbeat asks for only a few, the longest known first.
+// newerZones returns the summaries that are newer here than at the sender. A heartbeat
+// gets at most maxHeartbeatZones of them, least recently changed first.
 func (m *Machine) newerZones(exchange Exchange) []ZoneSummary {
 	known := map[api.Location]int64{}
 	for _, version := range exchange.Versions {
@@ -316,13 +320,13 @@
 		return zone.summary.Version > known[zone.summary.Location]
 	})
 	heartbeat := exchange.Location == m.self.Location && exchange.Digest == 0
-	if !heartbeat || len(newer) <= heartbeatZones {
+	if !heartbeat || len(newer) <= maxHeartbeatZones {
 		return newer
 	}
 	slices.SortStableFunc(newer, func(a, b ZoneSummary) int {
-		return cmp.Compare(m.zones[a.Location].stamp, m.zones[b.Location].stamp)
+		return cmp.Compare(m.zones[a.Location].changeIndex, m.zones[b.Location].changeIndex)
 	})
-	return newer[:heartbeatZones]
+	return newer[:maxHeartbeatZones]
 }
 
 func (m *Machine) zonesWhere(keep func(*zoneEntry) bool) []ZoneSummary {
@@ -336,7 +340,7 @@
 	return summaries
 }
 
-// mergeZones takes newer summaries.
+// mergeZones stores the summaries that are newer than the known ones.
 func (m *Machine) mergeZones(now time.Time, summaries []ZoneSummary) []Action {
 	changed := false
 	for _, summary := range summaries {
