--- a/table/codec.go
+++ b/table/codec.go
@@ -9,15 +9,15 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// KeyPrefix follows the settings' prefix in the key-value service.
+// KeyPrefix follows the configured prefix in keys of the key-value service.
 const KeyPrefix = "table/"
 
-// maximumRecords bounds the edits that a row remembers.
-const maximumRecords = 10
+// maxRecords bounds the edits kept with a row.
+const maxRecords = 10
 
-// storedRow is the value of a row's key. A deleted row stays as a tombstone,
-// so that its edits can still be found. The edits are written in the same
-// compare-and-swap as the row, which makes them exact.
+// storedRow is the value of a row's key. A deleted row is kept as a tombstone, so that
+// its edits can still be found. Records are written in the same compare-and-swap as the
+// row, so they are always consistent with it.
 type storedRow struct {
 	Row     api.Row        `json:"row"`
 	EditID  string         `json:"edit_id"`
@@ -25,29 +25,29 @@
 	Records []storedRecord `json:"records,omitempty"` // oldest first; the last wrote this value
 }
 
-// storedRecord is an edit. Revision is not known when it is written: it is the
-// key's for the last record, and the next record's Previous for the others.
+// storedRecord is an edit. Its revision is not known when it is written: for the last
+// record it is the key's, for any other the next record's Previous.
 type storedRecord struct {
 	ID       string    `json:"id"`
 	Time     time.Time `json:"time"`
 	By       string    `json:"by,omitempty"`
-	Previous int64     `json:"previous,omitempty"` // the key's revision before; 0: absent
+	Previous int64     `json:"previous,omitempty"` // the key's revision before the edit; 0 if absent
 	Before   *api.Row  `json:"before,omitempty"`
 	After    *api.Row  `json:"after,omitempty"`
 }
 
-// StoreKey is the key of a row.
+// StoreKey returns the key of a row in the key-value service.
 func StoreKey(prefix string, key api.RowKey) string {
 	return prefix + KeyPrefix + key.String()
 }
 
-// KeyOf reads a row's key; the inverse of StoreKey.
+// KeyOf parses a key of the key-value service; it is the inverse of StoreKey.
 func KeyOf(prefix, key string) (api.RowKey, error) {
 	name, found := strings.CutPrefix(key, prefix+KeyPrefix)
 	service, place, cut := strings.Cut(name, "/")
 	rowKey := api.RowKey{Service: api.ServiceName(service), Place: api.PlaceName(place)}
 	if !found || !cut {
-		return rowKey, fmt.Errorf("key %q is not service/place", key)
+		return rowKey, fmt.Errorf("key %q: want service/place", key)
 	}
 	if err := api.ValidateName("service", service); err != nil {
 		return rowKey, fmt.Errorf("key %q: %w", key, err)
@@ -58,12 +58,12 @@
 	return rowKey, nil
 }
 
-// Encode gives the value of a row that starts without past edits.
+// Encode returns the stored value of a row without past edits.
 func Encode(row api.Row, editID string) ([]byte, error) {
 	return json.Marshal(storedRow{Row: row, EditID: editID})
 }
 
-// Decode reads a stored value and checks the row.
+// Decode parses a stored value and validates its row.
 func Decode(value []byte, revision int64) (api.VersionedRow, error) {
 	stored, err := decodeStored(value)
 	if err != nil {
@@ -72,7 +72,8 @@
 	return stored.versioned(revision), nil
 }
 
-// DecodeKeyed reads the value of a key and checks that the row is the key's.
+// DecodeKeyed is Decode for the value of a key; it also checks that the row belongs to
+// the key.
 func DecodeKeyed(prefix, key string, value []byte, revision int64) (api.VersionedRow, error) {
 	rowKey, err := KeyOf(prefix, key)
 	if err != nil {
@@ -83,12 +84,12 @@
 		return row, err
 	}
 	if row.Row.Key() != rowKey {
-		return row, fmt.Errorf("decode row: the value is of row %s", row.Row.Key())
+		return row, fmt.Errorf("decode row: value belongs to row %s", row.Row.Key())
 	}
 	return row, nil
 }
 
-// History reads the edits that a stored value remembers, oldest first.
+// History returns the edits kept in a stored value, oldest first.
 func History(value []byte, revision int64) ([]api.EditRecord, error) {
 	stored, err := decodeStored(value)
 	if err != nil {
@@ -115,22 +116,22 @@
 func (s storedRow) history(revision int64) []api.EditRecord {
 	records := make([]api.EditRecord, len(s.Records))
 	for i, record := range s.Records {
-		tookEffect := revision
+		effective := revision
 		if i+1 < len(s.Records) {
-			tookEffect = s.Records[i+1].Previous
+			effective = s.Records[i+1].Previous
 		}
 		records[i] = api.EditRecord{
-			ID: record.ID, Key: s.Row.Key(), Revision: tookEffect, Time: record.Time,
+			ID: record.ID, Key: s.Row.Key(), Revision: effective, Time: record.Time,
 			By: record.By, Before: record.Before, After: record.After,
 		}
 	}
 	return records
 }
 
-// with adds a record and drops the oldest beyond the bound.
-func (s storedRow) with(record storedRecord) storedRow {
+// withRecord appends a record and drops the oldest beyond maxRecords.
+func (s storedRow) withRecord(record storedRecord) storedRow {
 	records := append(append([]storedRecord(nil), s.Records...), record)
-	if excess := len(records) - maximumRecords; excess > 0 {
+	if excess := len(records) - maxRecords; excess > 0 {
 		records = records[excess:]
 	}
 	s.Records = records
--- a/table/codec_test.go
+++ b/table/codec_test.go
@@ -41,16 +41,16 @@
 	})
 }
 
-func TestCSVFaultsNameLineAndColumn(t *testing.T) {
+func TestCSVErrorsNameLineAndColumn(t *testing.T) {
 	for name, test := range map[string]struct{ input, want string }{
 		"empty":          {"", "line 1"},
 		"unknown column": {"service,place,wieght\n", `"wieght"`},
 		"missing column": {"service,weight\n", "place is missing"},
-		"double column":  {"service,place,weight,weight\n", "stands twice"},
+		"double column":  {"service,place,weight,weight\n", "line 1: duplicate column weight"},
 		"not a number":   {"service,place,weight\na,b,1\nc,d,many\n", "line 3: column weight"},
 		"out of range":   {"service,place,priority\na,b,1000\n", "line 2: cell priority"},
 		"bad name":       {"service,place\na b,c\n", `line 2: service "a b"`},
-		"same row twice": {"service,place\na,b\nc,d\na,b\n", "line 4: row a/b stands on line 2"},
+		"same row twice": {"service,place\na,b\nc,d\na,b\n", "line 4: row a/b is already on line 2"},
 		"short line":     {"service,place,weight\na,b\n", "line 2: 2 cells"},
 		"bad quote":      {"service,place\n\"a,b\n", "line 2"},
 	} {
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestCSVOfSpreadsheets(t *testing.T) {
+func TestReadCSVFromSpreadsheet(t *testing.T) {
 	lines, err := ReadCSV([]byte("\xef\xbb\xbfplace;service;repeatable;weight\r\nnew;model;TRUE;\r\n\r\nold;model;false;2.5\r\n"))
 	if err != nil || len(lines) != 2 {
 		t.Fatalf("%v, %v", lines, err)
@@ -81,7 +81,7 @@
 		for _, line := range lines {
 			row := line.Change.Apply(api.Row{Service: line.Key.Service, Place: line.Key.Place})
 			if err := row.Validate(); err != nil {
-				t.Fatalf("line %d was read and is not valid: %v", line.Number, err)
+				t.Fatalf("line %d was accepted but is invalid: %v", line.Number, err)
 			}
 		}
 	})
@@ -98,7 +98,7 @@
 			t.Fatalf("decode %v, history %v", err, historyErr)
 		}
 		if err == nil && (math.IsNaN(row.Row.Weight) || row.Row.Validate() != nil) {
-			t.Fatalf("%s was read as %+v", value, row)
+			t.Fatalf("%s was decoded as %+v", value, row)
 		}
 	})
 }
--- a/table/csv.go
+++ b/table/csv.go
@@ -13,7 +13,7 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Columns of the table's CSV form, in the order of an export.
+// Columns of the table in CSV, in the order of an export.
 const (
 	ColumnService            = "service"
 	ColumnPlace              = "place"
@@ -25,7 +25,7 @@
 	ColumnRepeatable         = "repeatable"
 )
 
-// Columns lists all columns in the order of an export.
+// Columns returns all columns in the order of an export.
 func Columns() []string {
 	return []string{
 		ColumnService, ColumnPlace, ColumnWeight, ColumnBatchAllowance,
@@ -33,17 +33,17 @@
 	}
 }
 
-// maximumCSVRows bounds a file.
-const maximumCSVRows = 100_000
+// maxCSVRows bounds the rows of a file.
+const maxCSVRows = 100_000
 
-// Line is a row of a CSV file: the cells that the file has a column for.
+// Line is a row of a CSV file. Change holds its non-empty cells.
 type Line struct {
-	Number int // in the file, from 1
+	Number int // line number in the file, from 1
 	Key    api.RowKey
 	Change api.RowChange
 }
 
-// FormatCells gives a row's cells in the order of Columns.
+// FormatCells returns a row's cells in the order of Columns.
 func FormatCells(row api.Row) []string {
 	number := func(value float64) string { return strconv.FormatFloat(value, 'f', -1, 64) }
 	return []string{
@@ -68,24 +68,24 @@
 	return writer.Error()
 }
 
-// SetCell puts the text of a cell into the change; the error names the column.
+// SetCell parses the text of a cell into the change. Errors name the column.
 func SetCell(change *api.RowChange, column, text string) error {
 	var err error
 	switch column {
 	case ColumnWeight:
-		change.Weight, err = number(text)
+		change.Weight, err = parseFloat(text)
 	case ColumnBatchAllowance:
-		change.BatchAllowance, err = whole(text)
+		change.BatchAllowance, err = parseInt(text)
 	case ColumnCeilingConcurrency:
-		change.CeilingConcurrency, err = whole(text)
+		change.CeilingConcurrency, err = parseInt(text)
 	case ColumnCeilingRate:
-		change.CeilingRate, err = number(text)
+		change.CeilingRate, err = parseFloat(text)
 	case ColumnPriority:
-		change.Priority, err = whole(text)
+		change.Priority, err = parseInt(text)
 	case ColumnRepeatable:
-		change.Repeatable, err = truth(text)
+		change.Repeatable, err = parseBool(text)
 	default:
-		return fmt.Errorf("column %q is not known; there are %s", column, strings.Join(Columns(), ", "))
+		return fmt.Errorf("unknown column %q; valid columns are %s", column, strings.Join(Columns(), ", "))
 	}
 	if err != nil {
 		return fmt.Errorf("column %s: %w", column, err)
@@ -93,7 +93,7 @@
 	return nil
 }
 
-func number(text string) (*float64, error) {
+func parseFloat(text string) (*float64, error) {
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		return nil, fmt.Errorf("%q is not a number", text)
@@ -101,62 +101,62 @@
 	return &value, nil
 }
 
-func whole(text string) (*int, error) {
+func parseInt(text string) (*int, error) {
 	value, err := strconv.Atoi(text)
 	if err != nil {
-		return nil, fmt.Errorf("%q is not a whole number", text)
+		return nil, fmt.Errorf("%q is not an integer", text)
 	}
 	return &value, nil
 }
 
-func truth(text string) (*bool, error) {
+func parseBool(text string) (*bool, error) {
 	value, err := strconv.ParseBool(strings.ToLower(text))
 	if err != nil {
-		return nil, fmt.Errorf("%q is neither true nor false", text)
+		return nil, fmt.Errorf("%q is not true or false", text)
 	}
 	return &value, nil
 }
 
-// ReadCSV reads a whole file as spreadsheets write it: with or without a byte
-// order mark, separated by commas or semicolons, columns in any order. Columns
-// that are missing, and empty cells, stay as they are. All faults are reported,
-// each with its line and column.
+// ReadCSV parses a file as written by spreadsheets: with or without a byte order mark,
+// separated by commas or semicolons, with columns in any order. Missing columns and empty
+// cells leave the row's value unchanged. The returned error joins the errors of all
+// lines, each with its line number.
 func ReadCSV(input []byte) ([]Line, error) {
 	input = bytes.TrimPrefix(input, []byte("\xef\xbb\xbf"))
 	reader := csv.NewReader(bytes.NewReader(input))
-	reader.Comma = separator(input)
+	reader.Comma = detectSeparator(input)
 	reader.FieldsPerRecord = -1
 	reader.TrimLeadingSpace = true
 	header, err := reader.Read()
 	if err != nil {
-		return nil, fmt.Errorf("line 1: no header line: %w", err)
+		return nil, fmt.Errorf("line 1: read header: %w", err)
 	}
 	columns, err := readHeader(header)
 	if err != nil {
 		return nil, fmt.Errorf("line 1: %w", err)
 	}
 	var lines []Line
-	var faults []error
+	var problems []error
 	first := map[api.RowKey]int{}
 	for {
 		record, err := reader.Read()
 		if errors.Is(err, io.EOF) {
-			return lines, errors.Join(faults...)
+			return lines, errors.Join(problems...)
 		}
 		if err != nil {
-			return nil, errors.Join(append(faults, err)...)
+			return nil, errors.Join(append(problems, err)...)
 		}
 		number, _ := reader.FieldPos(0)
-		if len(lines) >= maximumCSVRows {
-			return nil, fmt.Errorf("line %d: more than %d rows", number, maximumCSVRows)
+		if len(lines) >= maxCSVRows {
+			return nil, fmt.Errorf("line %d: more than %d rows", number, maxCSVRows)
 		}
 		line, err := readLine(columns, record)
 		line.Number = number
 		if earlier, ok := first[line.Key]; ok && err == nil {
-			err = fmt.Errorf("row %s stands on line %d already", line.Key, earlier)
+			err = fmt.Errorf("row %s is already on line %d", line.Key, earlier)
 		}
 		if err != nil {
-			faults = append(faults, fmt.Errorf("line %d: %w", number, err))
+			problems = append(problems, fmt.Errorf("line %d: %w", number, err))
 			continue
 		}
 		first[line.Key] = number
@@ -164,7 +164,7 @@
 	}
 }
 
-func separator(input []byte) rune {
+func detectSeparator(input []byte) rune {
 	header, _, _ := bytes.Cut(input, []byte("\n"))
 	if bytes.ContainsRune(header, ';') && !bytes.ContainsRune(header, ',') {
 		return ';'
@@ -177,10 +177,10 @@
 	for i, name := range header {
 		columns[i] = strings.ToLower(strings.TrimSpace(name))
 		if !slices.Contains(Columns(), columns[i]) {
-			return nil, fmt.Errorf("column %q is not known; there are %s", name, strings.Join(Columns(), ", "))
+			return nil, fmt.Errorf("unknown column %q; valid columns are %s", name, strings.Join(Columns(), ", "))
 		}
 		if slices.Contains(columns[:i], columns[i]) {
-			return nil, fmt.Errorf("column %s stands twice", columns[i])
+			return nil, fmt.Errorf("duplicate column %s", columns[i])
 		}
 	}
 	for _, needed := range []string{ColumnService, ColumnPlace} {
@@ -209,8 +209,8 @@
 			}
 		}
 	}
-	// Ranges are checked on a row that has only these cells: each cell's range
-	// stands for itself.
+	// The range of a cell does not depend on other cells, so a row with only the
+	// given cells is enough for validation.
 	row := line.Change.Apply(api.Row{Service: line.Key.Service, Place: line.Key.Place})
 	return line, row.Validate()
 }
--- a/table/editor.go
+++ b/table/editor.go
@@ -8,37 +8,37 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// EditorMessage is what an Editor is stepped with.
+// EditorMessage is an input of Editor.Step.
 type EditorMessage interface{ editorMessage() }
 
-// Begin starts the edit; once.
+// Begin starts the edit. It is sent once.
 type Begin struct{}
 
-// StoredPair is a row's key as the key-value service holds it. Revision 0: the
-// key is absent.
+// StoredPair is the value and revision of a row's key in the key-value service. Revision
+// is 0 if the key is absent.
 type StoredPair struct {
 	Value    []byte
 	Revision int64
 }
 
-// ReadDone answers ReadRow.
+// ReadDone is the result of ReadRow.
 type ReadDone struct {
 	Pair     StoredPair
-	Revision int64 // of the service
+	Revision int64 // of the key-value service
 	Err      error
 }
 
-// SwapDone answers SwapRow. Unknown: the swap may or may not take effect, now
-// or later. Err without Unknown: it certainly did not and will not.
+// SwapDone is the result of SwapRow. If Unknown is set, the swap may or may not take
+// effect, now or later. Err without Unknown means that it did not and will not.
 type SwapDone struct {
 	Succeeded bool
-	Revision  int64 // of the service after the call
-	Standing  StoredPair
+	Revision  int64      // of the key-value service after the call
+	Standing  StoredPair // the key's current value, if the swap failed
 	Unknown   bool
 	Err       error
 }
 
-// GiveUp ends the edit with what is known.
+// GiveUp aborts the edit, for example on a timeout.
 type GiveUp struct{ Reason string }
 
 func (Begin) editorMessage()    {}
@@ -46,13 +46,13 @@
 func (SwapDone) editorMessage() {}
 func (GiveUp) editorMessage()   {}
 
-// EditorAction is what an Editor asks for; one is outstanding at a time.
+// EditorAction is an output of Editor.Step; at most one is outstanding.
 type EditorAction interface{ editorAction() }
 
 // ReadRow reads the row's key after the delay.
 type ReadRow struct{ Delay time.Duration }
 
-// SwapRow writes Value if the key's revision is still Expected (0: absent).
+// SwapRow writes Value if the key's revision is still Expected; 0 means absent.
 type SwapRow struct {
 	Expected int64
 	Value    []byte
@@ -65,42 +65,45 @@
 func (SwapRow) editorAction()  {}
 func (Finished) editorAction() {}
 
-// Bounds of an Editor's work.
 const (
-	maximumSwaps    = 12
-	firstRetryDelay = 50 * time.Millisecond
-	lastRetryDelay  = 2 * time.Second
+	maxSwaps      = 12
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 2 * time.Second
 )
 
-// Editor carries one edit through. Why its answer is never wrong:
-//   - accepted is said only after a swap was answered as done, or the row's own
-//     record of edits, written in the same swap, names the edit;
-//   - conflict and refused are said only when no swap is open: each was answered
-//     as not done, or its expected revision has been overtaken by another edit
-//     while the record shows that this one is not among those since;
-//   - all else is unknown. Sending the edit again with the same ID then settles
-//     it, because an edit that is found in the record is not written again.
+// Editor is the state machine of one edit, applied with compare-and-swap. Its outcomes
+// are reliable even if replies are lost:
+//   - accepted is reported only after a swap succeeded or the row's records, written in
+//     the same swap, contain the edit;
+//   - conflict and refused are reported only if no swap is unresolved: each failed, or the
+//     key has moved past its expected revision and the records since do not contain the
+//     edit;
+//   - anything else is reported as unknown. Resending the edit with the same ID then
+//     resolves it, because an edit found in the records is not written again.
+//
+// An Editor is not safe for concurrent use.
 type Editor struct {
-	edit     api.TableEdit
-	inForce  int64 // the table's revision at this node
-	base     StoredPair
-	row      storedRow      // of base; zero when absent
-	open     map[int64]bool // expected revisions of swaps whose outcome is not known
-	inFlight bool           // a swap has no answer yet
-	swaps    int
-	delay    time.Duration
-	finished bool
-	fault    fault
+	edit          api.TableEdit
+	localRevision int64 // the table's revision at this node
+	base          StoredPair
+	row           storedRow      // decoded from base; zero if absent
+	unresolved    map[int64]bool // expected revisions of swaps with unknown outcome
+	inFlight      bool           // a swap is outstanding
+	swaps         int
+	delay         time.Duration
+	finished      bool
+	fault         fault
 }
 
-const faultAcceptLost fault = "editor-reports-accepted-on-lost"
+const faultAcceptUnknown fault = "editor-reports-accepted-on-lost"
 
-// NewEditor prepares an edit at a node whose table in force has the revision.
-func NewEditor(edit api.TableEdit, inForce int64) *Editor {
-	return &Editor{edit: edit, inForce: inForce, open: map[int64]bool{}, delay: firstRetryDelay}
+// NewEditor returns an Editor for an edit at a node whose current table has the revision
+// localRevision.
+func NewEditor(edit api.TableEdit, localRevision int64) *Editor {
+	return &Editor{edit: edit, localRevision: localRevision, unresolved: map[int64]bool{}, delay: minRetryDelay}
 }
 
-// Step takes one message.
+// Step processes one message. After Finished it returns no more actions.
 func (e *Editor) Step(now time.Time, message EditorMessage) []EditorAction {
 	if e.finished {
 		return nil
@@ -113,7 +116,7 @@
 	case SwapDone:
 		return e.swapped(now, message)
 	case GiveUp:
-		return e.giveUp(message.Reason)
+		return e.abort(message.Reason)
 	}
 	return nil
 }
@@ -122,62 +125,61 @@
 	if done.Err != nil {
 		return e.retryRead()
 	}
-	if done.Revision < e.inForce && done.Revision > 0 {
+	if done.Revision < e.localRevision && done.Revision > 0 {
 		return e.refuse(fmt.Sprintf(
 			"the key-value service is at revision %d, behind %d of the table in force: it was restored or is not the same one",
-			done.Revision, e.inForce))
+			done.Revision, e.localRevision))
 	}
-	return e.settle(now, done.Pair)
+	return e.resolve(now, done.Pair)
 }
 
-// settle decides from the row that stands.
-func (e *Editor) settle(now time.Time, pair StoredPair) []EditorAction {
+// resolve decides the next step from the current value of the key.
+func (e *Editor) resolve(now time.Time, pair StoredPair) []EditorAction {
 	row, err := decodeBase(pair)
 	if err != nil {
 		return e.refuse(fmt.Sprintf("the row's value can't be read (%v); delete its key first", err))
 	}
-	if revision, ok := row.find(e.edit.ID, pair.Revision); ok {
-		return e.finish(api.EditResult{Outcome: api.EditAccepted, Revision: revision, Standing: standing(row, pair)})
+	if revision, ok := row.findEdit(e.edit.ID, pair.Revision); ok {
+		return e.finish(api.EditResult{Outcome: api.EditAccepted, Revision: revision, Standing: currentRow(row, pair)})
 	}
-	if e.mayBeForgotten(row, pair) {
+	if e.recordMayBeTruncated(row, pair) {
 		return e.unknown("the row was edited so often that its record may no longer show this edit", row, pair)
 	}
-	// An open swap that expected another revision can't take effect any more,
-	// and the record shows that it did not. One that expects the same revision
-	// as now is settled by writing again with the same ID.
-	for expected := range e.open {
+	// An unresolved swap that expected another revision can no longer take effect,
+	// and the records show that it did not. One that expects the current revision is
+	// resolved by writing again with the same ID.
+	for expected := range e.unresolved {
 		if expected != pair.Revision {
-			delete(e.open, expected)
+			delete(e.unresolved, expected)
 		}
 	}
-	if refusal := e.conflicts(row, pair); refusal != nil {
+	if refusal := e.checkConflict(row, pair); refusal != nil {
 		return refusal
 	}
 	e.base, e.row = pair, row
 	return e.swap(now)
 }
 
-// mayBeForgotten is true when the edit may have taken effect and no longer be
-// in the record: what took effect up to the revision that the record begins
-// after is not shown by it.
-func (e *Editor) mayBeForgotten(row storedRow, pair StoredPair) bool {
-	unseen := pair.Revision
+// recordMayBeTruncated reports whether the edit may have taken effect and since been
+// dropped from the row's records, which cover only edits after the first one's Previous.
+func (e *Editor) recordMayBeTruncated(row storedRow, pair StoredPair) bool {
+	truncatedAt := pair.Revision
 	if len(row.Records) > 0 {
-		unseen = row.Records[0].Previous
+		truncatedAt = row.Records[0].Previous
 	}
-	if e.edit.Since > 0 && unseen > e.edit.Since {
+	if e.edit.Since > 0 && truncatedAt > e.edit.Since {
 		return true
 	}
-	for expected := range e.open {
-		if expected != pair.Revision && (unseen > expected || pair.Revision == 0) {
+	for expected := range e.unresolved {
+		if expected != pair.Revision && (truncatedAt > expected || pair.Revision == 0) {
 			return true
 		}
 	}
 	return false
 }
 
-// conflicts refuses the edit when the row that stands rules it out.
-func (e *Editor) conflicts(row storedRow, pair StoredPair) []EditorAction {
+// checkConflict ends the edit if the current row rules it out; it returns nil otherwise.
+func (e *Editor) checkConflict(row storedRow, pair StoredPair) []EditorAction {
 	exists := pair.Revision > 0 && !row.Deleted
 	switch {
 	case e.edit.ExpectRevision > 0 && pair.Revision != e.edit.ExpectRevision:
@@ -190,10 +192,10 @@
 	if e.swaps == 0 {
 		return nil
 	}
-	// Another edit came in between. Other cells are kept; the same ones are a
-	// conflict.
+	// A concurrent edit changed the row. Edits of different cells are merged; edits of
+	// the same cells conflict.
 	switch {
-	case exists != e.existed():
+	case exists != e.baseExists():
 		return e.conflict(row, pair, "another edit created or deleted the row")
 	case e.edit.Delete && pair.Revision != e.base.Revision:
 		return e.conflict(row, pair, "another edit changed the row")
@@ -203,11 +205,11 @@
 	return nil
 }
 
-func (e *Editor) existed() bool { return e.base.Revision > 0 && !e.row.Deleted }
+func (e *Editor) baseExists() bool { return e.base.Revision > 0 && !e.row.Deleted }
 
 func (e *Editor) swap(now time.Time) []EditorAction {
-	if e.swaps >= maximumSwaps {
-		return e.giveUp("the row changes too often")
+	if e.swaps >= maxSwaps {
+		return e.abort("the row changes too often")
 	}
 	value, err := e.value(now)
 	if err != nil {
@@ -218,12 +220,12 @@
 	return []EditorAction{SwapRow{Expected: e.base.Revision, Value: value}}
 }
 
-// value gives what the edit makes of the base row.
+// value returns the encoded row that results from applying the edit to the base.
 func (e *Editor) value(now time.Time) ([]byte, error) {
 	record := storedRecord{ID: e.edit.ID, Time: now.UTC(), By: e.edit.By, Previous: e.base.Revision}
 	next := e.row
 	next.Row.Service, next.Row.Place = e.edit.Key.Service, e.edit.Key.Place
-	if e.existed() {
+	if e.baseExists() {
 		before := e.row.Row
 		record.Before = &before
 	} else {
@@ -238,32 +240,32 @@
 		after := next.Row
 		record.After = &after
 	}
-	return json.Marshal(next.with(record))
+	return json.Marshal(next.withRecord(record))
 }
 
 func (e *Editor) swapped(now time.Time, done SwapDone) []EditorAction {
 	e.inFlight = false
 	if done.Unknown {
-		e.open[e.base.Revision] = true
+		e.unresolved[e.base.Revision] = true
 	}
 	switch {
-	case done.Unknown && e.fault == faultAcceptLost:
+	case done.Unknown && e.fault == faultAcceptUnknown:
 		return e.finish(api.EditResult{Outcome: api.EditAccepted, Revision: e.base.Revision + 1})
 	case done.Unknown, done.Err != nil:
 		return e.retryRead()
 	case done.Succeeded:
 		return e.finish(api.EditResult{Outcome: api.EditAccepted, Revision: done.Revision})
 	}
-	return e.settle(now, done.Standing)
+	return e.resolve(now, done.Standing)
 }
 
 func (e *Editor) retryRead() []EditorAction {
 	delay := e.delay
-	e.delay = min(2*e.delay, lastRetryDelay)
+	e.delay = min(2*e.delay, maxRetryDelay)
 	return []EditorAction{ReadRow{Delay: delay}}
 }
 
-func (e *Editor) giveUp(reason string) []EditorAction {
+func (e *Editor) abort(reason string) []EditorAction {
 	if e.edit.Since > 0 {
 		return e.finish(api.EditResult{Outcome: api.EditUnknown, Message: reason})
 	}
@@ -271,27 +273,26 @@
 }
 
 func (e *Editor) unknown(reason string, row storedRow, pair StoredPair) []EditorAction {
-	return e.finish(api.EditResult{Outcome: api.EditUnknown, Standing: standing(row, pair), Message: reason})
+	return e.finish(api.EditResult{Outcome: api.EditUnknown, Standing: currentRow(row, pair), Message: reason})
 }
 
-// refuse ends an edit that has no open swap. With one open the outcome is not
-// known, whatever the reason.
+// refuse ends the edit as refused, or as unknown if a swap is unresolved.
 func (e *Editor) refuse(reason string) []EditorAction {
 	outcome := api.EditRefused
-	if e.unsettled() {
+	if e.hasUnresolvedSwap() {
 		outcome = api.EditUnknown
 	}
 	return e.finish(api.EditResult{Outcome: outcome, Message: reason})
 }
 
-func (e *Editor) unsettled() bool { return e.inFlight || len(e.open) > 0 }
+func (e *Editor) hasUnresolvedSwap() bool { return e.inFlight || len(e.unresolved) > 0 }
 
 func (e *Editor) conflict(row storedRow, pair StoredPair, reason string) []EditorAction {
 	outcome := api.EditConflict
-	if e.unsettled() {
+	if e.hasUnresolvedSwap() {
 		outcome = api.EditUnknown
 	}
-	return e.finish(api.EditResult{Outcome: outcome, Standing: standing(row, pair), Message: reason})
+	return e.finish(api.EditResult{Outcome: outcome, Standing: currentRow(row, pair), Message: reason})
 }
 
 func (e *Editor) finish(result api.EditResult) []EditorAction {
@@ -307,7 +308,7 @@
 	return decodeStored(pair.Value)
 }
 
-func standing(row storedRow, pair StoredPair) *api.VersionedRow {
+func currentRow(row storedRow, pair StoredPair) *api.VersionedRow {
 	if pair.Revision == 0 {
 		return nil
 	}
@@ -315,8 +316,9 @@
 	return &versioned
 }
 
-// find gives the revision at which the edit took effect, if the row shows it.
-func (s storedRow) find(id string, revision int64) (int64, bool) {
+// findEdit returns the revision at which the edit took effect, if the row's records
+// contain it.
+func (s storedRow) findEdit(id string, revision int64) (int64, bool) {
 	for _, record := range s.history(revision) {
 		if record.ID == id {
 			return record.Revision, true
--- a/table/editor_test.go
+++ b/table/editor_test.go
@@ -11,17 +11,17 @@
 	"github.com/dykewing/dykewing/sim"
 )
 
-// rowService is one key of a key-value service whose answers get lost and
-// whose swaps may take effect late.
-type rowService struct {
+// keyValueSim simulates one key of a key-value service that loses replies and applies
+// some swaps late.
+type keyValueSim struct {
 	simulation *sim.Simulation
 	random     *rand.Rand
 	revision   int64
 	pair       StoredPair
-	applied    map[string]int // swaps that took effect, by edit
+	applied    map[string]int // number of swaps that took effect, by edit
 }
 
-func (s *rowService) swap(edit string, swap SwapRow) SwapDone {
+func (s *keyValueSim) swap(edit string, swap SwapRow) SwapDone {
 	if swap.Expected != s.pair.Revision {
 		return SwapDone{Revision: s.revision, Standing: s.pair}
 	}
@@ -31,10 +31,9 @@
 	return SwapDone{Succeeded: true, Revision: s.revision}
 }
 
-// client is an operator's tool that sends one edit, and again while the outcome
-// is not known.
-type client struct {
-	service *rowService
+// editClient sends one edit and resends it while its outcome is unknown.
+type editClient struct {
+	service *keyValueSim
 	edit    api.TableEdit
 	editor  *Editor
 	fault   fault
@@ -42,7 +41,7 @@
 	result  api.EditResult
 }
 
-func (c *client) send() {
+func (c *editClient) send() {
 	c.sends++
 	c.editor = NewEditor(c.edit, 0)
 	c.editor.fault = c.fault
@@ -55,19 +54,19 @@
 	})
 }
 
-func (c *client) step(message EditorMessage) {
+func (c *editClient) step(message EditorMessage) {
 	for _, action := range c.editor.Step(c.service.simulation.Now(), message) {
 		c.execute(action)
 	}
 }
 
-func (c *client) execute(action EditorAction) {
+func (c *editClient) execute(action EditorAction) {
 	s := c.service
-	there := time.Duration(s.random.Int64N(int64(20 * time.Millisecond)))
-	back := time.Duration(s.random.Int64N(int64(20 * time.Millisecond)))
+	requestDelay := time.Duration(s.random.Int64N(int64(20 * time.Millisecond)))
+	replyDelay := time.Duration(s.random.Int64N(int64(20 * time.Millisecond)))
 	answer := func(message EditorMessage) {
 		editor := c.editor
-		s.simulation.After(back, func() {
+		s.simulation.After(replyDelay, func() {
 			if c.editor == editor {
 				c.step(message)
 			}
@@ -75,7 +74,7 @@
 	}
 	switch action := action.(type) {
 	case ReadRow:
-		s.simulation.After(action.Delay+there, func() {
+		s.simulation.After(action.Delay+requestDelay, func() {
 			if s.random.Float64() < 0.2 {
 				answer(ReadDone{Err: errors.New("timeout")})
 				return
@@ -83,7 +82,7 @@
 			answer(ReadDone{Pair: s.pair, Revision: s.revision})
 		})
 	case SwapRow:
-		c.executeSwap(action, there, answer)
+		c.executeSwap(action, requestDelay, answer)
 	case Finished:
 		c.result = action.Result
 		if c.result.Outcome == api.EditUnknown && c.sends < 4 {
@@ -93,35 +92,35 @@
 	}
 }
 
-func (c *client) executeSwap(swap SwapRow, there time.Duration, answer func(EditorMessage)) {
+func (c *editClient) executeSwap(swap SwapRow, requestDelay time.Duration, answer func(EditorMessage)) {
 	s := c.service
 	lost := SwapDone{Unknown: true, Err: errors.New("connection broke")}
 	switch draw := s.random.Float64(); {
-	case draw < 0.15: // the answer is lost
-		s.simulation.After(there, func() { s.swap(c.edit.ID, swap); answer(lost) })
+	case draw < 0.15: // the reply is lost
+		s.simulation.After(requestDelay, func() { s.swap(c.edit.ID, swap); answer(lost) })
 	case draw < 0.3: // the request is lost
-		s.simulation.After(there, func() { answer(lost) })
-	case draw < 0.45: // it takes effect long after its connection broke
-		s.simulation.After(there, func() { answer(lost) })
+		s.simulation.After(requestDelay, func() { answer(lost) })
+	case draw < 0.45: // the request takes effect long after its connection broke
+		s.simulation.After(requestDelay, func() { answer(lost) })
 		late := time.Duration(s.random.Int64N(int64(5 * time.Second)))
 		s.simulation.After(late, func() { s.swap(c.edit.ID, swap) })
 	case draw < 0.5: // refused by the rate limit
-		s.simulation.After(there, func() { answer(SwapDone{Err: errors.New("rate limit")}) })
+		s.simulation.After(requestDelay, func() { answer(SwapDone{Err: errors.New("rate limit")}) })
 	default:
-		s.simulation.After(there, func() { answer(s.swap(c.edit.ID, swap)) })
+		s.simulation.After(requestDelay, func() { answer(s.swap(c.edit.ID, swap)) })
 	}
 }
 
-// runEdits lets operators race for one row and gives the first wrong answer.
-func runEdits(seed uint64, planted fault) (string, map[api.EditOutcome]int) {
+// runEdits has clients edit one row concurrently and returns the first wrong outcome.
+func runEdits(seed uint64, injected fault) (string, map[api.EditOutcome]int) {
 	simulation := sim.New(seed)
-	service := &rowService{simulation: simulation, random: simulation.Fork(), revision: 1, applied: map[string]int{}}
+	service := &keyValueSim{simulation: simulation, random: simulation.Fork(), revision: 1, applied: map[string]int{}}
 	key := api.RowKey{Service: "model", Place: "east"}
-	var clients []*client
+	var clients []*editClient
 	for i := range 40 {
 		weight := float64(i)
 		allowance := i
-		c := &client{service: service, fault: planted}
+		c := &editClient{service: service, fault: injected}
 		c.edit = api.TableEdit{ID: fmt.Sprintf("edit-%d", i), Key: key, Create: i%3 == 0}
 		switch i % 4 {
 		case 0, 1:
@@ -160,7 +159,7 @@
 	return "", outcomes
 }
 
-func TestEditorNeverReportsWrongly(t *testing.T) {
+func TestEditorReportsCorrectOutcome(t *testing.T) {
 	total := map[api.EditOutcome]int{}
 	for seed := range uint64(300) {
 		wrong, outcomes := runEdits(seed, "")
@@ -174,25 +173,25 @@
 	t.Logf("outcomes: %v", total)
 	for _, outcome := range []api.EditOutcome{api.EditAccepted, api.EditConflict, api.EditRefused} {
 		if total[outcome] == 0 {
-			t.Errorf("no edit ended as %s: the run proves little", outcome)
+			t.Errorf("no edit ended as %s, so the runs do not cover it", outcome)
 		}
 	}
 	if total[api.EditUnknown] > total[api.EditAccepted]/2 {
-		t.Errorf("too many edits stayed unknown: %v", total)
+		t.Errorf("too many unknown outcomes: %v", total)
 	}
 }
 
-func TestPlantedEditorFaultIsCaught(t *testing.T) {
+func TestInjectedEditorFaultIsDetected(t *testing.T) {
 	for seed := range uint64(50) {
-		if wrong, _ := runEdits(seed, faultAcceptLost); wrong != "" {
-			t.Logf("caught: %s", wrong)
+		if wrong, _ := runEdits(seed, faultAcceptUnknown); wrong != "" {
+			t.Logf("detected: %s", wrong)
 			return
 		}
 	}
-	t.Error("an editor that reports accepted after a lost answer was not caught")
+	t.Error("an editor that reports accepted after a lost reply was not detected")
 }
 
-func TestEditorKeepsOtherCells(t *testing.T) {
+func TestEditorPreservesConcurrentlyEditedCells(t *testing.T) {
 	weight, allowance := 5.0, 7
 	row := api.Row{Service: "model", Place: "east", Weight: 1, BatchAllowance: 2, Priority: 3, Repeatable: true}
 	value, err := Encode(row, "first")
@@ -202,7 +201,7 @@
 	editor := NewEditor(api.TableEdit{ID: "mine", Key: row.Key(), Change: api.RowChange{Weight: &weight}}, 0)
 	editor.Step(sim.Epoch, Begin{})
 	editor.Step(sim.Epoch, ReadDone{Pair: StoredPair{Value: value, Revision: 5}, Revision: 9})
-	row.BatchAllowance = allowance // another operator's cell
+	row.BatchAllowance = allowance // another operator's edit
 	other, _ := Encode(row, "other")
 	actions := editor.Step(sim.Epoch, SwapDone{Standing: StoredPair{Value: other, Revision: 10}})
 	swap, ok := actions[0].(SwapRow)
@@ -218,7 +217,7 @@
 	}
 }
 
-func TestEditorRefusesARestoredService(t *testing.T) {
+func TestEditorRefusesRestoredKeyValueService(t *testing.T) {
 	editor := NewEditor(api.TableEdit{ID: "mine", Key: api.RowKey{Service: "model", Place: "east"}, Create: true}, 100)
 	editor.Step(sim.Epoch, Begin{})
 	actions := editor.Step(sim.Epoch, ReadDone{Revision: 60})
--- a/table/peer.go
+++ b/table/peer.go
@@ -6,10 +6,9 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// ChoosePeer draws one of the nearest nodes that has a newer table in force
-// than own: the same zone goes before the same region, and that before the
-// rest. Drawing keeps the few that have a revision first from being asked by
-// all. False when there is none.
+// ChoosePeer returns a random node among the nearest ones whose current table is newer
+// than own: the same zone is preferred to the same region, and that to the rest. The
+// random choice spreads requests over the peers. It returns false if there is none.
 func ChoosePeer(nodes []api.Node, self api.NodeID, location api.Location, own int64, random *rand.Rand) (api.Node, bool) {
 	var nearest []api.Node
 	best := -1
@@ -17,7 +16,7 @@
 		if node.ID == self || node.TableRevision <= max(own, 0) {
 			continue
 		}
-		nearness := nearnessOf(node.Location, location)
+		nearness := proximity(node.Location, location)
 		if nearness > best {
 			nearest, best = nearest[:0], nearness
 		}
@@ -31,7 +30,7 @@
 	return nearest[random.IntN(len(nearest))], true
 }
 
-func nearnessOf(a, b api.Location) int {
+func proximity(a, b api.Location) int {
 	switch {
 	case a == b:
 		return 2
--- a/table/snapshot.go
+++ b/table/snapshot.go
@@ -7,22 +7,22 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Snapshot is the table at one revision: it contains all changes up to it. It
-// is immutable.
+// Snapshot is the table at one revision, with all changes up to it. It is immutable and
+// safe for concurrent use.
 type Snapshot struct {
-	revision  int64
-	floor     int64 // tombstones up to this revision are dropped
-	rows      map[api.RowKey]api.VersionedRow
-	byService map[api.ServiceName][]api.Row // live rows, sorted by place
+	revision        int64
+	droppedRevision int64 // tombstones up to this revision may have been dropped
+	rows            map[api.RowKey]api.VersionedRow
+	byService       map[api.ServiceName][]api.Row // live rows, sorted by place
 }
 
-// NewSnapshot builds a snapshot from rows with one entry a key.
+// NewSnapshot returns a snapshot with the rows; the caller must not modify the map later.
 func NewSnapshot(revision int64, rows map[api.RowKey]api.VersionedRow) *Snapshot {
 	return newSnapshot(revision, 0, rows)
 }
 
 func newSnapshot(revision, floor int64, rows map[api.RowKey]api.VersionedRow) *Snapshot {
-	snapshot := &Snapshot{revision: revision, floor: floor, rows: rows, byService: map[api.ServiceName][]api.Row{}}
+	snapshot := &Snapshot{revision: revision, droppedRevision: floor, rows: rows, byService: map[api.ServiceName][]api.Row{}}
 	for _, versioned := range rows {
 		if !versioned.Deleted {
 			snapshot.byService[versioned.Row.Service] = append(snapshot.byService[versioned.Row.Service], versioned.Row)
@@ -34,25 +34,26 @@
 	return snapshot
 }
 
-// Revision is the newest key-value revision that the snapshot contains.
+// Revision returns the newest revision of the key-value service that the snapshot contains.
 func (s *Snapshot) Revision() int64 { return s.revision }
 
-// Service gives the live rows of a service, sorted by place; do not modify.
+// Service returns the live rows of a service, sorted by place. The caller must not modify
+// them.
 func (s *Snapshot) Service(service api.ServiceName) []api.Row { return s.byService[service] }
 
-// Row finds a live row.
+// Row returns the live row of the key, if any.
 func (s *Snapshot) Row(key api.RowKey) (api.Row, bool) {
 	versioned, ok := s.rows[key]
 	return versioned.Row, ok && !versioned.Deleted
 }
 
-// Version finds a row with its revision, also a tombstone.
+// Version returns the row or tombstone of the key with its revision, if any.
 func (s *Snapshot) Version(key api.RowKey) (api.VersionedRow, bool) {
 	versioned, ok := s.rows[key]
 	return versioned, ok
 }
 
-// Services lists the services with a live row, sorted.
+// Services returns the services with a live row, sorted.
 func (s *Snapshot) Services() []api.ServiceName {
 	names := make([]api.ServiceName, 0, len(s.byService))
 	for name := range s.byService {
@@ -62,7 +63,7 @@
 	return names
 }
 
-// Live counts the rows that are not deleted.
+// Live returns the number of live rows.
 func (s *Snapshot) Live() int {
 	count := 0
 	for _, rows := range s.byService {
@@ -71,7 +72,7 @@
 	return count
 }
 
-// After lists the rows newer than revision, tombstones included, oldest first.
+// After returns the rows newer than revision, including tombstones, oldest first.
 func (s *Snapshot) After(revision int64) []api.VersionedRow {
 	var newer []api.VersionedRow
 	for _, versioned := range s.rows {
@@ -85,10 +86,10 @@
 	return newer
 }
 
-// Delta gives what a node that has all changes up to after lacks: only the
-// changes, or the whole table when tombstones that it would need are dropped.
+// Delta returns what a node that has all changes up to after is missing: the changes
+// since, or the whole table if tombstones that it would need have been dropped.
 func (s *Snapshot) Delta(after int64) api.TableDelta {
-	if after < s.floor {
+	if after < s.droppedRevision {
 		live := slices.DeleteFunc(s.After(0), func(row api.VersionedRow) bool { return row.Deleted })
 		return api.TableDelta{Revision: s.revision, Rows: live, Full: true}
 	}
--- a/table/table.go
+++ b/table/table.go
@@ -1,7 +1,7 @@
-// Package table keeps the operators' table at a node: an immutable Snapshot
-// that request paths read without a lock, the Replica machine that applies
-// newer rows and never an older one, and the Editor machine that decides what
-// became of an edit.
+// Package table replicates the operators' table to a node. A Snapshot is immutable, so
+// that request paths read it without a lock. The Replica state machine applies changes
+// and never reverts to an older revision. The Editor state machine applies one edit and
+// determines its outcome.
 package table
 
 import (
@@ -12,47 +12,46 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// maximumTombstones bounds the deleted rows that a replica remembers. They are
-// only passed on: what keeps an old row from coming back is the revision of
-// the whole snapshot.
-const maximumTombstones = 256
+// maxTombstones bounds the tombstones that a replica keeps. They only serve deltas for
+// peers: the snapshot's revision alone prevents an old row from reappearing.
+const maxTombstones = 256
 
-// Message is what a Replica is stepped with.
+// Message is an input of Replica.Step.
 type Message interface{ tableMessage() }
 
 // Received carries changes from the key-value service or from a peer.
 type Received struct {
 	Delta api.TableDelta
-	// Unreadable are keys that a full delta found with values that are not
-	// valid: the rows in force stay.
+	// Unreadable holds the keys of a full delta whose values are invalid; their
+	// current rows are kept.
 	Unreadable []api.RowKey
 }
 
 func (Received) tableMessage() {}
 
-// Action is what a Replica asks for.
+// Action is an output of Replica.Step.
 type Action interface{ tableAction() }
 
-// InForce says that the snapshot is the one to serve with from now on.
+// InForce reports that the snapshot has become the current one.
 type InForce struct{ Snapshot *Snapshot }
 
-// Gap says that a delta was left aside because changes between Revision, which
-// is in force, and its start are missing: ask again from Revision.
+// Gap reports that a delta was ignored because changes between the current Revision and
+// its start are missing. The caller requests a new delta from Revision.
 type Gap struct{ Revision int64 }
 
 func (InForce) tableAction() {}
 func (Gap) tableAction()     {}
 
-// Replica applies newer rows. Invariants: a snapshot at revision R contains
-// all changes up to R, so a row of a revision up to R that is not in it is
-// known to be gone; the revision in force and the revision of each key never
-// fall.
+// Replica holds the current Snapshot and applies newer changes to it. Invariants: a
+// snapshot at revision R contains all changes up to R, so a row with a revision up to R
+// that is missing has been deleted; the current revision and that of each key never
+// decrease. A Replica is not safe for concurrent use.
 type Replica struct {
 	current *Snapshot
 	fault   fault
 }
 
-// fault is a planted defect, so that the checks can be shown to fail.
+// fault is an injected defect with which tests verify that their checks can fail.
 type fault string
 
 const (
@@ -61,13 +60,13 @@
 	faultIgnoreGap     fault = "ignore-gap"
 )
 
-// NewReplica starts without a table: a node serves only once it has one.
+// NewReplica returns a Replica without a snapshot; a node serves only once it has one.
 func NewReplica() *Replica { return &Replica{} }
 
-// Current is the snapshot in force; nil before the first.
+// Current returns the current snapshot; nil before the first.
 func (r *Replica) Current() *Snapshot { return r.current }
 
-// Step applies the changes that are newer than those in force.
+// Step applies a delta that is newer than the current snapshot.
 func (r *Replica) Step(_ time.Time, message Message) []Action {
 	received, ok := message.(Received)
 	if !ok {
@@ -85,7 +84,7 @@
 	return []Action{InForce{Snapshot: r.current}}
 }
 
-// revision is that in force, -1 before the first.
+// revision returns the current revision; -1 before the first.
 func (r *Replica) revision() int64 {
 	if r.current == nil {
 		return -1
@@ -98,23 +97,23 @@
 	rows := map[api.RowKey]api.VersionedRow{}
 	floor := int64(0)
 	if r.current != nil {
-		floor = r.current.floor
+		floor = r.current.droppedRevision
 		for key, row := range r.current.rows {
 			rows[key] = row
 		}
 	}
 	if delta.Full {
-		entomb(rows, received)
-		// Rows that came and went unseen have no tombstone here.
+		deleteMissing(rows, received)
+		// Rows created and deleted between the two revisions have no tombstone here.
 		floor = delta.Revision
 	}
 	for _, row := range delta.Rows {
-		// What a change up to the revision in force has left is already here.
+		// Rows up to the current revision are already in the snapshot.
 		if delta.Full || row.Revision > r.revision() || r.fault == faultApplyOlder {
 			r.applyRow(rows, row)
 		}
 	}
-	if len(rows) > maximumTombstones {
+	if len(rows) > maxTombstones {
 		floor = dropTombstones(rows, floor)
 	}
 	r.current = newSnapshot(delta.Revision, floor, rows)
@@ -131,10 +130,10 @@
 	rows[key] = row
 }
 
-// entomb marks the rows that a full delta no longer has as deleted at its
-// revision, unless their value there could not be read. Older tombstones are
-// raised too: the row may have come back and gone again unseen.
-func entomb(rows map[api.RowKey]api.VersionedRow, received Received) {
+// deleteMissing marks rows that are missing in a full delta as deleted at its revision,
+// unless their values were unreadable. The revisions of older tombstones are raised too,
+// since the row may have been recreated and deleted again in between.
+func deleteMissing(rows map[api.RowKey]api.VersionedRow, received Received) {
 	kept := map[api.RowKey]bool{}
 	for _, row := range received.Delta.Rows {
 		kept[row.Row.Key()] = true
@@ -149,8 +148,8 @@
 	}
 }
 
-// dropTombstones forgets the oldest tombstones beyond the bound and gives the
-// revision up to which they are dropped.
+// dropTombstones removes the oldest tombstones beyond maxTombstones and returns the
+// revision up to which tombstones may be missing.
 func dropTombstones(rows map[api.RowKey]api.VersionedRow, floor int64) int64 {
 	var tombstones []api.VersionedRow
 	for _, row := range rows {
@@ -158,7 +157,7 @@
 			tombstones = append(tombstones, row)
 		}
 	}
-	excess := len(tombstones) - maximumTombstones
+	excess := len(tombstones) - maxTombstones
 	if excess <= 0 {
 		return floor
 	}
