--- a/api/outcome.go
+++ b/api/outcome.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// Outcome tells what is known of a request's effect at a back end.
+// Outcome is what is known about a request's execution at a back end.
 type Outcome string
 
-// The outcomes. NotRun is claimed only with evidence (package retry).
+// Outcomes. OutcomeNotRun is reported only with evidence; see package retry.
 const (
 	OutcomeNotRun  Outcome = "not_run"
 	OutcomeRan     Outcome = "ran"
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// ErrorCode classifies a refusal or failure; it is the code in error bodies.
+// ErrorCode classifies a rejection or failure; it is the code in error bodies.
 type ErrorCode string
 
-// The error codes that callers, operators and other nodes see.
+// Error codes seen by callers, operators and other nodes, with their HTTP status.
 const (
 	CodeBadRequest       ErrorCode = "bad_request"       // 400
-	CodeUnauthorized     ErrorCode = "unauthorized"      // 401: no key that is in force
+	CodeUnauthorized     ErrorCode = "unauthorized"      // 401: no valid API key
 	CodeTooLarge         ErrorCode = "request_too_large" // 413
 	CodeNotFound         ErrorCode = "not_found"         // 404
 	CodeConflict         ErrorCode = "conflict"          // 409
 	CodeUnknownService   ErrorCode = "model_not_found"   // 404
 	CodeCeiling          ErrorCode = "ceiling_reached"   // 429
-	CodeRateLimit        ErrorCode = "rate_limit"        // 429: more requests than the tenant's limit
-	CodeQueueFull        ErrorCode = "queue_full"        // 429: more waits than the route's bound
+	CodeRateLimit        ErrorCode = "rate_limit"        // 429: the tenant's request limit is exceeded
+	CodeQueueFull        ErrorCode = "queue_full"        // 429: the route's queue is full
 	CodeNoCapacity       ErrorCode = "no_capacity"       // 503
 	CodeNoTable          ErrorCode = "no_table"          // 503
 	CodeNotLeader        ErrorCode = "not_leader"        // 503, internal
 	CodeNoQuorum         ErrorCode = "no_quorum"         // 503
-	CodeNoContact        ErrorCode = "no_contact"        // 503, internal: the key-value service does not answer
+	CodeNoContact        ErrorCode = "no_contact"        // 503, internal: the key-value service does not respond
 	CodeLeaving          ErrorCode = "leaving"           // 503
 	CodePreempted        ErrorCode = "preempted"         // 503, batch only
 	CodeDiskFull         ErrorCode = "disk_full"         // 507
@@ -44,12 +44,11 @@
 	CodeClientCancelled  ErrorCode = "client_cancelled"  // 499
 	CodeAlreadySubmitted ErrorCode = "in_progress"       // 409
 	CodeInternal         ErrorCode = "internal_error"    // 500
-	CodeOverloaded       ErrorCode = "overloaded"        // 503: this process holds all that it may
-	CodeQuarantined      ErrorCode = "quarantined"       // 502: workers have ended under the request
+	CodeOverloaded       ErrorCode = "overloaded"        // 503: this process is at its capacity
+	CodeQuarantined      ErrorCode = "quarantined"       // 502: the request is suspected of crashing workers
 	CodeRequestTimeout   ErrorCode = "request_timeout"   // 408: the caller sends too slowly
 )
 
-// httpStatus maps each code to the status it is answered with.
 var httpStatus = map[ErrorCode]int{
 	CodeBadRequest: 400, CodeUnauthorized: 401, CodeTooLarge: 413, CodeNotFound: 404, CodeConflict: 409,
 	CodeUnknownService: 404, CodeCeiling: 429, CodeRateLimit: 429, CodeQueueFull: 429, CodeNoCapacity: 503, CodeNoTable: 503,
@@ -59,7 +58,7 @@
 	CodeOverloaded: 503, CodeQuarantined: 502, CodeRequestTimeout: 408,
 }
 
-// HTTPStatus is the status that the code is answered with.
+// HTTPStatus returns the HTTP status for the code; 500 if the code is unknown.
 func (c ErrorCode) HTTPStatus() int {
 	if status, ok := httpStatus[c]; ok {
 		return status
@@ -67,19 +66,19 @@
 	return 500
 }
 
-// Error is a failure that carries the step and the peer at which it arose,
-// what is known of the request's effect, and when to come back.
+// Error is a failure with the step and the peer at which it occurred, the outcome of the
+// request and, optionally, when to retry.
 type Error struct {
 	Step       string        // what was being done, e.g. "dispatch to worker"
-	Peer       string        // node, worker or address; empty for this process
+	Peer       string        // node, worker or address; empty means this process
 	Code       ErrorCode     // class of the failure
-	Outcome    Outcome       // effect at a back end
-	RetryAfter time.Duration // 0: no advice
-	Leader     NodeID        // with CodeNotLeader: who leads, if known
-	Err        error         // cause, may be nil
+	Outcome    Outcome       // what is known about the execution at a back end
+	RetryAfter time.Duration // 0 means no advice
+	Leader     NodeID        // with CodeNotLeader: the leader, if known
+	Err        error         // cause; may be nil
 }
 
-// Error gives one line with step, peer, code and cause.
+// Error returns one line with step, peer, code and cause.
 func (e *Error) Error() string {
 	text := e.Step
 	if e.Peer != "" {
@@ -92,16 +91,16 @@
 	return text
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// NewError makes an Error whose cause is formatted as fmt.Errorf does.
+// NewError returns an Error whose cause is formatted as by fmt.Errorf.
 func NewError(step, peer string, code ErrorCode, outcome Outcome, format string, arguments ...any) *Error {
 	return &Error{Step: step, Peer: peer, Code: code, Outcome: outcome, Err: fmt.Errorf(format, arguments...)}
 }
 
-// AsError finds an *Error in the chain, or wraps err as an internal one whose
-// outcome is unknown.
+// AsError returns the first *Error in err's chain, or wraps err as an internal error with
+// an unknown outcome.
 func AsError(step string, err error) *Error {
 	var typed *Error
 	if errors.As(err, &typed) {
@@ -110,15 +109,15 @@
 	return &Error{Step: step, Code: CodeInternal, Outcome: OutcomeUnknown, Err: err}
 }
 
-// ErrorBody is the JSON body of every refusal; its shape is the OpenAI API's
-// with the outcome beside it.
+// ErrorBody is the JSON body of every error response: that of the OpenAI API, extended
+// by the outcome.
 type ErrorBody struct {
 	Error   ErrorDetail `json:"error"`
 	Outcome Outcome     `json:"dykewing_outcome"`
 }
 
-// ErrorDetail is the object that OpenAI clients read. It repeats the outcome
-// because those clients hand only this object to their callers.
+// ErrorDetail is the error object of the OpenAI API. It repeats the outcome because
+// OpenAI clients expose only this object to their callers.
 type ErrorDetail struct {
 	Message string    `json:"message"`
 	Type    string    `json:"type"`
--- a/api/row.go
+++ b/api/row.go
@@ -8,40 +8,42 @@
 
 // Limits of a row's cells, checked by Row.Validate.
 const (
-	MaximumWeight      = 1e6
-	MaximumSlots       = 1_000_000 // allowance and concurrency ceiling
-	MaximumRate        = 1e7       // requests a second
-	MaximumPriority    = 100
-	maximumNameLength  = 128
-	namePatternText    = `^[A-Za-z0-9][A-Za-z0-9._-]*$`
-	maximumEditIDBytes = 128
+	MaximumWeight   = 1e6
+	MaximumSlots    = 1_000_000 // allowance and concurrency ceiling
+	MaximumRate     = 1e7       // requests per second
+	MaximumPriority = 100
+	maxNameLength   = 128
+	namePatternText = `^[A-Za-z0-9][A-Za-z0-9._-]*$`
+	maxEditIDBytes  = 128
 )
 
 var namePattern = regexp.MustCompile(namePatternText)
 
-// Row is one row of the operators' table: a service in a place.
+// Row is one row of the operators' table: the policy for a service in a place.
 type Row struct {
 	Service ServiceName `json:"service"`
 	Place   PlaceName   `json:"place"`
-	// Weight is the row's share of the service's online traffic, relative to
-	// the other rows of the service. 0 sends nothing and drains the place.
+	// Weight is the row's share of the service's online traffic relative to the other
+	// rows of the service; 0 drains the place.
 	Weight float64 `json:"weight"`
-	// BatchAllowance is how many batch requests may run at once; 0 is none.
+	// BatchAllowance is the maximum of concurrent batch requests; 0 means none.
 	BatchAllowance int `json:"batch_allowance"`
-	// CeilingConcurrency bounds requests at once, both classes; 0 is no bound.
+	// CeilingConcurrency limits concurrent requests of both classes; 0 means no limit.
 	CeilingConcurrency int `json:"ceiling_concurrency"`
-	// CeilingRate bounds admitted requests a second, both classes; 0 is no bound.
+	// CeilingRate limits admitted requests per second of both classes; 0 means no
+	// limit.
 	CeilingRate float64 `json:"ceiling_rate"`
-	// Priority is passed to the engine for online requests; higher goes first.
+	// Priority is passed to the engine with online requests; higher goes first.
 	Priority int `json:"priority"`
-	// Repeatable is the default for requests that do not say.
+	// Repeatable is the default for requests that do not state whether they may be
+	// executed more than once.
 	Repeatable bool `json:"repeatable"`
 }
 
-// Key names the row.
+// Key returns the row's key.
 func (r Row) Key() RowKey { return RowKey{Service: r.Service, Place: r.Place} }
 
-// Validate names the first cell that is out of range.
+// Validate returns an error that names the first invalid cell.
 func (r Row) Validate() error {
 	if err := ValidateName("service", string(r.Service)); err != nil {
 		return err
@@ -67,23 +69,24 @@
 	return nil
 }
 
-// ValidateName checks a service or place name: letters, digits, dot, dash and
-// underscore, at most 128 bytes.
+// ValidateName checks a service or place name: letters, digits, dots, dashes and
+// underscores, beginning with a letter or digit, at most 128 bytes. Errors begin with
+// what.
 func ValidateName(what, name string) error {
-	if len(name) > maximumNameLength || !namePattern.MatchString(name) {
-		return fmt.Errorf("%s %q is not a name (%s, at most %d bytes)", what, name, namePatternText, maximumNameLength)
+	if len(name) > maxNameLength || !namePattern.MatchString(name) {
+		return fmt.Errorf("%s %q is not a name (%s, at most %d bytes)", what, name, namePatternText, maxNameLength)
 	}
 	return nil
 }
 
-// VersionedRow is a row as the key-value service holds it.
+// VersionedRow is a row as stored in the key-value service.
 type VersionedRow struct {
 	Row Row `json:"row"`
-	// Revision is the key's modification revision; a newer one always wins.
+	// Revision is the key's modification revision; the highest one wins.
 	Revision int64 `json:"revision"`
-	// EditID names the edit that wrote it, so that an edit whose answer was
+	// EditID identifies the edit that wrote the row, so that an edit whose reply was
 	// lost can be recognised.
 	EditID string `json:"edit_id"`
-	// Deleted marks a tombstone that keeps an old row from coming back.
+	// Deleted marks a tombstone, which keeps an old row from reappearing.
 	Deleted bool `json:"deleted,omitempty"`
 }
--- a/api/table.go
+++ b/api/table.go
@@ -6,18 +6,17 @@
 	"time"
 )
 
-// TableDelta carries what changed in the table after the revision After up to
-// Revision.
+// TableDelta holds the changes of the table after the revision After, up to Revision.
 type TableDelta struct {
 	After    int64          `json:"after,omitempty"`
-	Revision int64          `json:"revision"` // newest that the sender has in force
+	Revision int64          `json:"revision"` // the sender's current revision
 	Rows     []VersionedRow `json:"rows"`
-	// Full: Rows is the whole table at Revision; a row that is missing is not
-	// in the table any more.
+	// Full is set if Rows is the whole table at Revision, so that missing rows have
+	// been deleted.
 	Full bool `json:"full,omitempty"`
 }
 
-// RowChange names the cells that an edit sets; nil cells stay as they are.
+// RowChange holds the cells that an edit sets; nil cells are left unchanged.
 type RowChange struct {
 	Weight             *float64 `json:"weight,omitempty"`
 	BatchAllowance     *int     `json:"batch_allowance,omitempty"`
@@ -27,7 +26,7 @@
 	Repeatable         *bool    `json:"repeatable,omitempty"`
 }
 
-// Apply gives the row with the named cells set.
+// Apply returns the row with the change's cells set.
 func (c RowChange) Apply(row Row) Row {
 	set(&row.Weight, c.Weight)
 	set(&row.BatchAllowance, c.BatchAllowance)
@@ -44,9 +43,9 @@
 	}
 }
 
-// Overlaps tells whether two rows differ in a cell that the change names.
+// Overlaps reports whether two rows differ in a cell that the change sets.
 func (c RowChange) Overlaps(a, b Row) bool {
-	differs := func(named bool, order int) bool { return named && order != 0 }
+	differs := func(set bool, order int) bool { return set && order != 0 }
 	return differs(c.Weight != nil, cmp.Compare(a.Weight, b.Weight)) ||
 		differs(c.BatchAllowance != nil, cmp.Compare(a.BatchAllowance, b.BatchAllowance)) ||
 		differs(c.CeilingConcurrency != nil, cmp.Compare(a.CeilingConcurrency, b.CeilingConcurrency)) ||
@@ -55,33 +54,34 @@
 		(c.Repeatable != nil && a.Repeatable != b.Repeatable)
 }
 
-// TableEdit asks for one row to be changed.
+// TableEdit requests a change of one row.
 type TableEdit struct {
-	// ID names the edit for ever; a resend with the same ID takes effect once.
+	// ID identifies the edit permanently; resending it with the same ID has no further
+	// effect.
 	ID  string `json:"id"`
 	Key RowKey `json:"key"`
-	// Change sets cells of the row; Delete takes the row out instead.
+	// Change sets cells of the row; Delete deletes the row instead.
 	Change RowChange `json:"change"`
 	Delete bool      `json:"delete,omitempty"`
-	// Create allows a row that is not in the table yet.
+	// Create allows the edit to create the row.
 	Create bool `json:"create,omitempty"`
-	// ExpectRevision, when positive, is the revision that the row must have;
-	// otherwise it is read first, and edits of other cells meanwhile are kept.
+	// ExpectRevision, if positive, is the revision that the row must have. Otherwise
+	// the row is read first, and concurrent edits of other cells are merged.
 	ExpectRevision int64 `json:"expect_revision,omitempty"`
-	// Since, when positive, says that the answer to an earlier send with this ID
-	// was lost, and that the table was at Since or later before that send.
+	// Since, if positive, indicates a resend: the outcome of an earlier send with this
+	// ID is unknown, and the table was at revision Since or later before that send.
 	Since int64  `json:"since,omitempty"`
-	By    string `json:"by,omitempty"` // who asks, for the history
+	By    string `json:"by,omitempty"` // author, for the history
 }
 
-// Validate names the first field that is not as it must be; cells are checked
-// on the row that the edit makes.
+// Validate returns an error that names the first invalid field. Cells are validated
+// later, on the resulting row.
 func (e TableEdit) Validate() error {
-	if e.ID == "" || len(e.ID) > maximumEditIDBytes {
-		return fmt.Errorf("id of the edit must have 1 to %d bytes", maximumEditIDBytes)
+	if e.ID == "" || len(e.ID) > maxEditIDBytes {
+		return fmt.Errorf("id of the edit must have 1 to %d bytes", maxEditIDBytes)
 	}
-	if len(e.By) > maximumEditIDBytes {
-		return fmt.Errorf("by must have at most %d bytes", maximumEditIDBytes)
+	if len(e.By) > maxEditIDBytes {
+		return fmt.Errorf("by must have at most %d bytes", maxEditIDBytes)
 	}
 	if err := ValidateName("service", string(e.Key.Service)); err != nil {
 		return err
@@ -89,32 +89,32 @@
 	return ValidateName("place", string(e.Key.Place))
 }
 
-// EditOutcome tells what became of an edit.
+// EditOutcome is the outcome of an edit.
 type EditOutcome string
 
-// The outcomes of an edit.
+// Outcomes of an edit.
 const (
 	EditAccepted EditOutcome = "accepted" // took effect at Revision
-	EditConflict EditOutcome = "conflict" // had and will have no effect; Standing is another's value
-	EditRefused  EditOutcome = "refused"  // had and will have no effect; Message says why
-	EditUnknown  EditOutcome = "unknown"  // may or may not take effect; send it again with the same ID
+	EditConflict EditOutcome = "conflict" // has no effect, now or later; Standing is the row that conflicts
+	EditRefused  EditOutcome = "refused"  // has no effect, now or later; Message is the reason
+	EditUnknown  EditOutcome = "unknown"  // may or may not take effect; resend it with the same ID
 )
 
-// EditResult answers a TableEdit.
+// EditResult is the response to a TableEdit.
 type EditResult struct {
 	ID       string        `json:"id"`
 	Outcome  EditOutcome   `json:"outcome"`
-	Revision int64         `json:"revision,omitempty"` // at which it took effect
-	Standing *VersionedRow `json:"standing,omitempty"` // the row that stands, if known
+	Revision int64         `json:"revision,omitempty"` // at which the edit took effect
+	Standing *VersionedRow `json:"standing,omitempty"` // the current row, if known
 	Message  string        `json:"message,omitempty"`
 }
 
-// EditRecord is one past edit of a row, as the row itself keeps it.
+// EditRecord is one past edit of a row, as stored with the row.
 type EditRecord struct {
 	ID       string    `json:"id"`
 	Key      RowKey    `json:"key"`
-	Revision int64     `json:"revision"` // at which it took effect
-	Time     time.Time `json:"time"`     // of the router that wrote it
+	Revision int64     `json:"revision"` // at which the edit took effect
+	Time     time.Time `json:"time"`     // by the clock of the router that wrote it
 	By       string    `json:"by,omitempty"`
 	Before   *Row      `json:"before,omitempty"` // nil: the row was new
 	After    *Row      `json:"after,omitempty"`  // nil: the row was deleted
