--- a/config/config.go
+++ b/config/config.go
@@ -1,7 +1,7 @@
-// Package config reads and checks the settings file of a process.
+// Package config loads and validates the settings file of a process.
 //
-// The file is strict YAML: an unknown key, a bad address or a value out of
-// range is refused with its key and line.
+// The file is strict YAML: unknown keys, invalid addresses and values out of range are
+// reported with key and line.
 package config
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/dykewing/dykewing/ratelimit"
 )
 
-// Settings are all settings of a process; each role reads its own part.
+// Settings holds the settings of a process. Each role uses only its own sections.
 type Settings struct {
 	Node            Node            `koanf:"node"`
 	Peers           []string        `koanf:"peers" validate:"dive,hostport_ip"`
@@ -29,173 +29,173 @@
 	Tenants         Tenants         `koanf:"tenants"`
 }
 
-// Node says who and where the process is.
+// Node identifies the process and sets its resource limits.
 type Node struct {
 	ID      string `koanf:"id" validate:"required,max=128"`
-	Address string `koanf:"address" validate:"required,hostport_ip"` // internal protocol, metrics and health
+	Address string `koanf:"address" validate:"required,hostport_ip"` // serves the internal protocol, metrics and health
 	Region  string `koanf:"region" validate:"required,max=128"`
 	Zone    string `koanf:"zone" validate:"required,max=128"`
-	// StopTimeout bounds how long a planned stop waits for streams.
+	// StopTimeout bounds how long a graceful shutdown waits for streams.
 	StopTimeout time.Duration `koanf:"stop_timeout" validate:"min=1s,max=24h"`
-	// StopMargin is kept of StopTimeout for what ends after the streams, where a
-	// platform kills the process at StopTimeout.
+	// StopMargin is the part of StopTimeout reserved for the shutdown after the
+	// streams, for platforms that kill the process at StopTimeout.
 	StopMargin time.Duration `koanf:"stop_margin" validate:"min=0,max=1m,ltfield=StopTimeout"`
-	// MemoryMB is what the process may take in all, in MiB, before it is killed; 0
-	// is no bound. The heap is held to a part of it, and so is the log that stores
-	// keep in memory.
+	// MemoryMB is the process's memory limit in MiB; 0 means none. The heap and the
+	// stores' in-memory log are limited to fractions of it.
 	MemoryMB int `koanf:"memory_mb" validate:"min=0,max=1048576"`
-	// ProcessorShare is how much of a core the process may use; 0 is not known.
+	// ProcessorShare is the process's CPU limit in cores; 0 means unknown.
 	ProcessorShare float64 `koanf:"processor_share" validate:"min=0,max=1024"`
 }
 
-// heapShare of a process's memory is the heap's; the rest is for the program,
-// stacks and mapped files.
-const heapShare = 0.45
+// heapFraction is the fraction of a process's memory limit for the heap. The rest is for
+// the program, stacks and mapped files.
+const heapFraction = 0.45
 
-// HeapBytes is what the heap is held to; 0 is no bound.
-func (n Node) HeapBytes() int64 { return int64(heapShare * float64(n.MemoryMB) * (1 << 20)) }
+// HeapBytes returns the limit of the heap in bytes; 0 means none.
+func (n Node) HeapBytes() int64 { return int64(heapFraction * float64(n.MemoryMB) * (1 << 20)) }
 
-// StopWithin is how long a planned stop may take.
+// StopWithin returns how long a graceful shutdown may take: StopTimeout less StopMargin.
 func (n Node) StopWithin() time.Duration { return n.StopTimeout - n.StopMargin }
 
-// Location is the node's region and zone.
+// Location returns the node's region and zone.
 func (n Node) Location() api.Location {
 	return api.Location{Region: api.RegionName(n.Region), Zone: api.ZoneName(n.Zone)}
 }
 
-// Membership sets the heartbeats between processes.
+// Membership configures heartbeats and failure detection.
 type Membership struct {
 	Interval       time.Duration `koanf:"interval" validate:"min=10ms,max=1m"`
 	SuspectTimeout time.Duration `koanf:"suspect_timeout" validate:"min=50ms,max=10m"`
 }
 
-// KeyValueService says where the operators' table is.
+// KeyValueService configures access to the service that stores the operators' table.
 type KeyValueService struct {
 	Endpoints         []string      `koanf:"endpoints" validate:"dive,url"`
 	Prefix            string        `koanf:"prefix" validate:"required,startswith=/"`
 	Timeout           time.Duration `koanf:"timeout" validate:"min=10ms,max=1m"`
 	RequestsPerSecond float64       `koanf:"requests_per_second" validate:"gt=0,max=100000"`
-	// Watchers is how many routers of the fleet watch the service.
+	// Watchers is the number of routers in the fleet that watch the service.
 	Watchers int `koanf:"watchers" validate:"min=1,max=100"`
 }
 
-// MachineList says where the platform lists workers, in the HTTP
-// service-discovery JSON that Prometheus published.
+// MachineList configures the platform's list of workers, in the format of Prometheus HTTP
+// service discovery.
 type MachineList struct {
 	URL      string        `koanf:"url" validate:"omitempty,url"`
 	Interval time.Duration `koanf:"interval" validate:"min=10ms,max=10m"`
 }
 
-// Sidecar is for the role beside callers.
+// Sidecar configures the role that runs beside callers.
 type Sidecar struct {
-	Address          string        `koanf:"address" validate:"omitempty,hostport_ip"` // where callers connect
+	Address          string        `koanf:"address" validate:"omitempty,hostport_ip"` // serves callers
 	DefaultDeadline  time.Duration `koanf:"default_deadline" validate:"min=100ms,max=24h"`
 	MaximumBodyBytes int64         `koanf:"maximum_body_bytes" validate:"min=1024,max=1073741824"`
 	MaximumFileBytes int64         `koanf:"maximum_file_bytes" validate:"min=1024,max=17179869184"`
 }
 
-// Router is for the role that is home of workers.
+// Router configures the role that is home of workers.
 type Router struct {
-	BatchReserve float64 `koanf:"batch_reserve" validate:"min=0,max=1"` // share of slots that batch leaves free
-	// BatchStartPressure is the share of a row's workers up to which online
-	// requests may wait for their first token while batch is still sent.
+	BatchReserve float64 `koanf:"batch_reserve" validate:"min=0,max=1"` // fraction of slots that batch leaves free
+	// BatchStartPressure is the maximum number of online requests waiting for their
+	// first token, per worker of a row, at which batch is still sent.
 	BatchStartPressure float64       `koanf:"batch_start_pressure" validate:"min=0,max=1000"`
 	ClaimWait          time.Duration `koanf:"claim_wait" validate:"min=10ms,max=1m"`
 	LoadInterval       time.Duration `koanf:"load_interval" validate:"min=10ms,max=1m"`
 	EngineTimeout      time.Duration `koanf:"engine_timeout" validate:"min=100ms,max=24h"`
 }
 
-// Frontend is for the role that takes callers' requests and sends them straight
-// to workers.
+// Frontend configures the role that accepts callers' requests and sends them directly to
+// workers.
 type Frontend struct {
-	Address         string `koanf:"address" validate:"omitempty,hostport_ip"`          // where callers connect
-	ReadyAddress    string `koanf:"ready_address" validate:"omitempty,hostport_ip"`    // where readiness is asked
-	RegistryAddress string `koanf:"registry_address" validate:"omitempty,hostport_ip"` // where callers ask for addresses
-	// AddressLifetime is how long a caller may use the registry's answer; some
-	// hold it ForgetFactor times as long.
+	Address         string `koanf:"address" validate:"omitempty,hostport_ip"`          // serves callers
+	ReadyAddress    string `koanf:"ready_address" validate:"omitempty,hostport_ip"`    // serves readiness checks
+	RegistryAddress string `koanf:"registry_address" validate:"omitempty,hostport_ip"` // serves the registry of frontend addresses
+	// AddressLifetime is the TTL of the registry's responses; some callers keep them
+	// ForgetFactor times as long.
 	AddressLifetime time.Duration `koanf:"address_lifetime" validate:"min=100ms,max=1h"`
 	ForgetFactor    float64       `koanf:"forget_factor" validate:"min=1,max=100"`
-	// RetryAfter is the advice that goes with a refusal.
+	// RetryAfter is the retry delay advised in rejections.
 	RetryAfter time.Duration `koanf:"retry_after" validate:"min=1ms,max=1m"`
 }
 
-// Tenants says how exactly tenants' limits of requests are to hold.
+// Tenants configures the tolerance of tenants' request limits.
 type Tenants struct {
-	// Window is the span over which they are counted, Overshoot the share and Allowance
-	// the requests by which a window may pass the limit: the room for what processes
-	// can't tell each other in time.
+	// Window is the interval over which requests are counted. Overshoot, as a fraction
+	// of the limit, and Allowance, in requests, bound the excess per window, which
+	// results from the delay of coordination between processes.
 	Window    time.Duration `koanf:"window" validate:"min=100ms,max=1h"`
 	Overshoot float64       `koanf:"overshoot" validate:"min=0,max=10"`
 	Allowance float64       `koanf:"allowance" validate:"min=0,max=1000000"`
 }
 
-// Tolerance is what the limits' machines are given.
+// Tolerance converts the settings for package ratelimit.
 func (t Tenants) Tolerance() ratelimit.Tolerance {
 	return ratelimit.Tolerance{Window: t.Window, Overshoot: t.Overshoot, Allowance: t.Allowance}
 }
 
-// Platform is where the platform keeps what lasts, for roles that run on it.
+// Platform configures access to the platform's store of persistent keys.
 type Platform struct {
 	StoreAddress string        `koanf:"store_address" validate:"omitempty,hostport_ip"`
 	Timeout      time.Duration `koanf:"timeout" validate:"min=10ms,max=1m"`
-	// Freshness bounds how long a watch may wait without a word: what the store
-	// forgot to tell is found out within it.
+	// Freshness bounds how long a watch may wait without a response, and with it how
+	// long a change may stay unnoticed that the store failed to report.
 	Freshness time.Duration `koanf:"freshness" validate:"min=100ms,max=30s"`
-	// ChangesWithin is the time within which a change of the store's keys has to be
-	// known in every process that can be reached.
+	// ChangesWithin is the maximum time until every reachable process knows a change of
+	// the store's keys.
 	ChangesWithin time.Duration `koanf:"changes_within" validate:"min=500ms,max=1m"`
-	// ReadsPerSecond and WritesPerSecond are what the store takes of all processes
-	// together; each keeps to its part. 0 is no bound.
+	// ReadsPerSecond and WritesPerSecond limit the load of all processes together on
+	// the store; each process uses its share. 0 means no limit.
 	ReadsPerSecond  float64 `koanf:"reads_per_second" validate:"min=0,max=1000000"`
 	WritesPerSecond float64 `koanf:"writes_per_second" validate:"min=0,max=1000000"`
 }
 
-// longWaitShare of Freshness is how long a watch that a process keeps for itself
-// waits for changes.
-const longWaitShare = 0.75
+// longPollFraction is the fraction of Freshness that a process's own watch waits for
+// changes.
+const longPollFraction = 0.75
 
-// LongWait is how long a process that asks the store only for itself lets it wait.
+// LongWait returns the long-poll timeout of a watch that serves only this process.
 func (p Platform) LongWait() time.Duration {
-	return time.Duration(longWaitShare * float64(p.Freshness))
+	return time.Duration(longPollFraction * float64(p.Freshness))
 }
 
-// Batch sets how a leading store runs batch items.
+// Batch configures how a leading store runs batch items.
 type Batch struct {
-	// ReportInterval is how often workers are asked for their load while items run.
+	// ReportInterval is the interval at which workers are polled for their load while
+	// items run.
 	ReportInterval time.Duration `koanf:"report_interval" validate:"min=10ms,max=1m"`
-	// Silence is how long a worker may send nothing before its item goes on elsewhere.
+	// Silence is how long a worker may send nothing before its item is moved to another.
 	Silence time.Duration `koanf:"silence" validate:"min=100ms,max=10m"`
-	// Retention of a job whose submission does not say.
+	// Retention is the default retention of jobs.
 	Retention time.Duration `koanf:"retention" validate:"min=1s"`
 }
 
-// Store is for the role with a small disk.
+// Store configures the role that stores jobs and files on disk.
 type Store struct {
 	DataFolder string `koanf:"data_folder"`
-	// Groups of jobs; each has a leader that runs its items. 0 is as many as a group
-	// has replicas, and one where that is no more than three: a fleet that has to
-	// bear more losses is a larger one.
+	// Groups is the number of replicated groups of jobs; the leader of each runs its
+	// items. 0 selects one group for up to three replicas, else as many groups as a
+	// group has replicas.
 	Groups   int `koanf:"groups" validate:"min=0,max=1024"`
-	Replicas int `koanf:"replicas" validate:"min=1,max=7"` // of each group
-	// ToleratedLosses are numbers of machines, zones and the like whose loss is to
-	// be borne: the largest decides the replicas, two for each and one. Without
-	// any, Replicas stands.
+	Replicas int `koanf:"replicas" validate:"min=1,max=7"` // per group
+	// ToleratedLosses lists how many simultaneous losses of machines, zones and larger
+	// failure domains are tolerated. A group has 2n+1 replicas for the largest n;
+	// without any entry it has Replicas.
 	ToleratedLosses []int         `koanf:"tolerated_losses" validate:"dive,min=0,max=3"`
 	Heartbeat       time.Duration `koanf:"heartbeat" validate:"min=5ms,max=10s"`
 	ElectionTimeout time.Duration `koanf:"election_timeout" validate:"min=20ms,max=1m"`
 	GrantLifetime   time.Duration `koanf:"grant_lifetime" validate:"min=100ms,max=24h"`
-	Retention       time.Duration `koanf:"retention" validate:"min=1m"` // of ended jobs, files and records
-	// MinimumFreeBytes is the free space below which no new work is taken.
+	Retention       time.Duration `koanf:"retention" validate:"min=1m"` // of finished jobs, files and records
+	// MinimumFreeBytes is the free disk space below which no new work is accepted.
 	MinimumFreeBytes int64 `koanf:"minimum_free_bytes" validate:"min=0"`
-	// ReplaceAfter is how long a replica may be out of sight before another
-	// store takes its place; a disk known to be gone is replaced at once.
+	// ReplaceAfter is how long a replica may be unreachable before another store
+	// replaces it. A disk known to be lost is replaced at once.
 	ReplaceAfter time.Duration `koanf:"replace_after" validate:"min=100ms,max=24h"`
-	// SnapshotEntries is how many applied entries are kept in the log before
-	// it is compacted.
+	// SnapshotEntries is the number of applied entries after which the log is
+	// compacted.
 	SnapshotEntries int `koanf:"snapshot_entries" validate:"min=100,max=10000000"`
 }
 
-// Voters is how many replicas a group has.
+// Voters returns the number of replicas of each group.
 func (s Store) Voters() int {
 	if len(s.ToleratedLosses) == 0 {
 		return s.Replicas
@@ -203,50 +203,51 @@
 	return 2*slices.Max(s.ToleratedLosses) + 1
 }
 
-// Gathered tells whether groups have to outlive machines, but no zone and nothing larger:
-// their voters then keep to few zones. Deployments that say nothing of zones spread them.
+// Gathered reports whether groups need not survive the loss of a zone or anything larger,
+// so that their voters are placed in few zones. Without ToleratedLosses for zones, voters
+// are spread.
 func (s Store) Gathered() bool {
 	return len(s.ToleratedLosses) > 1 && slices.Max(s.ToleratedLosses[1:]) == 0
 }
 
-// fewVoters is up to which replicas one group is enough.
-const fewVoters = 3
+// singleGroupMaxVoters is the largest number of replicas for which Groups defaults to 1.
+const singleGroupMaxVoters = 3
 
-// deriveGroups is Groups where the settings leave it to the fleet's size.
+// deriveGroups returns Groups, or its default if it is 0.
 func (s Store) deriveGroups() int {
 	switch voters := s.Voters(); {
 	case s.Groups > 0:
 		return s.Groups
-	case voters <= fewVoters:
+	case voters <= singleGroupMaxVoters:
 		return 1
 	default:
 		return voters
 	}
 }
 
-// Bounds of how a small processor stretches the election timeout.
+// Bounds of the scaling of the election timeout on small processors.
 const (
-	unstretchedShare = 0.8 // of a core, from which ElectionTimeout holds as it is
-	mostStretch      = 4.0
+	minUnscaledShare = 0.8 // in cores; ElectionTimeout is not scaled at this share or more
+	maxElectionScale = 4.0
 )
 
-// ElectionTimeoutAt is ElectionTimeout at a share of a core (0: not known): what
-// keeps a leader from its heartbeats takes longer on a smaller processor, and a
-// leader that is only slow must not be replaced by one that is as slow.
+// ElectionTimeoutAt returns ElectionTimeout scaled for a processor share in cores (0:
+// unknown). On a smaller processor a leader's heartbeats are delayed longer, and
+// replacing a slow leader by an equally slow one gains nothing.
 func (s Store) ElectionTimeoutAt(processorShare float64) time.Duration {
-	if processorShare <= 0 || processorShare >= unstretchedShare {
+	if processorShare <= 0 || processorShare >= minUnscaledShare {
 		return s.ElectionTimeout
 	}
-	return time.Duration(min(unstretchedShare/processorShare, mostStretch) * float64(s.ElectionTimeout))
+	return time.Duration(min(minUnscaledShare/processorShare, maxElectionScale) * float64(s.ElectionTimeout))
 }
 
-// Log sets the log output.
+// Log configures the log output.
 type Log struct {
 	Level  string `koanf:"level" validate:"oneof=debug info warn error"`
 	Format string `koanf:"format" validate:"oneof=text json"`
 }
 
-// Default gives the settings that hold where the file is silent.
+// Default returns the default settings.
 func Default() Settings {
 	return Settings{
 		Node:       Node{Region: "local", Zone: "local", StopTimeout: 10 * time.Minute},
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-func TestVotersFollowTheLossesToBeBorne(t *testing.T) {
-	for _, each := range []struct {
+func TestVotersFollowToleratedLosses(t *testing.T) {
+	for _, test := range []struct {
 		store Store
 		want  int
 	}{
 		{Store{Replicas: 3}, 3}, {Store{Replicas: 3, ToleratedLosses: []int{0, 0, 0}}, 1},
 		{Store{ToleratedLosses: []int{1, 0}}, 3}, {Store{ToleratedLosses: []int{0, 2, 1}}, 5},
 	} {
-		if got := each.store.Voters(); got != each.want {
-			t.Errorf("%+v: %d voters", each.store, got)
+		if got := test.store.Voters(); got != test.want {
+			t.Errorf("%+v: %d voters", test.store, got)
 		}
 	}
 }
 
-func TestASmallProcessorStretchesTheElectionTimeout(t *testing.T) {
+func TestElectionTimeoutScalesWithSmallProcessorShare(t *testing.T) {
 	store := Store{ElectionTimeout: 200 * time.Millisecond}
 	for _, test := range []struct {
 		share float64
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestGroupsFollowTheLossesToBeBorne(t *testing.T) {
+func TestGroupsFollowToleratedLosses(t *testing.T) {
 	for _, test := range []struct {
 		store Store
 		want  int
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestGroupsAreGatheredOnlyWhereNoZoneHasToBeOutlived(t *testing.T) {
+func TestGatheredOnlyIfNoZoneLossIsTolerated(t *testing.T) {
 	for _, test := range []struct {
 		losses []int
 		want   bool
--- a/config/load.go
+++ b/config/load.go
@@ -17,15 +17,15 @@
 
 const keyDelimiter = "."
 
-// Problem is a fault of one key in a settings file.
+// Problem is an error in one key of a settings file.
 type Problem struct {
 	File string
-	Line int // 0 when the key is not in the file
+	Line int // 0 if the key is not in the file
 	Key  string
 	Err  error
 }
 
-// Error gives file, line, key and fault in one line.
+// Error returns file, line, key and cause in one line.
 func (p *Problem) Error() string {
 	if p.Line > 0 {
 		return fmt.Sprintf("settings %s line %d: %s: %v", p.File, p.Line, p.Key, p.Err)
@@ -33,11 +33,11 @@
 	return fmt.Sprintf("settings %s: %s: %v", p.File, p.Key, p.Err)
 }
 
-// Unwrap gives the fault.
+// Unwrap returns the cause.
 func (p *Problem) Unwrap() error { return p.Err }
 
-// Load reads the file over the defaults; overrides (key path to value, from
-// flags) go before the file. All problems are joined in the error.
+// Load reads a settings file. Values take precedence in the order overrides (key path to
+// value, from flags), file, defaults. The error joins all problems found.
 func Load(file string, overrides map[string]any) (Settings, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return Parse(file, raw, overrides)
 }
 
-// Parse is Load for bytes; file only names them in errors.
+// Parse is Load for the content of a file; file is used only in errors.
 func Parse(file string, raw []byte, overrides map[string]any) (Settings, error) {
 	settings := Default()
 	err := ParseDocument(file, raw, overrides, &settings)
@@ -54,8 +54,8 @@
 	return settings, err
 }
 
-// ParseDocument reads strict YAML into target, a pointer to a struct with
-// koanf and validate tags that holds the defaults. Problems are joined.
+// ParseDocument parses strict YAML into target, a pointer to a struct with koanf and
+// validate tags that holds the defaults. The error joins all problems found.
 func ParseDocument(file string, raw []byte, overrides map[string]any, target any) error {
 	k := koanf.New(keyDelimiter)
 	if err := k.Load(rawbytes.Provider(raw), yaml.Parser()); err != nil {
@@ -66,7 +66,7 @@
 			return fmt.Errorf("set %s from flag: %w", key, err)
 		}
 	}
-	locate := lineFinder(raw)
+	locate := newLineFinder(raw)
 	if err := decode(k, target, file, locate); err != nil {
 		return err
 	}
@@ -99,30 +99,30 @@
 
 func check(settings any, file string, locate func(string) int) error {
 	err := newValidator().Struct(settings)
-	var faults validator.ValidationErrors
-	if !errors.As(err, &faults) {
+	var fieldErrors validator.ValidationErrors
+	if !errors.As(err, &fieldErrors) {
 		return err
 	}
-	problems := make([]error, 0, len(faults))
-	for _, fault := range faults {
-		_, key, _ := strings.Cut(fault.Namespace(), ".")
-		problems = append(problems, &Problem{File: file, Line: locate(key), Key: key, Err: ruleError(fault)})
+	problems := make([]error, 0, len(fieldErrors))
+	for _, fieldError := range fieldErrors {
+		_, key, _ := strings.Cut(fieldError.Namespace(), ".")
+		problems = append(problems, &Problem{File: file, Line: locate(key), Key: key, Err: validationError(fieldError)})
 	}
 	return errors.Join(problems...)
 }
 
-func ruleError(fault validator.FieldError) error {
-	if fault.Tag() == "required" {
+func validationError(fieldError validator.FieldError) error {
+	if fieldError.Tag() == "required" {
 		return errors.New("is missing")
 	}
-	if fault.Tag() == "hostport_ip" {
-		return fmt.Errorf("%v is not IP:port", fault.Value())
+	if fieldError.Tag() == "hostport_ip" {
+		return fmt.Errorf("%v is not IP:port", fieldError.Value())
 	}
-	rule := fault.Tag()
-	if fault.Param() != "" {
-		rule += "=" + fault.Param()
+	rule := fieldError.Tag()
+	if fieldError.Param() != "" {
+		rule += "=" + fieldError.Param()
 	}
-	return fmt.Errorf("%v breaks the rule %s", fault.Value(), rule)
+	return fmt.Errorf("%v breaks the rule %s", fieldError.Value(), rule)
 }
 
 func newValidator() *validator.Validate {
@@ -135,9 +135,9 @@
 	return validate
 }
 
-// lineFinder gives a function from a key path to its line in the YAML text; 0
-// when it is not there. List indexes ("peers[0]") find the list's element.
-func lineFinder(raw []byte) func(string) int {
+// newLineFinder returns a function that maps a key path to its line in the YAML text, or
+// to 0 if it is absent. List elements have paths such as "peers[0]".
+func newLineFinder(raw []byte) func(string) int {
 	lines := map[string]int{}
 	var document yamlnode.Node
 	if err := yamlnode.Unmarshal(raw, &document); err == nil && len(document.Content) > 0 {
--- a/config/load_test.go
+++ b/config/load_test.go
@@ -5,21 +5,21 @@
 	"testing"
 )
 
-const goodSettings = `node:
+const validSettings = `node:
   id: router-1
   address: 127.0.0.1:7000
   region: dk-east
   zone: dk-east-a
 `
 
-func TestParseNamesKeyAndLineOfEachFault(t *testing.T) {
+func TestParseErrorsNameKeyAndLine(t *testing.T) {
 	cases := []struct{ name, text, want string }{
-		{"unknown key", goodSettings + "  colour: red\n", "line 6: node.colour: unknown key"},
-		{"unknown part", goodSettings + "colours: {}\n", "line 6: colours: unknown key"},
-		{"bad address", strings.Replace(goodSettings, "127.0.0.1:7000", "localhost", 1), "line 3: node.address: localhost is not IP:port"},
-		{"out of range", goodSettings + "router:\n  batch_reserve: 2\n", "line 7: router.batch_reserve: 2 breaks the rule max=1"},
-		{"not a duration", goodSettings + "membership:\n  interval: soon\n", "line 7: membership.interval"},
-		{"bad list element", goodSettings + "peers:\n  - 127.0.0.1:1\n  - nowhere\n", "line 8: peers[1]: nowhere is not IP:port"},
+		{"unknown key", validSettings + "  colour: red\n", "line 6: node.colour: unknown key"},
+		{"unknown part", validSettings + "colours: {}\n", "line 6: colours: unknown key"},
+		{"bad address", strings.Replace(validSettings, "127.0.0.1:7000", "localhost", 1), "line 3: node.address: localhost is not IP:port"},
+		{"out of range", validSettings + "router:\n  batch_reserve: 2\n", "line 7: router.batch_reserve: 2 breaks the rule max=1"},
+		{"not a duration", validSettings + "membership:\n  interval: soon\n", "line 7: membership.interval"},
+		{"bad list element", validSettings + "peers:\n  - 127.0.0.1:1\n  - nowhere\n", "line 8: peers[1]: nowhere is not IP:port"},
 		{"missing", "node:\n  address: 127.0.0.1:1\n", "node.id: is missing"},
 		{"not YAML", "node: [", "settings test.yaml"},
 	}
@@ -33,8 +33,8 @@
 	}
 }
 
-func TestParseTakesFileOverDefaultsAndFlagsOverFile(t *testing.T) {
-	settings, err := Parse("test.yaml", []byte(goodSettings), map[string]any{"node.zone": "dk-east-b"})
+func TestParsePrecedence(t *testing.T) {
+	settings, err := Parse("test.yaml", []byte(validSettings), map[string]any{"node.zone": "dk-east-b"})
 	if err != nil {
 		t.Fatal(err)
 	}
