--- a/api/table.go
+++ b/api/table.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// TableDelta holds the changes of the table after the revision After, up to Revision.
+// TableDelta holds the changes of the table in a range of revisions.
 type TableDelta struct {
-	After    int64          `json:"after,omitempty"`
-	Revision int64          `json:"revision"` // the sender's current revision
+	After    int64          `json:"after,omitempty"` // exclusive start of the range
+	Revision int64          `json:"revision"`        // inclusive end of the range: the sender's current revision
 	Rows     []VersionedRow `json:"rows"`
 	// Full is set if Rows is the whole table at Revision, so that missing rows have
 	// been deleted.
@@ -69,7 +69,7 @@
 	// the row is read first, and concurrent edits of other cells are merged.
 	ExpectRevision int64 `json:"expect_revision,omitempty"`
 	// Since, if positive, indicates a resend: the outcome of an earlier send with this
-	// ID is unknown, and the table was at revision Since or later before that send.
+	// ID is unknown, and before that send the table was at this revision or later.
 	Since int64  `json:"since,omitempty"`
 	By    string `json:"by,omitempty"` // author, for the history
 }
@@ -95,7 +95,7 @@
 // Outcomes of an edit.
 const (
 	EditAccepted EditOutcome = "accepted" // took effect at Revision
-	EditConflict EditOutcome = "conflict" // has no effect, now or later; Standing is the row that conflicts
+	EditConflict EditOutcome = "conflict" // has no effect, now or later; the result holds the conflicting row
 	EditRefused  EditOutcome = "refused"  // has no effect, now or later; Message is the reason
 	EditUnknown  EditOutcome = "unknown"  // may or may not take effect; resend it with the same ID
 )
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -15,7 +15,7 @@
 // TCP and IP, as counted by a test of package node.
 const HeaderBytes = 240
 
-// MembershipOptions configures a Membership.
+// MembershipOptions configures a simulated fleet.
 type MembershipOptions struct {
 	Seed            uint64
 	Regions         int
--- a/membership/growth_test.go
+++ b/membership/growth_test.go
@@ -21,7 +21,7 @@
 	options.Regions, options.Zones, options.RoutersPerZone, options.StoresPerZone = 1, 1, 2, members-2
 	fleet := NewMembership(options)
 	const observed = 12 * time.Second
-	known, err := runUntil(fleet, observed, func() bool {
+	converged, err := runUntil(fleet, observed, func() bool {
 		for _, member := range fleet.Members {
 			if len(member.Machine.Records()) != members-1 {
 				return false
@@ -32,8 +32,8 @@
 	if err != nil {
 		t.Fatalf("membership of %d members did not converge: %v", members, err)
 	}
-	fleet.Simulation.Run(observed - known)
-	cost := startupCost{converged: known}
+	fleet.Simulation.Run(observed - converged)
+	cost := startupCost{converged: converged}
 	for _, member := range fleet.Members {
 		cost.exchanges += float64(member.Traffic.Exchanges) / float64(members)
 	}
--- a/membership/homes_test.go
+++ b/membership/homes_test.go
@@ -27,7 +27,7 @@
 	LastBad  time.Duration // time of the last sample in which some worker did not have exactly one home
 }
 
-// NewHomes returns a Homes for workers in the fleet's first zone.
+// NewHomes creates workers in the fleet's first zone.
 func NewHomes(fleet *Membership, workers, slots int) *Homes {
 	h := &Homes{fleet: fleet, routers: map[api.NodeID]*routerHomes{}}
 	for i := range workers {
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -11,8 +11,8 @@
 // member for changes.
 //
 // A Machine does no I/O. The caller carries out each Send as one HTTP exchange:
-// it steps the peer's machine with Incoming and returns its Reply, then steps the
-// sender with Answered, or with Unreachable if no reply arrived.
+// it steps the peer's machine with the request and returns its Reply, then steps the
+// sender with the reply, or with Unreachable if none arrived.
 package membership
 
 import (
--- a/membership/messages.go
+++ b/membership/messages.go
@@ -75,7 +75,7 @@
 	// Reached is the node that the sender probed successfully on the receiver's behalf.
 	Reached api.NodeID `json:"reached,omitempty"`
 	Observe *Observe   `json:"observe,omitempty"`
-	Cursor  *Cursor    `json:"cursor,omitempty"` // in the reply to Observe
+	Cursor  *Cursor    `json:"cursor,omitempty"` // in the reply to a poll
 }
 
 // Observe requests the changes at a member since a cursor, for a node that is not a
@@ -160,11 +160,11 @@
 	Address  string
 	Peer     api.NodeID // empty if not known yet
 	Purpose  Purpose
-	Origin   Contact // PurposeProbeForOther: the member that asked
+	Origin   Contact // of an indirect probe: the member that asked for it
 	Exchange Exchange
 }
 
-// Reply is the response to the Incoming message of this step.
+// Reply is the response to the request of this step.
 type Reply struct{ Exchange Exchange }
 
 // ViewChanged reports that the results of Nodes or Zones have changed.
--- a/membership/observer.go
+++ b/membership/observer.go
@@ -7,7 +7,7 @@
 )
 
 // fullObserveTicks is the number of ticks between polls that include loads. Loads are
-// most of the bytes; the polls between carry only urgent changes.
+// most of the bytes; the polls between carry only urgent changes, such as a leaving mark.
 const fullObserveTicks = 4
 
 // sourceRotationTicks is the number of ticks after which an observer chooses a new
