--- a/internal/storeclient/client.go
+++ b/internal/storeclient/client.go
@@ -13,40 +13,42 @@
 )
 
 const (
-	// retryInterval is the pause before a group's leader is looked for again.
+	// retryInterval is the pause between attempts to find a group's leader.
 	retryInterval = 20 * time.Millisecond
-	// patience bounds the search for a leader that can commit; an election takes
-	// less by far, so that after it the caller is told to come back.
-	patience   = 10 * time.Second
-	retryAfter = 5 * time.Second
+	// leaderSearchTimeout bounds the search for a leader that can commit; an election takes
+	// much less. Afterwards the caller is told to retry after retryAfter.
+	leaderSearchTimeout = 10 * time.Second
+	retryAfter          = 5 * time.Second
 )
 
-// Client reaches the leaders of groups. Commands are idempotent, so a command
-// whose answer was lost is sent again until ctx or the client's patience ends.
+// Client sends requests to the leaders of groups. Commands are idempotent, so one whose
+// answer was lost is retried until ctx ends or the search for a leader times out. It is safe
+// for concurrent use; its exported fields must not change after the first call.
 type Client struct {
 	HTTP *http.Client
-	// AttemptTimeout is how long a store may take to answer before another is
-	// asked; it doubles with each silent one. 0: defaultAttemptTimeout.
+	// AttemptTimeout is how long a store may take to answer before another is tried. It
+	// doubles after each timeout. 0: defaultAttemptTimeout.
 	AttemptTimeout time.Duration
-	Nodes          func() []api.Node // the live view
+	Nodes          func() []api.Node // the current membership view
 
-	mutex   sync.Mutex
-	hints   map[api.GroupID]api.NodeID // leaders that replicas named
-	turn    int                        // which store is asked when no leader is known
-	refused map[refusalKey]time.Time   // when a store last said that it does not lead
+	mutex     sync.Mutex
+	hints     map[api.GroupID]api.NodeID // leaders that replicas named
+	nextStore int                        // round robin counter, used if no leader is known
+	refused   map[refusalKey]time.Time   // when a store last said that it doesn't lead
 }
 
-// refusalKey names a store and a group that it did not lead.
+// refusalKey identifies a store and a group that it doesn't lead.
 type refusalKey struct {
 	group api.GroupID
 	node  api.NodeID
 }
 
-// refusalLife is how long a store that does not lead is passed over: a view of
-// nodes goes on naming the last leader for seconds.
-const refusalLife = 300 * time.Millisecond
+// refusalTTL is how long a store that refused is skipped, since the membership view may name
+// the previous leader for seconds.
+const refusalTTL = 300 * time.Millisecond
 
-// Command commits a command and gives its result; a refused one is an error.
+// Command commits a command and returns its result. A result with an error code is returned
+// as an error too.
 func (c *Client) Command(ctx context.Context, group api.GroupID, command jobs.Command) (jobs.Result, error) {
 	var result jobs.Result
 	err := c.retry(ctx, "commit command", group, func(ctx context.Context, address string) error {
@@ -62,32 +64,31 @@
 	return result, nil
 }
 
-// Read gets one of the group's paths from its leader.
+// Read gets a path from the group's leader and decodes its JSON into answer.
 func (c *Client) Read(ctx context.Context, group api.GroupID, path string, answer any) error {
 	return c.retry(ctx, "read group", group, func(ctx context.Context, address string) error {
 		return transport.Get(ctx, c.HTTP, "read group", address, path, answer)
 	})
 }
 
-// retry calls the leader until it answers with something else than a change of
-// leader or a broken connection. Once an attempt's outcome is unknown, no later
-// refusal makes it known.
+// retry calls the leader until it answers with anything but a transient error. Once the
+// outcome of an attempt is unknown, the final error's outcome is unknown too.
 func (c *Client) retry(ctx context.Context, step string, group api.GroupID, call func(ctx context.Context, address string) error) error {
 	last := api.NewError(step, "", api.CodeNoQuorum, api.OutcomeNotRun, "group %d has no known leader", group)
 	unknown := false
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(leaderSearchTimeout)
 	limit := c.attemptTimeout()
 	for {
 		if target, ok := c.target(group); ok {
 			attempt, cancel := context.WithTimeout(ctx, limit)
 			err := call(attempt, target.Address)
-			silent := attempt.Err() != nil && ctx.Err() == nil
+			timedOut := attempt.Err() != nil && ctx.Err() == nil
 			cancel()
 			if err == nil {
 				return nil
 			}
 			last = api.AsError(step, err)
-			if silent {
+			if timedOut {
 				last.Code = api.CodeUpstream
 				limit *= 2
 			}
@@ -95,15 +96,15 @@
 			if unknown {
 				last.Outcome = api.OutcomeUnknown
 			}
-			if !passing(last.Code) || ctx.Err() != nil {
+			if !isTransient(last.Code) || ctx.Err() != nil {
 				return last
 			}
-			if c.learn(group, target.ID, last) {
+			if c.recordRefusal(group, target.ID, last) {
 				continue
 			}
 		}
 		if time.Now().After(deadline) {
-			return givenUp(last)
+			return noQuorumError(last)
 		}
 		select {
 		case <-time.After(retryInterval):
@@ -113,7 +114,7 @@
 	}
 }
 
-// defaultAttemptTimeout suits calls that may wait for a slow disk.
+// defaultAttemptTimeout allows for calls that wait for a slow disk.
 const defaultAttemptTimeout = 5 * time.Second
 
 func (c *Client) attemptTimeout() time.Duration {
@@ -123,23 +124,23 @@
 	return defaultAttemptTimeout
 }
 
-// givenUp tells the caller when to come back.
-func givenUp(last *api.Error) *api.Error {
+// noQuorumError returns the last error with api.CodeNoQuorum and a retry delay.
+func noQuorumError(last *api.Error) *api.Error {
 	failure := *last
 	failure.Code = api.CodeNoQuorum
 	failure.RetryAfter = max(failure.RetryAfter, retryAfter)
 	return &failure
 }
 
-// target is the store to ask: the leader that a replica named, the one that says
-// it leads, or else any store, in turn. One that just refused is passed over.
+// target returns the store to ask: the leader that a replica named, the one in the membership
+// view, or else any store, round robin. Stores that refused recently are skipped.
 func (c *Client) target(group api.GroupID) (api.Node, bool) {
 	nodes := c.Nodes()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := time.Now()
 	usable := func(node api.Node) bool {
-		return now.Sub(c.refused[refusalKey{group, node.ID}]) > refusalLife
+		return now.Sub(c.refused[refusalKey{group, node.ID}]) > refusalTTL
 	}
 	if hint, ok := c.hints[group]; ok {
 		for _, node := range nodes {
@@ -157,20 +158,20 @@
 	if len(stores) == 0 {
 		return api.Node{}, false
 	}
-	c.turn++
-	return stores[c.turn%len(stores)], true
+	c.nextStore++
+	return stores[c.nextStore%len(stores)], true
 }
 
-// learn takes the leader that a refusal names, and tells whether it is worth
-// asking at once.
-func (c *Client) learn(group api.GroupID, asked api.NodeID, refusal *api.Error) bool {
+// recordRefusal records a refusal and the leader that it names. It reports whether that leader
+// is new, and so worth asking at once.
+func (c *Client) recordRefusal(group api.GroupID, refuser api.NodeID, refusal *api.Error) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.hints == nil {
 		c.hints, c.refused = map[api.GroupID]api.NodeID{}, map[refusalKey]time.Time{}
 	}
-	c.refused[refusalKey{group, asked}] = time.Now()
-	if refusal.Leader == "" || refusal.Leader == asked {
+	c.refused[refusalKey{group, refuser}] = time.Now()
+	if refusal.Leader == "" || refusal.Leader == refuser {
 		delete(c.hints, group)
 		return false
 	}
@@ -182,8 +183,8 @@
 	return !known
 }
 
-// passing tells whether a failure may go away when the leader is found again.
-func passing(code api.ErrorCode) bool {
+// isTransient reports whether an error may go away with another leader.
+func isTransient(code api.ErrorCode) bool {
 	switch code {
 	case api.CodeNotLeader, api.CodeNoQuorum, api.CodeUpstream, api.CodeLeaving:
 		return true
--- a/internal/storeclient/client_test.go
+++ b/internal/storeclient/client_test.go
@@ -17,34 +17,33 @@
 	return node
 }
 
-// On the bench the view went on naming a store as leader that did not lead any
-// more, and showed no replicas of other zones: every try asked the same store
-// (trouble-2 of sbandel-dykewing).
-func TestARefusedLeaderIsNotAskedAgainAtOnce(t *testing.T) {
+// Guards against asking the same store repeatedly while the membership view still names it as
+// leader.
+func TestRefusingLeaderIsSkipped(t *testing.T) {
 	nodes := []api.Node{store("a", true), store("b", false), store("c", false), {ID: "f", Role: api.RoleFrontend}}
 	c := &Client{Nodes: func() []api.Node { return nodes }}
 	first, ok := c.target(0)
 	if !ok || first.ID != "a" {
-		t.Fatalf("asked %v first, not the leader of the view", first.ID)
+		t.Fatalf("asked %v first, want the leader in the view", first.ID)
 	}
-	c.learn(0, "a", &api.Error{Code: api.CodeNotLeader})
+	c.recordRefusal(0, "a", &api.Error{Code: api.CodeNotLeader})
 	second, _ := c.target(0)
-	c.learn(0, second.ID, &api.Error{Code: api.CodeNotLeader})
+	c.recordRefusal(0, second.ID, &api.Error{Code: api.CodeNotLeader})
 	third, _ := c.target(0)
 	if asked := map[api.NodeID]bool{second.ID: true, third.ID: true}; !asked["b"] || !asked["c"] {
-		t.Errorf("asked %s and %s after a", second.ID, third.ID)
+		t.Errorf("asked %s and %s after a, want b and c", second.ID, third.ID)
 	}
-	if !c.learn(0, third.ID, &api.Error{Code: api.CodeNotLeader, Leader: first.ID}) {
-		t.Error("a named leader is not worth asking at once")
+	if !c.recordRefusal(0, third.ID, &api.Error{Code: api.CodeNotLeader, Leader: first.ID}) {
+		t.Error("newly named leader is not asked at once")
 	}
 	if named, _ := c.target(0); named.ID != first.ID {
-		t.Errorf("asked %s and not the named leader", named.ID)
+		t.Errorf("asked %s, want the named leader", named.ID)
 	}
 }
 
-func TestRegistrationsAddStoresThatTheViewLacks(t *testing.T) {
+func TestRegisteredAddsMissingStores(t *testing.T) {
 	r := &Registered{}
-	r.Changes(kv.Batch{Events: []kv.Event{{Pair: registered("early", "x", 1)}}}) // before all is known
+	r.Changes(kv.Batch{Events: []kv.Event{{Pair: registered("early", "x", 1)}}}) // ignored before the first listing
 	r.Whole(kv.RangeResult{Pairs: []kv.Pair{registered("old", "a", 4), registered("new", "a", 9), registered("other", "b", 5)}})
 	nodes := r.With([]api.Node{store("b", true)})
 	if len(nodes) != 2 || nodes[0].ID != "b" || nodes[1].ID != "a" || nodes[1].Summary.Replica != "new" {
@@ -53,7 +52,7 @@
 	gone := registered("new", "a", 10)
 	r.Changes(kv.Batch{Events: []kv.Event{{Pair: gone, Deleted: true}}})
 	if nodes := r.With(nil); len(nodes) != 2 || nodes[0].Summary.Replica != "old" {
-		t.Errorf("after the newest registration went: %+v", nodes)
+		t.Errorf("after deletion of the newest registration: %+v", nodes)
 	}
 }
 
--- a/internal/storeclient/leaders.go
+++ b/internal/storeclient/leaders.go
@@ -10,31 +10,29 @@
 	"github.com/dykewing/dykewing/internal/kv"
 )
 
-// PrefixGroups is where groups of stores keep their records, under the service's prefix;
-// GroupKey gives a record's key.
+// PrefixGroups is the prefix of group records' keys, below the service's prefix; see GroupKey.
 const PrefixGroups = "groups/"
 
-// GroupKey is the key of a group's record under the service's prefix.
+// GroupKey returns the key of a group's record, below the service's prefix.
 func GroupKey(id api.GroupID) string { return fmt.Sprintf("%s%d", PrefixGroups, id) }
 
-// groupOf is the group whose record a key is, below prefix.
-func groupOf(prefix, key string) (id api.GroupID, err error) {
+// parseGroupKey returns the group of a record's full key.
+func parseGroupKey(prefix, key string) (id api.GroupID, err error) {
 	_, err = fmt.Sscanf(strings.TrimPrefix(key, prefix), PrefixGroups+"%d", &id)
 	return id, err
 }
 
-// GroupLeader is what a group's record says of its leader. Term is 0 before the first.
+// GroupLeader is the leader in a group's record. Term is 0 if there was none yet.
 type GroupLeader struct {
 	Node    api.NodeID `json:"node"`
 	Address string     `json:"address"`
 	Term    uint64     `json:"term"`
 }
 
-// Leaders knows the leaders that groups have published with a key-value service; it is a
-// catalog.View. A process that has just started learns them with the configuration,
-// while its view of nodes takes seconds to be whole on a fleet of hundreds: until then
-// it would fill workers without their leaders' word. The view goes first where it knows
-// of a newer term, as while the service is away.
+// Leaders caches the leaders that groups publish with a key-value service; it is a
+// catalog.View and safe for concurrent use. A newly started process gets them with its
+// configuration, long before its membership view is complete. The view takes precedence if
+// its term is as high.
 type Leaders struct {
 	Prefix string // of the service's keys
 
@@ -42,14 +40,14 @@
 	leaders map[api.GroupID]GroupLeader
 }
 
-// Whole takes all records.
+// Whole adds all records of a complete listing.
 func (l *Leaders) Whole(result kv.RangeResult) {
 	for _, pair := range result.Pairs {
 		l.put(pair)
 	}
 }
 
-// Changes takes records that changed.
+// Changes applies updates of records; deletions are ignored.
 func (l *Leaders) Changes(batch kv.Batch) {
 	for _, event := range batch.Events {
 		if !event.Deleted {
@@ -58,13 +56,13 @@
 	}
 }
 
-// put takes a record; what can't be read is left out, since the view of nodes tells of
-// leaders, too.
+// put stores a record's leader if its term is newer. Invalid records are ignored, since the
+// membership view shows leaders too.
 func (l *Leaders) put(pair kv.Pair) {
 	var record struct {
 		Leader GroupLeader `json:"leader"`
 	}
-	id, err := groupOf(l.Prefix, pair.Key)
+	id, err := parseGroupKey(l.Prefix, pair.Key)
 	if err != nil || json.Unmarshal(pair.Value, &record) != nil {
 		return
 	}
@@ -78,7 +76,8 @@
 	}
 }
 
-// Of is the leader of a group with the highest term, by a view of nodes or published.
+// Of returns the leader of a group with the highest term, from the membership view or the
+// published records; false if none is known.
 func (l *Leaders) Of(nodes []api.Node, group api.GroupID) (api.Node, bool) {
 	seen, term, ok := leader(nodes, group)
 	l.mutex.Lock()
@@ -95,8 +94,8 @@
 	return api.Node{ID: published.Node, Role: api.RoleStore, Address: published.Address}, true
 }
 
-// All are the leaders of the groups 0 to n-1 as Of gives them; those that are not known
-// are missing. One look at the view serves all groups.
+// All returns the leaders of the groups 0 to n-1, chosen as for a single group and omitting
+// unknown ones, with a single pass over the view.
 func (l *Leaders) All(nodes []api.Node, n int) map[api.GroupID]api.Node {
 	known, terms := map[api.GroupID]api.Node{}, map[api.GroupID]uint64{}
 	byID := map[api.NodeID]api.Node{}
--- a/internal/storeclient/paths.go
+++ b/internal/storeclient/paths.go
@@ -1,5 +1,5 @@
-// Package storeclient reaches the stores' groups: where each leads, its paths and
-// its pages.
+// Package storeclient is the client of the stores' groups: it finds leaders, and defines the
+// groups' paths and pages.
 package storeclient
 
 import (
@@ -12,61 +12,61 @@
 	"github.com/dykewing/dykewing/jobs"
 )
 
-// CommandsPath takes a jobs.Command and answers a jobs.Result.
+// CommandsPath accepts a jobs.Command and returns a jobs.Result.
 func CommandsPath(group api.GroupID) string { return groupPath(group, "commands") }
 
-// ClaimsPath takes a jobs.ClaimItems and answers a jobs.Grant.
+// ClaimsPath accepts a jobs.ClaimItems and returns a jobs.Grant.
 func ClaimsPath(group api.GroupID) string { return groupPath(group, "claims") }
 
-// RenewPath takes a jobs.Renew and answers a jobs.Notice.
+// RenewPath accepts a jobs.Renew and returns a jobs.Notice.
 func RenewPath(group api.GroupID) string { return groupPath(group, "renewals") }
 
-// SettlePath takes a jobs.Settle and answers a jobs.Notice.
+// SettlePath accepts a jobs.Settle and returns a jobs.Notice.
 func SettlePath(group api.GroupID) string { return groupPath(group, "settle") }
 
-// SharesPath takes a quota.Report and answers a quota.Grant.
+// SharesPath accepts a quota.Report and returns a quota.Grant.
 func SharesPath(group api.GroupID) string { return groupPath(group, "shares") }
 
-// JobPath reads a jobs.Job.
+// JobPath returns a jobs.Job.
 func JobPath(group api.GroupID, job string) string { return groupPath(group, "jobs/"+job) }
 
-// JobsPath lists up to limit of a tenant's jobs, the newest first, beginning
-// after the named one when it is not empty.
+// JobsPath returns a JobsPage of up to limit of a tenant's jobs, the newest first, starting
+// after the named one unless it is empty.
 func JobsPath(group api.GroupID, tenant api.TenantID, after string, limit int) string {
 	query := url.Values{"tenant": {string(tenant)}, "after": {after}, "limit": {strconv.Itoa(limit)}}
 	return groupPath(group, "jobs?"+query.Encode())
 }
 
-// FilesPath lists a tenant's files as JobsPath does its jobs.
+// FilesPath returns a FilesPage of a tenant's files, with the parameters of JobsPath.
 func FilesPath(group api.GroupID, tenant api.TenantID, after string, limit int) string {
 	query := url.Values{"tenant": {string(tenant)}, "after": {after}, "limit": {strconv.Itoa(limit)}}
 	return groupPath(group, "files?"+query.Encode())
 }
 
-// ResultsPath reads a page of a job's results.
+// ResultsPath returns a ResultsPage of a job's results, starting at an offset.
 func ResultsPath(group api.GroupID, job string, from int) string {
 	return groupPath(group, fmt.Sprintf("jobs/%s/results?from=%d", job, from))
 }
 
-// FilePath reads a jobs.File.
+// FilePath returns a jobs.File.
 func FilePath(group api.GroupID, file string) string { return groupPath(group, "files/"+file) }
 
-// LinesPath reads a page of a file's lines.
+// LinesPath returns a LinesPage of a file, starting at an offset.
 func LinesPath(group api.GroupID, file string, from int) string {
 	return groupPath(group, fmt.Sprintf("files/%s/lines?from=%d", file, from))
 }
 
-// ParameterTenant names whose an inline job must be to be found; a job of nobody is
-// everybody's.
+// ParameterTenant is the query parameter with the tenant that an inline job must belong to.
+// Jobs without a tenant are visible to all.
 const ParameterTenant = "tenant"
 
-// InlineResultsPath reads a jobs.InlinePage from a position on.
+// InlineResultsPath returns a jobs.InlinePage, starting at an offset.
 func InlineResultsPath(group api.GroupID, tenant api.TenantID, job string, from int) string {
 	query := url.Values{"from": {strconv.Itoa(from)}, ParameterTenant: {string(tenant)}}
 	return groupPath(group, fmt.Sprintf("inline/%s/results?%s", url.PathEscape(job), query.Encode()))
 }
 
-// InlineItemPath reads a jobs.InlineItem by its id.
+// InlineItemPath returns a jobs.InlineItem by its ID.
 func InlineItemPath(group api.GroupID, tenant api.TenantID, job, item string) string {
 	query := url.Values{"id": {item}, ParameterTenant: {string(tenant)}}
 	return groupPath(group, fmt.Sprintf("inline/%s/item?%s", url.PathEscape(job), query.Encode()))
@@ -76,13 +76,14 @@
 	return fmt.Sprintf("%s%d/%s", api.PathGroups, group, rest)
 }
 
-// Leader finds the store that says it leads the group, by the highest term.
+// Leader returns the node that claims leadership of the group with the highest term; false if
+// there is none.
 func Leader(nodes []api.Node, group api.GroupID) (api.Node, bool) {
 	found, _, ok := leader(nodes, group)
 	return found, ok
 }
 
-// leader is Leader with the term.
+// leader is like Leader and also returns the term.
 func leader(nodes []api.Node, group api.GroupID) (found api.Node, term uint64, ok bool) {
 	for _, node := range nodes {
 		for _, summary := range node.Summary.Groups {
@@ -94,7 +95,7 @@
 	return found, term, ok
 }
 
-// LinesPage is a page of a file.
+// LinesPage is a page of a file's lines.
 type LinesPage struct {
 	Lines []json.RawMessage `json:"lines"`
 	Next  int               `json:"next"` // -1 at the end
--- a/internal/storeclient/registered.go
+++ b/internal/storeclient/registered.go
@@ -12,10 +12,10 @@
 	"github.com/dykewing/dykewing/replication"
 )
 
-// PrefixStores is where stores register, under the service's prefix.
+// PrefixStores is the prefix of store registrations' keys, below the service's prefix.
 const PrefixStores = "stores/"
 
-// StoreRecord registers a disk with the machine that holds it.
+// StoreRecord registers a disk and the node that holds it.
 type StoreRecord struct {
 	Replica  replication.ReplicaID `json:"replica"`
 	Node     api.NodeID            `json:"node"`
@@ -23,9 +23,8 @@
 	Location api.Location          `json:"location"`
 }
 
-// Registered knows the stores that are registered with a key-value service; it
-// is a catalog.View. A machine with several disks in turn has the newest one's
-// registration.
+// Registered caches the stores registered with a key-value service; it is a catalog.View and
+// safe for concurrent use. If a node has several registrations, the newest one counts.
 type Registered struct {
 	mutex   sync.Mutex // guards records
 	records map[string]registration
@@ -36,7 +35,7 @@
 	revision int64
 }
 
-// Whole takes all registrations.
+// Whole replaces the cache by a complete listing.
 func (r *Registered) Whole(result kv.RangeResult) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -46,7 +45,7 @@
 	}
 }
 
-// Changes takes registrations that came or went.
+// Changes adds, updates and removes registrations.
 func (r *Registered) Changes(batch kv.Batch) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -59,8 +58,8 @@
 	}
 }
 
-// put takes a registration; what can't be read is left out, since the stores
-// are also known by the view of nodes. The mutex is held.
+// put stores a registration. Invalid ones are ignored, since the membership view shows stores
+// too. The mutex is held.
 func (r *Registered) put(pair kv.Pair) {
 	var record StoreRecord
 	if err := json.Unmarshal(pair.Value, &record); err != nil || r.records == nil {
@@ -69,7 +68,7 @@
 	r.records[pair.Key] = registration{record: record, revision: pair.Revision}
 }
 
-// Records lists all registrations, the oldest first.
+// Records returns all registrations, the oldest first.
 func (r *Registered) Records() []StoreRecord {
 	r.mutex.Lock()
 	all := slices.Collect(maps.Values(r.records))
@@ -82,7 +81,7 @@
 	return records
 }
 
-// Key gives a registration's key with its revision; false when there is none.
+// Key returns the key and revision of a replica's registration; false if there is none.
 func (r *Registered) Key(replica replication.ReplicaID) (key string, revision int64, ok bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -94,7 +93,7 @@
 	return "", 0, false
 }
 
-// With adds to a view of nodes the registered stores that it does not show.
+// With returns a membership view extended by the registered stores that it lacks.
 func (r *Registered) With(nodes []api.Node) []api.Node {
 	r.mutex.Lock()
 	newest := map[api.NodeID]registration{}
@@ -118,9 +117,9 @@
 	return slices.Concat(nodes, added)
 }
 
-// Owners are the stores that may own what processes share (limits, ended workers): those that are alive by the view, or all
-// that are registered where it shows none. A store that was replaced stayed registered,
-// and every frontend waited for it once a second.
+// Owners returns the stores that may own state shared between processes, such as limits:
+// those alive in the membership view, or all registered ones if there are none. Registered
+// stores may be gone, and callers would wait for them.
 func Owners(view []api.Node, registered func([]api.Node) []api.Node) []api.Node {
 	alive := slices.DeleteFunc(slices.Clone(view), func(node api.Node) bool { return node.Role != api.RoleStore || node.Suspected })
 	if len(alive) > 0 {
