--- a/internal/store/acknowledged.go
+++ b/internal/store/acknowledged.go
@@ -12,29 +12,29 @@
 	"go.etcd.io/bbolt"
 )
 
-// The file beside the data file that names its last acknowledged transaction: 8
-// bytes of the number and 8 of its checksum. It costs no sync of its own: a loss
-// of power may take it back or away, and then says less, never too much.
+// The commit marker file lies beside the data file and holds the ID of its last
+// acknowledged transaction: 8 bytes of ID and 8 of checksum, big endian. It is not
+// synced: after a power loss it may name an older transaction or none, never a newer one.
 const (
-	acknowledgedFile  = "acknowledged"
-	acknowledgedBytes = 16
+	commitMarkerFile  = "acknowledged"
+	commitMarkerBytes = 16
 )
 
-// acknowledgements notes which transaction was last synced. Invariant: the number
-// is written only after that transaction's sync.
-type acknowledgements struct{ file *os.File }
+// commitMarker records which transaction was last synced. Invariant: an ID is written
+// only after that transaction's sync.
+type commitMarker struct{ file *os.File }
 
-func openAcknowledgements(folder string) (*acknowledgements, error) {
-	file, err := os.OpenFile(filepath.Join(folder, acknowledgedFile), os.O_CREATE|os.O_RDWR, fileMode)
+func openCommitMarker(folder string) (*commitMarker, error) {
+	file, err := os.OpenFile(filepath.Join(folder, commitMarkerFile), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
 		return nil, err
 	}
-	return &acknowledgements{file: file}, nil
+	return &commitMarker{file: file}, nil
 }
 
-// last is the number noted; 0 when there is none, or a torn one.
-func (a *acknowledgements) last() (uint64, error) {
-	raw := make([]byte, acknowledgedBytes)
+// last returns the recorded ID; 0 if there is none or its checksum is wrong.
+func (a *commitMarker) last() (uint64, error) {
+	raw := make([]byte, commitMarkerBytes)
 	if _, err := a.file.ReadAt(raw, 0); errors.Is(err, io.EOF) {
 		return 0, nil
 	} else if err != nil {
@@ -46,21 +46,21 @@
 	return binary.BigEndian.Uint64(raw), nil
 }
 
-func (a *acknowledgements) note(transaction uint64) error {
+func (a *commitMarker) record(transaction uint64) error {
 	raw := binary.BigEndian.AppendUint64(nil, transaction)
 	raw = binary.BigEndian.AppendUint64(raw, xxhash.Sum64(raw))
 	_, err := a.file.WriteAt(raw, 0)
 	return err
 }
 
-// forget starts anew with a new data file.
-func (a *acknowledgements) forget() error { return a.file.Truncate(0) }
+// reset clears the marker for a new data file.
+func (a *commitMarker) reset() error { return a.file.Truncate(0) }
 
-func (a *acknowledgements) close() error {
+func (a *commitMarker) close() error {
 	return errors.Join(a.file.Sync(), a.file.Close())
 }
 
-// update changes the data file, syncs it, and notes that.
+// update commits a transaction, syncs it and records its ID in the commit marker.
 func (d *database) update(change func(*bbolt.Tx) error) error {
 	number := 0
 	err := d.bolt.Update(func(transaction *bbolt.Tx) error {
@@ -76,10 +76,10 @@
 	if d.hooks.synced != nil {
 		d.hooks.synced()
 	}
-	return d.acknowledged.note(uint64(number))
+	return d.marker.record(uint64(number))
 }
 
-// missing tells whether there is no file of that name.
+// missing reports whether the file does not exist.
 func missing(path string) bool {
 	_, err := os.Stat(path)
 	return errors.Is(err, fs.ErrNotExist)
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -16,24 +16,23 @@
 
 const benchmarkClients = 64
 
-// BenchmarkCommands measures acknowledged commands with 64 clients at once:
-// commands a second, syncs a command and bytes of records written a command on
-// all stores together.
+// BenchmarkCommands measures the commit throughput of 64 concurrent clients and the bytes
+// written to all disks per command.
 func BenchmarkCommands(b *testing.B) {
 	for _, stores := range []int{1, 3, 5} {
-		for name, planted := range map[string]hooks{"group-commit": {}, "sync-each": {syncEach: true}} {
+		for name, injected := range map[string]hooks{"group-commit": {}, "sync-each": {syncEach: true}} {
 			b.Run(fmt.Sprintf("stores=%d/%s", stores, name), func(b *testing.B) {
-				benchmarkCommands(b, stores, planted)
+				benchmarkCommands(b, stores, injected)
 			})
 		}
 	}
 }
 
-func benchmarkCommands(b *testing.B, stores int, planted hooks) {
+func benchmarkCommands(b *testing.B, stores int, injected hooks) {
 	c := newCluster(b, stores, func(settings *config.Store) { settings.ReplaceAfter = time.Hour })
 	c.stopAll()
-	planted.skipCopy = true
-	c.hooks = planted
+	injected.skipDurableCopy = true
+	c.hooks = injected
 	for _, m := range c.machines {
 		m.start()
 	}
@@ -54,16 +53,16 @@
 		})
 	}
 	clients.Wait()
-	took := time.Since(started)
+	elapsed := time.Since(started)
 	b.StopTimer()
 	if failed.Load() > 0 {
 		b.Fatalf("%d commands failed", failed.Load())
 	}
-	b.ReportMetric(float64(b.N)/took.Seconds(), "commands/s")
+	b.ReportMetric(float64(b.N)/elapsed.Seconds(), "commands/s")
 	b.ReportMetric(float64(c.pagesWritten()-before)/float64(b.N), "disk-B/command")
 }
 
-// pagesWritten sums the bytes of pages that the stores' transactions wrote.
+// pagesWritten returns the bytes of pages allocated by the stores' transactions.
 func (c *cluster) pagesWritten() (total int64) {
 	for _, m := range c.machines {
 		stats := m.store.shared.database.bolt.Stats()
@@ -72,8 +71,8 @@
 	return total
 }
 
-// BenchmarkFailover measures the time from a leader's crash to the next
-// acknowledged command of a client that goes on asking.
+// BenchmarkFailover measures the time from a leader's crash to the next acknowledged command
+// of a retrying client.
 func BenchmarkFailover(b *testing.B) {
 	for _, stores := range []int{3, 5} {
 		b.Run(fmt.Sprintf("stores=%d", stores), func(b *testing.B) {
@@ -87,7 +86,7 @@
 			var without time.Duration
 			for i := range b.N {
 				crashed := c.leader()
-				crashed.cut.Store(true)
+				crashed.isolated.Store(true)
 				started := time.Now()
 				for c.create(context.Background(), i+1) != nil {
 					continue
@@ -95,7 +94,7 @@
 				without += time.Since(started)
 				crashed.crash()
 				crashed.start()
-				c.await("the machine's return", func() bool {
+				c.await("the restarted machine to catch up", func() bool {
 					group, ok := crashed.store.group(0)
 					return ok && group.members().Index > 0 && c.leader() != nil
 				})
@@ -105,7 +104,7 @@
 	}
 }
 
-// BenchmarkStart measures the reading of a data folder at start.
+// BenchmarkStart measures opening and verifying a data folder.
 func BenchmarkStart(b *testing.B) {
 	folder := filepath.Join(b.TempDir(), "data")
 	database, err := openDatabase(folder, hooks{})
--- a/internal/store/bootstrap.go
+++ b/internal/store/bootstrap.go
@@ -18,61 +18,59 @@
 
 // Keys under the service's prefix.
 const (
-	prefixStores       = storeclient.PrefixStores
-	prefixGroups       = storeclient.PrefixGroups
-	bootstrapInterval  = 500 * time.Millisecond
-	publishingInterval = 10 * time.Second // once all groups are formed
+	prefixStores      = storeclient.PrefixStores
+	prefixGroups      = storeclient.PrefixGroups
+	bootstrapInterval = 500 * time.Millisecond
+	publishInterval   = 10 * time.Second // once all groups exist
 )
 
 const (
-	// formers are the stores that form groups, the first that are registered: each asks
-	// every candidate whether it is there, so that all of them would ask the square of
-	// their number.
-	formers = 3
-	// formPatience is for how long the others leave it to them.
-	formPatience = 5 * time.Second
-	// sameCandidates looks in a row say that no more stores come: longer than changes are
-	// gathered on their way from the service.
-	sameCandidates = 3
+	// bootstrapStores is how many stores, the earliest registered, create groups. Each
+	// probes every candidate, so letting all stores do it would need O(n²) requests.
+	bootstrapStores = 3
+	// bootstrapDelay is how long the other stores wait before they create groups too.
+	bootstrapDelay = 5 * time.Second
+	// stableRounds is how many consecutive rounds must see the same number of candidates
+	// before groups are created; they take longer than the batching of watch events.
+	stableRounds = 3
 )
 
-// storeRecord registers a disk, so that groups can be formed of it.
+// storeRecord registers a disk as a candidate for replicas.
 type storeRecord = storeclient.StoreRecord
 
-// groupRecord fixes a group's first members. Members is what the group itself
-// has committed since; it is only told here, never decided.
+// groupRecord fixes a group's initial members. Members is what the group has committed
+// since; it is published here for information only.
 type groupRecord struct {
 	First   replication.Members `json:"first"`
 	Members replication.Members `json:"members"`
-	Index   uint64              `json:"index"` // of the entry that made Members
-	// Leader is told for processes that start: it is who led when it was written.
+	Index   uint64              `json:"index"` // log index of the entry that set Members
+	// Leader is the leader at the time of writing, for processes that have just started.
 	Leader storeclient.GroupLeader `json:"leader,omitzero"`
 }
 
-// meetOtherStores registers this store, forms groups that are missing, starts
-// those that list this store first and publishes what members have become. What
-// the service refuses or loses is tried again; nothing here is needed by groups
-// that run.
-func (s *Store) meetOtherStores(ctx context.Context) {
+// runBootstrap registers this store, creates missing groups, starts those whose initial
+// members include this store, and publishes members and leaders. It retries until ctx
+// ends. Running groups don't depend on it.
+func (s *Store) runBootstrap(ctx context.Context) {
 	for {
-		formed, err := s.meetOnce(ctx)
+		complete, err := s.bootstrapOnce(ctx)
 		if err != nil && ctx.Err() == nil {
-			s.log.WithError(err).Debug("Key-value service does not answer; the groups go on without it.")
+			s.log.WithError(err).Debug("Bootstrap round failed; running groups are not affected.")
 		}
 		interval := bootstrapInterval
-		if formed {
-			interval = publishingInterval
+		if complete {
+			interval = publishInterval
 		}
 		select {
 		case <-time.After(interval):
-		case <-s.changed:
+		case <-s.publishRequests:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (s *Store) meetOnce(ctx context.Context) (formed bool, err error) {
+func (s *Store) bootstrapOnce(ctx context.Context) (complete bool, err error) {
 	if err := s.register(ctx); err != nil {
 		return false, err
 	}
@@ -81,11 +79,11 @@
 		return false, err
 	}
 	if len(records) < s.node.Settings.Store.Groups {
-		return false, s.formGroups(ctx, records)
+		return false, s.createMissingGroups(ctx, records)
 	}
 	for id, record := range records {
-		if err := s.startFirst(id, record); err != nil {
-			s.log.WithError(err).WithField("group", id).Error("The group could not be started.")
+		if err := s.startInitial(id, record); err != nil {
+			s.log.WithError(err).WithField("group", id).Error("Starting a replica of the group failed.")
 		}
 		published, err := s.publish(ctx, id, record, revisions[id])
 		if !published || err != nil {
@@ -95,7 +93,7 @@
 	return true, nil
 }
 
-// register writes this store's record if it is not there or says otherwise.
+// register writes this store's record unless an identical one exists.
 func (s *Store) register(ctx context.Context) error {
 	if s.registered {
 		return nil
@@ -124,11 +122,11 @@
 	return s.key(storeclient.GroupKey(id))
 }
 
-// readGroups gives the published groups with their revisions: as the service tells them to
-// all, else read for this store.
+// readGroups returns the published groups with their revisions, from the shared watch if
+// there is one, else read from the service.
 func (s *Store) readGroups(ctx context.Context) (map[api.GroupID]groupRecord, map[api.GroupID]int64, error) {
 	if s.records != nil {
-		return s.knownGroups()
+		return s.cachedGroups()
 	}
 	prefix := s.key(prefixGroups)
 	found, err := s.node.KeyValue.Range(ctx, prefix)
@@ -150,7 +148,7 @@
 	return records, revisions, nil
 }
 
-func (s *Store) knownGroups() (map[api.GroupID]groupRecord, map[api.GroupID]int64, error) {
+func (s *Store) cachedGroups() (map[api.GroupID]groupRecord, map[api.GroupID]int64, error) {
 	all, err := s.records.all()
 	if err != nil {
 		return nil, nil, err
@@ -165,8 +163,9 @@
 	return records, revisions, nil
 }
 
-// swapRecord writes a group's record under the condition of its revision.
-func (s *Store) swapRecord(ctx context.Context, id api.GroupID, value []byte, expected int64) (kv.SwapResult, error) {
+// compareAndSwapRecord writes a group's record if its revision is the expected one; 0
+// means that it does not exist.
+func (s *Store) compareAndSwapRecord(ctx context.Context, id api.GroupID, value []byte, expected int64) (kv.SwapResult, error) {
 	key := s.groupRecordKey(id)
 	result, err := s.node.KeyValue.Swap(ctx, kv.Swap{Key: key, Value: value, Expected: expected})
 	if err != nil || s.records == nil {
@@ -181,57 +180,59 @@
 	return result, nil
 }
 
-// forms tells whether this store is one of those that form groups.
-func (s *Store) forms(records []storeRecord) bool {
+// mayCreateGroups reports whether this store is among the bootstrapStores or the
+// bootstrapDelay is over.
+func (s *Store) mayCreateGroups(records []storeRecord) bool {
 	rank := slices.IndexFunc(records, func(r storeRecord) bool { return r.Replica == s.shared.database.identity })
-	return rank >= 0 && rank < formers || time.Since(s.began) > formPatience
+	return rank >= 0 && rank < bootstrapStores || time.Since(s.startedAt) > bootstrapDelay
 }
 
-// formGroups fixes the first members of missing groups once there are enough
-// live stores; the first swap that creates the key decides.
-func (s *Store) formGroups(ctx context.Context, known map[api.GroupID]groupRecord) error {
+// createMissingGroups fixes the initial members of missing groups once there are enough
+// live stores; the first swap that creates the key wins.
+func (s *Store) createMissingGroups(ctx context.Context, known map[api.GroupID]groupRecord) error {
 	registered, err := s.readStores(ctx)
-	if err != nil || !s.forms(registered) {
+	if err != nil || !s.mayCreateGroups(registered) {
 		return err
 	}
-	candidates := s.aliveStores(ctx, registered)
-	if len(candidates) != s.candidates {
-		s.candidates, s.looks = len(candidates), 0
+	candidates := s.liveStores(ctx, registered)
+	if len(candidates) != s.candidateCount {
+		s.candidateCount, s.unchangedRounds = len(candidates), 0
 	}
-	if s.looks++; s.looks < sameCandidates {
-		// Others may still be starting; groups formed now would all be on those that
-		// were first.
+	if s.unchangedRounds++; s.unchangedRounds < stableRounds {
+		// Other stores may still be starting; groups created now would all be placed
+		// on the first ones.
 		return nil
 	}
-	held := heldGroups(known)
+	counts := replicaCounts(known)
 	for id := range api.GroupID(s.node.Settings.Store.Groups) {
 		if _, ok := known[id]; ok {
 			continue
 		}
 		for i := range candidates {
-			candidates[i].Groups = held[candidates[i].Replica]
+			candidates[i].Groups = counts[candidates[i].Replica]
 		}
-		first, ok := s.firstMembers(id, candidates)
+		first, ok := s.initialMembers(id, candidates)
 		if !ok {
-			s.log.Debugf("%d of %d stores are there; the groups wait.", len(candidates), s.node.Settings.Store.Voters())
+			s.log.Debugf("Not creating groups yet: %d of %d stores are available.", len(candidates), s.node.Settings.Store.Voters())
 			return nil
 		}
 		value, err := json.Marshal(groupRecord{First: first, Members: first})
 		if err != nil {
 			return err
 		}
-		if _, err := s.swapRecord(ctx, id, value, 0); err != nil {
-			return fmt.Errorf("form group %d: %w", id, err)
+		if _, err := s.compareAndSwapRecord(ctx, id, value, 0); err != nil {
+			return fmt.Errorf("create group %d: %w", id, err)
 		}
 		for _, replica := range first.Voters {
-			held[replica]++
+			counts[replica]++
 		}
 	}
 	return nil
 }
 
-// firstMembers chooses a new group's voters by what they have to outlive.
-func (s *Store) firstMembers(id api.GroupID, candidates []placement.Store) (replication.Members, bool) {
+// initialMembers chooses a new group's voters by the configured placement policy; false
+// when there are too few candidates.
+func (s *Store) initialMembers(id api.GroupID, candidates []placement.Store) (replication.Members, bool) {
 	settings := s.node.Settings.Store
 	if settings.Gathered() {
 		return placement.GatheredMembers(id, candidates, settings.Voters())
@@ -239,33 +240,33 @@
 	return placement.FirstMembers(id, candidates, settings.Voters())
 }
 
-// heldGroups counts the groups that each replica is of.
-func heldGroups(known map[api.GroupID]groupRecord) map[replication.ReplicaID]int {
-	held := map[replication.ReplicaID]int{}
+// replicaCounts returns for each store how many groups it is an initial voter of.
+func replicaCounts(known map[api.GroupID]groupRecord) map[replication.ReplicaID]int {
+	counts := map[replication.ReplicaID]int{}
 	for _, record := range known {
 		for _, replica := range record.First.Voters {
-			held[replica]++
+			counts[replica]++
 		}
 	}
-	return held
+	return counts
 }
 
-// aliveStores are those of the registered that are seen alive: a disk that was lost stays
-// registered.
-func (s *Store) aliveStores(ctx context.Context, records []storeRecord) []placement.Store {
+// liveStores returns the registered stores that are known and answer with their identity;
+// the registration of a lost disk remains.
+func (s *Store) liveStores(ctx context.Context, records []storeRecord) []placement.Store {
 	s.shared.peers.register(records)
 	known := s.shared.peers.stores(time.Now())
 	var stores []placement.Store
 	for _, record := range records {
-		if slices.ContainsFunc(known, func(store placement.Store) bool { return store.Replica == record.Replica }) && s.answers(ctx, record.Replica) {
+		if slices.ContainsFunc(known, func(store placement.Store) bool { return store.Replica == record.Replica }) && s.verifyIdentity(ctx, record.Replica) {
 			stores = append(stores, placement.Store{Replica: record.Replica, Location: record.Location})
 		}
 	}
 	return stores
 }
 
-// readStores gives all registrations, the oldest first, as the service tells them to all,
-// else read for this store.
+// readStores returns all registrations, the oldest first, from the shared watch if there
+// is one, else read from the service.
 func (s *Store) readStores(ctx context.Context) ([]storeRecord, error) {
 	if s.registrations != nil {
 		return s.registrations.Records(), nil
@@ -286,17 +287,17 @@
 	return records, nil
 }
 
-// startFirst starts a group whose first members this store is of and which it
-// does not hold yet. A disk that was lost has another identity and never is.
-func (s *Store) startFirst(id api.GroupID, record groupRecord) error {
+// startInitial starts a replica of a group whose initial members include this store,
+// unless it runs already. A replaced disk has a new identity and is never among them.
+func (s *Store) startInitial(id api.GroupID, record groupRecord) error {
 	if _, ok := s.group(id); ok || !slices.Contains(record.First.Voters, s.shared.database.identity) {
 		return nil
 	}
 	return s.startGroup(id, record.First)
 }
 
-// publish tells the service what the group has committed and who leads it, if this store
-// does; false where the record has changed meanwhile.
+// publish writes the group's committed members and its leader to the key-value service if
+// this store leads the group. It returns false if the record was changed concurrently.
 func (s *Store) publish(ctx context.Context, id api.GroupID, record groupRecord, revision int64) (published bool, err error) {
 	group, ok := s.group(id)
 	if !ok {
@@ -320,7 +321,7 @@
 	if err != nil {
 		return false, err
 	}
-	result, err := s.swapRecord(ctx, id, value, revision)
+	result, err := s.compareAndSwapRecord(ctx, id, value, revision)
 	if err != nil {
 		return false, fmt.Errorf("publish group %d: %w", id, err)
 	}
--- a/internal/store/cluster_test.go
+++ b/internal/store/cluster_test.go
@@ -26,45 +26,45 @@
 	"github.com/dykewing/dykewing/jobs"
 )
 
-const generousWait = 60 * time.Second
+const testTimeout = 60 * time.Second
 
-// cluster is some stores over real disks and connections in this process, with
-// a stand-in of the key-value service that can be taken down.
+// cluster is a set of stores with real disks and connections in this process, and a fake
+// key-value service that can be taken down.
 type cluster struct {
-	t        testing.TB
-	keyValue *httptest.Server
-	down     atomic.Bool // of the key-value service
-	settings config.Store
-	hooks    hooks // of stores started from now on
-	mutex    sync.Mutex
-	machines []*testMachine
-	client   *storeclient.Client
+	t            testing.TB
+	keyValue     *httptest.Server
+	keyValueDown atomic.Bool
+	settings     config.Store
+	hooks        hooks // of stores started later
+	mutex        sync.Mutex
+	machines     []*testMachine
+	client       *storeclient.Client
 }
 
-// testMachine is one machine with its disk; durable is what a loss of power
-// would leave of the disk.
+// testMachine is one machine with its disk. durable is the data file that would survive a
+// power loss.
 type testMachine struct {
-	cluster *cluster
-	number  int
-	folder  string
-	node    *node.Node
-	store   *Store
-	cut     atomic.Bool
-	gone    atomic.Bool // its role has ended
-	kill    context.CancelFunc
-	leave   context.CancelFunc
-	ended   chan error
-
-	mutex   sync.Mutex
-	durable []byte
-	noted   []byte // of the acknowledged file, with durable
+	cluster   *cluster
+	number    int
+	folder    string
+	node      *node.Node
+	store     *Store
+	isolated  atomic.Bool
+	roleEnded atomic.Bool
+	kill      context.CancelFunc
+	leave     context.CancelFunc
+	ended     chan error
+
+	mutex         sync.Mutex
+	durable       []byte
+	durableMarker []byte // commit marker file that belongs to durable
 }
 
 func newCluster(t testing.TB, stores int, adjust func(*config.Store)) *cluster {
 	c := &cluster{t: t}
 	server := keyvalue.NewServer()
 	c.keyValue = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if c.down.Load() {
+		if c.keyValueDown.Load() {
 			panic(http.ErrAbortHandler)
 		}
 		server.ServeHTTP(w, r)
@@ -114,7 +114,7 @@
 	c.require(err)
 	common, err := node.New(api.RoleStore, settings, log)
 	c.require(err)
-	m.cut.Store(false)
+	m.isolated.Store(false)
 	store, err := newStore(common, m.hooks())
 	c.require(err)
 	running, leave := context.WithCancel(context.Background())
@@ -122,12 +122,12 @@
 	ended := make(chan error, 1)
 	c.mutex.Lock()
 	m.node, m.store, m.leave, m.kill, m.ended = common, store, leave, kill, ended
-	m.gone.Store(false)
+	m.roleEnded.Store(false)
 	c.mutex.Unlock()
 	go func() {
 		storeContext, stopStore := context.WithCancel(killed)
 		done := make(chan error, 1)
-		go func() { done <- store.Run(storeContext); m.gone.Store(true); kill() }()
+		go func() { done <- store.Run(storeContext); m.roleEnded.Store(true); kill() }()
 		_ = common.Run(running, killed)
 		stopStore()
 		ended <- <-done
@@ -137,48 +137,48 @@
 
 func (m *testMachine) hooks() hooks {
 	h := m.cluster.hooks
-	if !h.skipCopy {
-		h.synced = m.keep
+	if !h.skipDurableCopy {
+		h.synced = m.captureDurable
 	}
-	h.cut = m.cut.Load
+	h.isolated = m.isolated.Load
 	h.wrap = m.wrap
 	return h
 }
 
-// keep copies what a sync made durable.
-func (m *testMachine) keep() {
+// captureDurable records the data file after a sync.
+func (m *testMachine) captureDurable() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.cut.Load() {
+	if m.isolated.Load() {
 		return
 	}
 	raw, err := os.ReadFile(filepath.Join(m.folder, databaseFile))
 	m.cluster.require(err)
 	m.durable = raw
-	// The note of the last acknowledged transaction is never synced: a loss of
-	// power gives back what stood there before this sync.
-	if m.noted, err = os.ReadFile(filepath.Join(m.folder, acknowledgedFile)); errors.Is(err, fs.ErrNotExist) {
+	// The commit marker is never synced: a power loss restores its content from
+	// before this sync.
+	if m.durableMarker, err = os.ReadFile(filepath.Join(m.folder, commitMarkerFile)); errors.Is(err, fs.ErrNotExist) {
 		err = nil
 	}
 	m.cluster.require(err)
 }
 
-// wrap lets no answer out of a machine that has crashed.
+// wrap aborts all responses of a crashed machine.
 func (m *testMachine) wrap(handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if m.cut.Load() {
+		if m.isolated.Load() {
 			panic(http.ErrAbortHandler)
 		}
-		handler(cutWriter{ResponseWriter: w, cut: &m.cut}, r)
+		handler(isolatedWriter{ResponseWriter: w, cut: &m.isolated}, r)
 	}
 }
 
-type cutWriter struct {
+type isolatedWriter struct {
 	http.ResponseWriter
 	cut *atomic.Bool
 }
 
-func (w cutWriter) Write(raw []byte) (int, error) {
+func (w isolatedWriter) Write(raw []byte) (int, error) {
 	if w.cut.Load() {
 		panic(http.ErrAbortHandler)
 	}
@@ -191,7 +191,7 @@
 	return m.node != nil
 }
 
-// end waits until the process is gone.
+// end waits until the process has ended and returns the role's error.
 func (m *testMachine) end() error {
 	err := <-m.ended
 	m.cluster.mutex.Lock()
@@ -200,27 +200,26 @@
 	return err
 }
 
-// crash is a loss of power: nothing leaves any more, and the disk keeps what
-// was synced.
+// crash simulates a power loss: nothing more is sent, and the disk keeps what was synced.
 func (m *testMachine) crash() {
-	m.cut.Store(true)
+	m.isolated.Store(true)
 	m.kill()
 	_ = m.end()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.durable != nil {
 		m.cluster.require(os.WriteFile(filepath.Join(m.folder, databaseFile), m.durable, fileMode))
-		m.cluster.require(os.WriteFile(filepath.Join(m.folder, acknowledgedFile), m.noted, fileMode))
+		m.cluster.require(os.WriteFile(filepath.Join(m.folder, commitMarkerFile), m.durableMarker, fileMode))
 	}
 }
 
-// loseDisk empties the folder of a machine that is down.
+// loseDisk deletes the data folder of a stopped machine.
 func (m *testMachine) loseDisk() {
 	m.cluster.require(os.RemoveAll(m.folder))
 	m.durable = nil
 }
 
-// stop is a planned stop.
+// stop performs a planned stop.
 func (m *testMachine) stop() error {
 	m.leave()
 	return m.end()
@@ -242,13 +241,13 @@
 	}
 }
 
-// view is that of any store that runs. One that has ended by itself keeps its
-// last view for ever, in which it may still lead.
+// view returns the view of any running store. A store whose role has ended is skipped, since
+// its view stays at the last state.
 func (c *cluster) view() []api.Node {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, m := range c.machines {
-		if m.node != nil && !m.gone.Load() && (len(m.node.Nodes()) > 1 || len(c.machines) == 1) {
+		if m.node != nil && !m.roleEnded.Load() && (len(m.node.Nodes()) > 1 || len(c.machines) == 1) {
 			return m.node.Nodes()
 		}
 	}
@@ -258,14 +257,14 @@
 // await polls until the condition holds.
 func (c *cluster) await(what string, holds func() bool) {
 	c.t.Helper()
-	for deadline := time.Now().Add(generousWait); !holds(); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); !holds(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			c.t.Fatalf("%s: not within %v", what, generousWait)
+			c.t.Fatalf("waiting for %s: timed out after %v", what, testTimeout)
 		}
 	}
 }
 
-// leader gives the machine that leads group 0.
+// leader returns the machine that leads group 0, or nil.
 func (c *cluster) leader() *testMachine {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -273,7 +272,7 @@
 		if m.store == nil {
 			continue
 		}
-		if group, ok := m.store.group(0); ok && group.leads() {
+		if group, ok := m.store.group(0); ok && group.isLeading() {
 			return m
 		}
 	}
@@ -288,34 +287,34 @@
 
 func fileID(number int) jobs.FileID { return jobs.FileID(fmt.Sprintf("file-0-%d", number)) }
 
-// create commits one file and gives the client's error.
+// create commits one file and returns the client's error.
 func (c *cluster) create(ctx context.Context, number int) error {
 	command := jobs.Command{CreateFile: &jobs.CreateFile{File: fileID(number), Tenant: "tenant", Name: "name", Purpose: "batch"}}
 	_, err := c.client.Command(ctx, 0, command)
 	return err
 }
 
-// createAll commits files, a few at a time.
+// createAll commits files with up to 8 concurrent requests.
 func (c *cluster) createAll(from, count int) {
 	c.t.Helper()
 	var creating errgroup.Group
 	creating.SetLimit(8)
 	for number := from; number < from+count; number++ {
 		creating.Go(func() error {
-			return c.persevere(func(ctx context.Context) error { return c.create(ctx, number) })
+			return c.retryWhileNoQuorum(func(ctx context.Context) error { return c.create(ctx, number) })
 		})
 	}
 	c.require(creating.Wait())
 }
 
-func (c *cluster) eventually(call func(context.Context) error) {
+func (c *cluster) requireEventually(call func(context.Context) error) {
 	c.t.Helper()
-	c.require(c.persevere(call))
+	c.require(c.retryWhileNoQuorum(call))
 }
 
-// persevere goes on while the group looks for a leader.
-func (c *cluster) persevere(call func(context.Context) error) error {
-	ctx, cancel := context.WithTimeout(context.Background(), generousWait)
+// retryWhileNoQuorum retries a call while the group has no leader, up to testTimeout.
+func (c *cluster) retryWhileNoQuorum(call func(context.Context) error) error {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for {
 		err := call(ctx)
@@ -325,11 +324,11 @@
 	}
 }
 
-// missing lists the acknowledged files that can't be read.
-func (c *cluster) missing(count int) (lost []int) {
+// lostFiles returns the acknowledged files that can't be found.
+func (c *cluster) lostFiles(count int) (lost []int) {
 	c.t.Helper()
 	for number := range count {
-		c.eventually(func(ctx context.Context) error {
+		c.requireEventually(func(ctx context.Context) error {
 			var file jobs.File
 			err := c.client.Read(ctx, 0, storeclient.FilePath(0, string(fileID(number))), &file)
 			if err != nil && api.AsError("", err).Code == api.CodeNotFound {
@@ -342,14 +341,14 @@
 	return lost
 }
 
-func (c *cluster) mustHave(count int) {
+func (c *cluster) requireFiles(count int) {
 	c.t.Helper()
-	if lost := c.missing(count); len(lost) > 0 {
+	if lost := c.lostFiles(count); len(lost) > 0 {
 		c.t.Fatalf("%d of %d acknowledged files are lost, the first is %d", len(lost), count, lost[0])
 	}
 }
 
-// awaitMembers waits until exactly the live machines given are the voters.
+// awaitMembers waits until the voters are exactly those of the given running machines.
 func (c *cluster) awaitMembers(machines ...*testMachine) {
 	c.t.Helper()
 	want := map[string]bool{}
--- a/internal/store/database.go
+++ b/internal/store/database.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	databaseFile    = "store.db"
-	lockFile        = "lock"
-	unfinishedPart  = ".new" // of the name of a file whose header is not written yet
-	formatVersion   = 1
-	folderMode      = 0o700
-	fileMode        = 0o600
-	openTimeout     = 2 * time.Second
-	initialMapBytes = 16 << 30 // of address space, so that a growing file is rarely mapped anew, which waits for readers
-	growBytes       = 1 << 20  // by which the file grows
+	databaseFile     = "store.db"
+	lockFile         = "lock"
+	temporarySuffix  = ".new" // of a file whose header is not written yet
+	formatVersion    = 1
+	folderMode       = 0o700
+	fileMode         = 0o600
+	openTimeout      = 2 * time.Second
+	initialMmapBytes = 16 << 30 // address space; remapping a growing file waits for readers
+	allocBytes       = 1 << 20  // growth increment of the file
 )
 
 var (
@@ -37,26 +37,26 @@
 	keyGroups    = []byte("groups")
 )
 
-// header is written once, when the data file is made.
+// header is written once, when the data file is created.
 type header struct {
 	Format   int                   `json:"format"`
 	Identity replication.ReplicaID `json:"identity"`
 }
 
-// database is the data folder of one store: one file for all groups, so that
-// they share syncs. The identity lives in it: a new disk is a new replica.
+// database is the data folder of one store: one file for all groups, so that they share
+// syncs. It holds the store's identity, so a replaced disk is a new replica.
 type database struct {
 	bolt *bbolt.DB
 	lock *os.File
 
-	acknowledged *acknowledgements
-	folder       string
-	identity     replication.ReplicaID
-	hooks        hooks
+	marker   *commitMarker
+	folder   string
+	identity replication.ReplicaID
+	hooks    hooks
 }
 
-// openDatabase locks the folder and reads every record once; damage is an error
-// that names the folder, and nothing is served from it.
+// openDatabase locks the folder and verifies every record. Corruption is an error that
+// names the folder.
 func openDatabase(folder string, hooks hooks) (*database, error) {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return nil, fmt.Errorf("make data folder: %w", err)
@@ -66,7 +66,7 @@
 		return nil, err
 	}
 	d := &database{lock: lock, folder: folder, hooks: hooks}
-	if err := guard(d.open); err != nil {
+	if err := recoverFault(d.open); err != nil {
 		return nil, errors.Join(fmt.Errorf("data folder %s is damaged or can't be read; it is not served: %w", folder, err), d.close())
 	}
 	return d, nil
@@ -84,9 +84,9 @@
 	return lock, nil
 }
 
-// guard turns what bbolt does on a damaged file (panics, faults of the memory
-// map beyond the file's end) into an error.
-func guard(open func() error) (err error) {
+// recoverFault converts panics of bbolt on a damaged file, and memory faults beyond the
+// end of the mapped file, into errors.
+func recoverFault(open func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if fault := recover(); fault != nil {
@@ -99,15 +99,15 @@
 func (d *database) open() error {
 	path := filepath.Join(d.folder, databaseFile)
 	var err error
-	if d.acknowledged, err = openAcknowledgements(d.folder); err != nil {
+	if d.marker, err = openCommitMarker(d.folder); err != nil {
 		return err
 	}
 	if missing(path) {
-		if err := errors.Join(d.acknowledged.forget(), d.create(path)); err != nil {
+		if err := errors.Join(d.marker.reset(), d.create(path)); err != nil {
 			return err
 		}
 	}
-	acknowledged, err := d.acknowledged.last()
+	acknowledged, err := d.marker.last()
 	if err != nil {
 		return err
 	}
@@ -125,17 +125,18 @@
 
 func openBolt(path string) (*bbolt.DB, error) {
 	bolt, err := bbolt.Open(path, fileMode, &bbolt.Options{
-		Timeout: openTimeout, InitialMmapSize: initialMapBytes, FreelistType: bbolt.FreelistMapType,
+		Timeout: openTimeout, InitialMmapSize: initialMmapBytes, FreelistType: bbolt.FreelistMapType,
 	})
 	if err == nil {
-		bolt.AllocSize = growBytes
+		bolt.AllocSize = allocBytes
 	}
 	return bolt, err
 }
 
-// create makes a new disk's file with its header whole before it gets its name.
+// create writes a new data file under a temporary name and renames it once its header is
+// durable.
 func (d *database) create(path string) error {
-	unfinished := path + unfinishedPart
+	unfinished := path + temporarySuffix
 	if err := os.RemoveAll(unfinished); err != nil {
 		return err
 	}
@@ -193,7 +194,7 @@
 	return bucket.Put(keyGroups, sealRecord(keyGroups, raw))
 }
 
-// verify reads the whole file.
+// verify reads the whole file and checks checksums and structure.
 func (d *database) verify(transaction *bbolt.Tx) error {
 	if err := d.readHeader(transaction); err != nil {
 		return fmt.Errorf("header: %w", err)
@@ -208,7 +209,7 @@
 	for _, id := range groups {
 		bucket := groupBucket(transaction, id)
 		if bucket == nil {
-			return fmt.Errorf("group %d: %w", id, errSum)
+			return fmt.Errorf("group %d: %w", id, errRecordSum)
 		}
 		if err := verifyRecords(bucket); err != nil {
 			return fmt.Errorf("group %d: %w", id, err)
@@ -249,7 +250,7 @@
 	return groups, json.Unmarshal(raw, &groups)
 }
 
-// groups lists the groups that this disk holds a replica of.
+// groups returns the groups that this disk holds a replica of.
 func (d *database) groups() (groups []api.GroupID, err error) {
 	err = d.bolt.View(func(transaction *bbolt.Tx) error {
 		groups, err = listGroups(transaction)
@@ -258,8 +259,8 @@
 	return groups, err
 }
 
-// createGroup records a group's first members; every replica of the group
-// starts from the same ones. A group that is known already stays as it is.
+// createGroup records a group's initial members, which are the same for all its replicas.
+// It does nothing if the group exists.
 func (d *database) createGroup(id api.GroupID, origin replication.Members) error {
 	return d.update(func(transaction *bbolt.Tx) error {
 		groups, err := listGroups(transaction)
@@ -270,7 +271,7 @@
 		if err != nil {
 			return err
 		}
-		if err := initialiseGroup(bucket, origin); err != nil {
+		if err := initializeGroup(bucket, origin); err != nil {
 			return err
 		}
 		return putGroups(transaction.Bucket(bucketStore), append(groups, id))
@@ -282,8 +283,8 @@
 	if d.bolt != nil {
 		err = d.bolt.Close()
 	}
-	if d.acknowledged != nil {
-		err = errors.Join(err, d.acknowledged.close())
+	if d.marker != nil {
+		err = errors.Join(err, d.marker.close())
 	}
 	return errors.Join(err, d.lock.Close())
 }
--- a/internal/store/database_test.go
+++ b/internal/store/database_test.go
@@ -15,11 +15,10 @@
 	"github.com/dykewing/dykewing/replication"
 )
 
-const damageSeed = 20260401
+const corruptionSeed = 20260401
 
-// writtenFolder makes a data folder with a log and gives the bytes of its file
-// that are in use.
-func writtenFolder(t *testing.T) (string, []byte) {
+// populatedFolder creates a data folder with a log and returns the used bytes of its file.
+func populatedFolder(t *testing.T) (string, []byte) {
 	t.Helper()
 	folder := t.TempDir()
 	database, err := openDatabase(folder, hooks{})
@@ -54,7 +53,7 @@
 		persist.Entries = append(persist.Entries, replication.Entry{Index: index, Term: 1, Data: bytes.Repeat([]byte{byte(index)}, 100)})
 	}
 	err := database.update(func(transaction *bbolt.Tx) error {
-		records, err := openLedger(groupBucket(transaction, 0))
+		records, err := openSealedBucket(groupBucket(transaction, 0))
 		if err != nil {
 			return err
 		}
@@ -68,14 +67,14 @@
 	}
 }
 
-// served gives the log that a folder would be served with, or the refusal.
-func served(folder string, hooks hooks) (entries []replication.Entry, failure error) {
+// readLog opens a folder and returns its log, or the error of the verification.
+func readLog(folder string, hooks hooks) (entries []replication.Entry, failure error) {
 	database, err := openDatabase(folder, hooks)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = guard(database.close) }()
-	err = guard(func() error {
+	defer func() { _ = recoverFault(database.close) }()
+	err = recoverFault(func() error {
 		restored, err := database.restore(0)
 		entries = restored.machine.Entries
 		return err
@@ -95,12 +94,12 @@
 	return true
 }
 
-type damage struct {
+type corruption struct {
 	name  string
 	apply func(random *rand.Rand, raw []byte) []byte
 }
 
-var damages = []damage{
+var corruptions = []corruption{
 	{"flipped bit", func(random *rand.Rand, raw []byte) []byte {
 		raw[random.IntN(len(raw))] ^= 1 << random.IntN(8)
 		return raw
@@ -120,23 +119,23 @@
 	{"truncation", func(random *rand.Rand, raw []byte) []byte { return raw[:random.IntN(len(raw))] }},
 }
 
-// countDamage damages the file many times and counts what was refused and what
-// was served otherwise than it was written.
-func countDamage(t *testing.T, damage damage, rounds int, hooks hooks) (refused, wrong int) {
+// countCorruption corrupts the file repeatedly and counts the rejections and the reads that
+// returned a different log.
+func countCorruption(t *testing.T, damage corruption, rounds int, hooks hooks) (refused, wrong int) {
 	t.Helper()
-	folder, raw := writtenFolder(t)
-	whole, err := served(folder, hooks)
+	folder, raw := populatedFolder(t)
+	whole, err := readLog(folder, hooks)
 	if err != nil {
 		t.Fatal(err)
 	}
-	random := rand.New(rand.NewPCG(damageSeed, 0))
+	random := rand.New(rand.NewPCG(corruptionSeed, 0))
 	for range rounds {
 		damaged := damage.apply(random, bytes.Clone(raw))
-		path := filepath.Join(folder, databaseFile) // a new file: bbolt leaves a lock when it panics
+		path := filepath.Join(folder, databaseFile) // recreated, since bbolt keeps its lock when it panics
 		if err := errors.Join(os.Remove(path), os.WriteFile(path, damaged, fileMode)); err != nil {
 			t.Fatal(err)
 		}
-		entries, err := served(folder, hooks)
+		entries, err := readLog(folder, hooks)
 		switch {
 		case err != nil:
 			refused++
@@ -144,7 +143,7 @@
 				continue
 			}
 			if text := err.Error(); !strings.Contains(text, folder) || strings.Contains(text, "\n") {
-				t.Fatalf("the refusal does not name the folder in one line: %q", text)
+				t.Fatalf("error does not name the folder or has several lines: %q", text)
 			}
 		case !sameLog(entries, whole):
 			wrong++
@@ -153,48 +152,47 @@
 	return refused, wrong
 }
 
-func TestDamageIsRefusedOrHarmless(t *testing.T) {
-	for _, damage := range damages {
+func TestCorruptFileIsRejectedOrReadCorrectly(t *testing.T) {
+	for _, damage := range corruptions {
 		t.Run(damage.name, func(t *testing.T) {
-			refused, wrong := countDamage(t, damage, 80, hooks{})
+			refused, wrong := countCorruption(t, damage, 80, hooks{})
 			if wrong > 0 || refused == 0 {
-				t.Fatalf("%d damaged files were served wrongly, %d refused", wrong, refused)
+				t.Fatalf("%d corrupt files were read wrongly, %d rejected", wrong, refused)
 			}
 		})
 	}
 }
 
-// Without the reading at start the same damage must be seen to be served.
-func TestUnverifiedDamageIsCaught(t *testing.T) {
+// Verifies that the corruption test fails if the file is not verified.
+func TestSkippedVerificationIsDetected(t *testing.T) {
 	wrong := 0
-	for _, damage := range damages {
-		_, served := countDamage(t, damage, 80, hooks{skipVerify: true})
+	for _, damage := range corruptions {
+		_, served := countCorruption(t, damage, 80, hooks{skipVerify: true})
 		wrong += served
 	}
 	if wrong == 0 {
-		t.Fatal("nothing was verified and nothing served wrongly: the check can't fail")
+		t.Fatal("no wrong log was read without verification: the corruption test can't fail")
 	}
 }
 
-func TestAFolderHasOneProcess(t *testing.T) {
-	folder, _ := writtenFolder(t)
+func TestDataFolderIsLocked(t *testing.T) {
+	folder, _ := populatedFolder(t)
 	first, err := openDatabase(folder, hooks{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer first.close()
 	if _, err := openDatabase(folder, hooks{}); err == nil || !strings.Contains(err.Error(), "in use") {
-		t.Fatalf("a second process was let in: %v", err)
+		t.Fatalf("second open of the folder: %v, want an error that it is in use", err)
 	}
 }
 
-// A loss of power may tear the meta page of a transaction that nobody was told
-// of; the file is whole without it. Once the transaction was acknowledged, the
-// same damage is refused.
-func TestATornMetaPageIsRefusedOnlyOnceAcknowledged(t *testing.T) {
-	folder, raw := writtenFolder(t)
+// A power loss may tear the meta page of an unacknowledged transaction, which is harmless. The
+// same damage to an acknowledged transaction must be rejected.
+func TestTornMetaPageIsRejectedOnlyIfAcknowledged(t *testing.T) {
+	folder, raw := populatedFolder(t)
 	path := filepath.Join(folder, databaseFile)
-	whole, err := served(folder, hooks{})
+	whole, err := readLog(folder, hooks{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -205,27 +203,27 @@
 		newestAt, newest = os.Getpagesize(), second
 	}
 	torn := bytes.Clone(raw)
-	clear(torn[newestAt+pageHeaderBytes+metaTransactionAt : newestAt+512])
+	clear(torn[newestAt+pageHeaderBytes+metaTransactionOffset : newestAt+512])
 	try := func(acknowledged uint64) ([]replication.Entry, error) {
-		marker, err := openAcknowledgements(folder)
-		if err := errors.Join(err, marker.note(acknowledged), marker.close(), os.Remove(path), os.WriteFile(path, torn, fileMode)); err != nil {
+		marker, err := openCommitMarker(folder)
+		if err := errors.Join(err, marker.record(acknowledged), marker.close(), os.Remove(path), os.WriteFile(path, torn, fileMode)); err != nil {
 			t.Fatal(err)
 		}
-		return served(folder, hooks{})
+		return readLog(folder, hooks{})
 	}
 	if _, err := try(newest); err == nil {
-		t.Error("an acknowledged transaction is gone and the file was served")
+		t.Error("opened a file that lacks an acknowledged transaction")
 	}
 	entries, err := try(newest - 1)
 	if err != nil {
-		t.Fatalf("a torn transaction that nobody was told of: %v", err)
+		t.Fatalf("torn page of an unacknowledged transaction: %v", err)
 	}
 	if len(entries) >= len(whole) || !sameLog(entries, whole[:len(entries)]) {
-		t.Errorf("%d entries of %d, or others", len(entries), len(whole))
+		t.Errorf("got %d entries, want a proper prefix of %d", len(entries), len(whole))
 	}
 }
 
 func readMetaOf(raw []byte, page int) (transaction uint64, whole bool) {
-	at := page + pageHeaderBytes + metaTransactionAt
+	at := page + pageHeaderBytes + metaTransactionOffset
 	return binary.NativeEndian.Uint64(raw[at:]), true
 }
--- a/internal/store/decommission.go
+++ b/internal/store/decommission.go
@@ -12,23 +12,23 @@
 	"github.com/dykewing/dykewing/replication"
 )
 
-// DecommissionState is how far the emptying of a machine has come.
+// DecommissionState is the progress of a machine's decommission.
 type DecommissionState string
 
-// The states.
 const (
 	DecommissionActive    DecommissionState = "active"
-	DecommissionCompleted DecommissionState = "completed" // nothing is there that is needed
+	DecommissionCompleted DecommissionState = "completed" // no group has a member there
 )
 
-// Decommissions are the machines that operators want emptied, and how they are
-// told. It is a catalog.View over the requests, one key a machine.
+// Decommissions tracks operators' requests to decommission machines and the statuses
+// written for them. It is a catalog.View over the requests, one key per machine, and safe
+// for concurrent use.
 type Decommissions struct {
-	// Prefix of the requests' keys; the machine's id follows.
+	// Prefix of the request keys, followed by the machine's ID.
 	Prefix string
-	// StatusPrefix of the keys that are written; the machine's id follows.
+	// StatusPrefix of the status keys, followed by the machine's ID.
 	StatusPrefix string
-	// Encode gives a status as it is written.
+	// Encode returns the value of a status key.
 	Encode func(state DecommissionState) ([]byte, error)
 
 	mutex     sync.Mutex // guards all below
@@ -36,7 +36,7 @@
 	written   map[api.NodeID]DecommissionState
 }
 
-// Whole takes all requests.
+// Whole replaces the requests by a complete listing.
 func (d *Decommissions) Whole(result kv.RangeResult) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -46,7 +46,7 @@
 	}
 }
 
-// Changes takes requests that came or were taken back.
+// Changes adds new requests and removes withdrawn ones.
 func (d *Decommissions) Changes(batch kv.Batch) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -67,7 +67,7 @@
 	return api.NodeID(strings.TrimPrefix(key, d.Prefix))
 }
 
-// nodes lists the machines to be emptied, sorted.
+// nodes returns the machines to decommission, sorted.
 func (d *Decommissions) nodes() []api.NodeID {
 	if d == nil {
 		return nil
@@ -88,7 +88,7 @@
 	return d.written[id] == state
 }
 
-func (d *Decommissions) noteWritten(id api.NodeID, state DecommissionState) {
+func (d *Decommissions) markWritten(id api.NodeID, state DecommissionState) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.written == nil {
@@ -97,22 +97,22 @@
 	d.written[id] = state
 }
 
-// decommission carries the requests on: members on those machines count as lost,
-// a leader there hands over, and the leader of the first group reports.
+// decommission advances the requests: replicas on those machines are replaced, leaders
+// there transfer their leadership, and the leader of group 0 writes the statuses.
 func (s *Store) decommission(ctx context.Context) {
 	nodes := s.decommissions.nodes()
-	s.shared.peers.empty(nodes)
+	s.shared.peers.setDecommissioning(nodes)
 	if len(nodes) == 0 {
 		return
 	}
 	if slices.Contains(nodes, s.node.ID()) {
-		for _, group := range s.list() {
-			group.giveAway()
+		for _, group := range s.sortedGroups() {
+			group.transferLeadership()
 		}
 		return
 	}
 	first, ok := s.group(0)
-	if !ok || !first.leads() {
+	if !ok || !first.isLeading() {
 		return
 	}
 	for _, id := range nodes {
@@ -120,23 +120,23 @@
 			continue
 		}
 		state := DecommissionActive
-		if s.emptied(ctx, id) {
+		if s.decommissionComplete(ctx, id) {
 			state = DecommissionCompleted
 		}
 		s.reportDecommission(ctx, id, state)
 	}
 }
 
-// emptied tells whether no group has a member on the machine any more, by what
-// the groups' leaders have published and what is led here.
-func (s *Store) emptied(ctx context.Context, id api.NodeID) bool {
-	onMachine := func(members replication.Members) bool {
+// decommissionComplete reports whether no group has a member on the machine, according to
+// the groups led here and the published records.
+func (s *Store) decommissionComplete(ctx context.Context, id api.NodeID) bool {
+	hasMemberThere := func(members replication.Members) bool {
 		return slices.ContainsFunc(slices.Concat(members.Voters, members.Learners), func(replica replication.ReplicaID) bool {
 			return s.shared.peers.owner(replica) == id
 		})
 	}
-	for _, group := range s.list() {
-		if group.leads() && onMachine(group.members().Members) {
+	for _, group := range s.sortedGroups() {
+		if group.isLeading() && hasMemberThere(group.members().Members) {
 			return false
 		}
 	}
@@ -148,7 +148,7 @@
 		return false
 	}
 	for _, record := range records {
-		if onMachine(record.Members) {
+		if hasMemberThere(record.Members) {
 			return false
 		}
 	}
@@ -161,20 +161,20 @@
 	}
 	value, err := s.decommissions.Encode(state)
 	if err != nil {
-		s.log.WithError(err).Error("The status of an emptied machine could not be encoded.")
+		s.log.WithError(err).Error("Encoding the decommission status failed.")
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	if err := s.overwrite(ctx, s.decommissions.StatusPrefix+string(id), value); err != nil {
-		s.log.WithField("event", "status_not_written").WithError(err).Warn("The status of an emptied machine could not be written yet.")
+		s.log.WithField("event", "status_not_written").WithError(err).Warn("Writing the decommission status failed; retrying.")
 		return
 	}
-	s.decommissions.noteWritten(id, state)
-	s.log.WithField("event", "decommission").WithField("machine", id).WithField("state", state).Info("A machine is being emptied.")
+	s.decommissions.markWritten(id, state)
+	s.log.WithField("event", "decommission").WithField("machine", id).WithField("state", state).Info("Decommission status changed.")
 }
 
-// overwrite puts a key whatever stands there.
+// overwrite puts a key regardless of its current value.
 func (s *Store) overwrite(ctx context.Context, key string, value []byte) error {
 	result, err := s.node.KeyValue.Swap(ctx, kv.Swap{Key: key, Value: value})
 	if err != nil || result.Succeeded || result.Standing == nil {
--- a/internal/store/faults_test.go
+++ b/internal/store/faults_test.go
@@ -11,7 +11,7 @@
 	"github.com/dykewing/dykewing/jobs"
 )
 
-func TestAFullDiskRefusesNewWorkAndEndsOld(t *testing.T) {
+func TestFullDiskRejectsNewWorkButCompletesExisting(t *testing.T) {
 	c := newCluster(t, 1, nil)
 	c.stopAll()
 	var free atomic.Uint64
@@ -25,20 +25,20 @@
 	err := c.create(t.Context(), 3)
 	failure := api.AsError("", err)
 	if err == nil || failure.Code != api.CodeDiskFull || failure.Outcome != api.OutcomeNotRun {
-		t.Fatalf("a new file on a full disk: %v, outcome %s", err, failure.Outcome)
+		t.Fatalf("creating a file on a full disk: %v, outcome %s", err, failure.Outcome)
 	}
-	c.eventually(func(ctx context.Context) error {
+	c.requireEventually(func(ctx context.Context) error {
 		_, err := c.client.Command(ctx, 0, jobs.Command{SealFile: &jobs.SealFile{File: fileID(0)}})
 		return err
 	})
 	free.Store(1 << 40)
 	m.store.space.check()
 	c.createAll(3, 1)
-	c.mustHave(4)
+	c.requireFiles(4)
 }
 
-// A store that can't write must acknowledge nothing, and another must lead.
-func TestAStoreThatCannotWriteStepsDown(t *testing.T) {
+// A store that can't write must acknowledge nothing, and another store must take over.
+func TestWriteFailureMovesLeadership(t *testing.T) {
 	for name, cause := range map[string]error{"full disk": syscall.ENOSPC, "broken disk": syscall.EIO} {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t, 3, nil)
@@ -59,14 +59,14 @@
 			failing.Store(leader)
 			c.createAll(5, 10)
 			c.await("another leader", func() bool { return c.leader() != nil && c.leader() != leader })
-			c.mustHave(15)
+			c.requireFiles(15)
 			if errors.Is(cause, syscall.ENOSPC) {
 				failing.Store(nil)
 				c.awaitMembers(c.machines...)
 				return
 			}
 			if err := leader.end(); !errors.Is(err, cause) {
-				t.Fatalf("the process of a broken disk ended with %v", err)
+				t.Fatalf("store with a broken disk ended with %v", err)
 			}
 		})
 	}
--- a/internal/store/form.go
+++ b/internal/store/form.go
@@ -23,30 +23,30 @@
 	"github.com/dykewing/dykewing/replication"
 )
 
-// contentFrame is the type of a body of two parts: JSON, and the data of its entries as it
-// is, which in JSON would take a third more.
-const contentFrame = "multipart/mixed"
+// contentMultipart is the content type of a body of two parts: JSON, and the entries' raw
+// data, which base64 in JSON would enlarge by a third.
+const contentMultipart = "multipart/mixed"
 
-// contentEarlierFrame is the type of a body that builds before multipart send to a process
-// that says it reads packed entries: the length of the JSON as a varint, the JSON, and the
-// data. It is read, never written. Refused, a store of such a build took the reader for one
-// that reads plain entries only, and the group could not go on: its log holds packed ones.
-const contentEarlierFrame = "application/x-dykewing-log"
+// contentLegacyFrame is the content type that builds before logform.Multipart use: the
+// length of the JSON as a uvarint, the JSON, and the entries' data. It is accepted but never
+// sent. If it were refused, such a sender would downgrade the receiver to plain entries and
+// could not replicate the packed entries in its log.
+const contentLegacyFrame = "application/x-dykewing-log"
 
-var errFrame = errors.New("the frame is broken")
+var errInvalidFrame = errors.New("invalid frame")
 
-// frame is the JSON of a framed body. Its messages carry no data of entries, and neither
-// of the replicas that the body names already.
+// frame is the JSON part of a framed body. Its messages omit the entries' data, and sender
+// and receiver where they equal those of the body.
 type frame struct {
 	messageBatch
 	To    replication.ReplicaID `json:"to"`
-	Sizes []int                 `json:"sizes,omitempty"` // of each entry's data, in order
-	Sum   uint32                `json:"sum"`             // checksum of all data
+	Sizes []int                 `json:"sizes,omitempty"` // bytes of each entry's data, in order
+	Sum   uint32                `json:"sum"`             // CRC-32C of all data
 }
 
-// frameBatch writes a body of two parts, the JSON and the data of all entries, and gives its
+// encodeBatch returns a multipart body, with the JSON and the data of all entries, and its
 // content type.
-func frameBatch(to replication.ReplicaID, batch messageBatch) (contentType string, body []byte, err error) {
+func encodeBatch(to replication.ReplicaID, batch messageBatch) (contentType string, body []byte, err error) {
 	framed := frame{messageBatch: batch, To: to}
 	framed.Messages = make([]replication.WireMessage, len(batch.Messages))
 	var data bytes.Buffer
@@ -73,7 +73,7 @@
 		return "", nil, err
 	}
 	var written bytes.Buffer
-	parts := multipart.NewWriter(&written) // its boundary is random: no text can hold it
+	parts := multipart.NewWriter(&written) // the random boundary can't occur in the data
 	for _, part := range [][]byte{head, data.Bytes()} {
 		if err := writePart(parts, part); err != nil {
 			return "", nil, err
@@ -82,7 +82,7 @@
 	if err := parts.Close(); err != nil {
 		return "", nil, err
 	}
-	return mime.FormatMediaType(contentFrame, map[string]string{"boundary": parts.Boundary()}), written.Bytes(), nil
+	return mime.FormatMediaType(contentMultipart, map[string]string{"boundary": parts.Boundary()}), written.Bytes(), nil
 }
 
 func writePart(parts *multipart.Writer, data []byte) error {
@@ -94,47 +94,47 @@
 	return err
 }
 
-// readParts gives the two parts of a framed body, whole.
+// readParts returns the two parts of a multipart body, or an error if it is truncated.
 func readParts(contentType string, body []byte) (head, data []byte, err error) {
 	kind, parameters, err := mime.ParseMediaType(contentType)
-	if err != nil || kind != contentFrame {
-		return nil, nil, fmt.Errorf("%w: content type %q", errFrame, contentType)
+	if err != nil || kind != contentMultipart {
+		return nil, nil, fmt.Errorf("%w: content type %q", errInvalidFrame, contentType)
 	}
 	boundary := parameters["boundary"]
 	if !bytes.HasSuffix(body, []byte("--"+boundary+"--\r\n")) {
-		return nil, nil, fmt.Errorf("%w: it has no end", errFrame)
+		return nil, nil, fmt.Errorf("%w: closing boundary missing", errInvalidFrame)
 	}
 	parts := multipart.NewReader(bytes.NewReader(body), boundary)
 	for _, into := range []*[]byte{&head, &data} {
 		part, err := parts.NextRawPart()
 		if err != nil {
-			return nil, nil, fmt.Errorf("%w: %w", errFrame, err)
+			return nil, nil, fmt.Errorf("%w: %w", errInvalidFrame, err)
 		}
 		if *into, err = io.ReadAll(part); err != nil {
-			return nil, nil, fmt.Errorf("%w: %w", errFrame, err)
+			return nil, nil, fmt.Errorf("%w: %w", errInvalidFrame, err)
 		}
 	}
 	if _, err := parts.NextRawPart(); err != io.EOF {
-		return nil, nil, fmt.Errorf("%w: more than two parts", errFrame)
+		return nil, nil, fmt.Errorf("%w: more than two parts", errInvalidFrame)
 	}
 	return head, data, nil
 }
 
-// readEarlierParts is readParts of an earlier build's frame.
-func readEarlierParts(_ string, body []byte) (head, data []byte, err error) {
+// readLegacyParts is readParts for contentLegacyFrame.
+func readLegacyParts(_ string, body []byte) (head, data []byte, err error) {
 	size, n := binary.Uvarint(body)
 	if n <= 0 || size > uint64(len(body)-n) {
-		return nil, nil, fmt.Errorf("%w: its length", errFrame)
+		return nil, nil, fmt.Errorf("%w: bad length prefix", errInvalidFrame)
 	}
 	return body[n : n+int(size)], body[n+int(size):], nil
 }
 
-// openFrame reads what frameBatch wrote, here or in an earlier build. Every byte must be accounted for: entries are
-// taken whole or not at all.
-func openFrame(contentType string, body []byte) (messageBatch, error) {
+// decodeBatch decodes a framed body, of this build or an earlier one. Missing or surplus
+// bytes are an error, so that no entry is accepted in part.
+func decodeBatch(contentType string, body []byte) (messageBatch, error) {
 	read := readParts
-	if contentType == contentEarlierFrame {
-		read = readEarlierParts
+	if contentType == contentLegacyFrame {
+		read = readLegacyParts
 	}
 	head, rest, err := read(contentType, body)
 	if err != nil {
@@ -142,11 +142,11 @@
 	}
 	var framed frame
 	if err := json.Unmarshal(head, &framed); err != nil {
-		return messageBatch{}, fmt.Errorf("%w: %w", errFrame, err)
+		return messageBatch{}, fmt.Errorf("%w: %w", errInvalidFrame, err)
 	}
 	sizes := framed.Sizes
 	if crc32.Checksum(rest, castagnoli) != framed.Sum {
-		return messageBatch{}, errFrame
+		return messageBatch{}, errInvalidFrame
 	}
 	for i := range framed.Messages {
 		message := &framed.Messages[i]
@@ -158,33 +158,33 @@
 		}
 		for j := range message.Entries {
 			if len(sizes) == 0 || sizes[0] < 0 || sizes[0] > len(rest) {
-				return messageBatch{}, errFrame
+				return messageBatch{}, errInvalidFrame
 			}
 			if sizes[0] > 0 {
-				// A copy: the log keeps an entry for longer than its neighbours' bytes.
+				// Cloned so that a retained entry doesn't keep the whole body in memory.
 				message.Entries[j].Data = bytes.Clone(rest[:sizes[0]])
 			}
 			rest, sizes = rest[sizes[0]:], sizes[1:]
 		}
 	}
 	if len(rest) > 0 || len(sizes) > 0 {
-		return messageBatch{}, errFrame
+		return messageBatch{}, errInvalidFrame
 	}
 	return framed.messageBatch, nil
 }
 
-// readBatch reads a body in any form.
+// readBatch reads a body in any format that the given level accepts.
 func readBatch(w http.ResponseWriter, r *http.Request, reads logform.Level) (messageBatch, *api.Error) {
 	const step = "receive log messages"
 	var batch messageBatch
 	contentType := r.Header.Get("Content-Type")
-	framed := strings.HasPrefix(contentType, contentFrame) || contentType == contentEarlierFrame
+	framed := strings.HasPrefix(contentType, contentMultipart) || contentType == contentLegacyFrame
 	if !framed || reads < logform.Packed {
-		return batch, transport.ReadJSON(w, r, step, maximumMessagesBytes, &batch)
+		return batch, transport.ReadJSON(w, r, step, maxMessagesBytes, &batch)
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maximumMessagesBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessagesBytes))
 	if err == nil {
-		batch, err = openFrame(contentType, body)
+		batch, err = decodeBatch(contentType, body)
 	}
 	if err != nil {
 		return batch, transport.BodyError(step, err)
@@ -192,9 +192,9 @@
 	return batch, nil
 }
 
-// writeCommand gives a command as an entry's data: packed where all members read it.
-// Only there may results name what is kept in place of repeating it.
-func writeCommand(command jobs.Command, packed bool) ([]byte, error) {
+// encodeCommand returns a command as an entry's data. A packed one may also refer to text
+// kept earlier instead of repeating it, so packed requires that all members decode it.
+func encodeCommand(command jobs.Command, packed bool) ([]byte, error) {
 	if packed {
 		command = command.Shortened()
 	}
@@ -205,7 +205,7 @@
 	return logform.Pack(data), nil
 }
 
-func readCommand(data []byte) (command jobs.Command, err error) {
+func decodeCommand(data []byte) (command jobs.Command, err error) {
 	plain, err := logform.Open(data)
 	if err != nil {
 		return command, err
@@ -214,23 +214,23 @@
 	return command, err
 }
 
-// mayPack tells whether the processes of all members of the group read packed entries, and
-// logs each time that this changes.
-func (g *group) mayPack() bool {
+// packingAllowed reports whether the processes of all members decode packed entries, and
+// logs when that changes.
+func (g *group) packingAllowed() bool {
 	members := g.members().Members
-	unread := g.peers.unread(g.database.identity, logform.Packed, slices.Concat(members.Voters, members.Learners))
+	unread := g.peers.belowLevel(g.database.identity, logform.Packed, slices.Concat(members.Voters, members.Learners))
 	packs := len(unread) == 0 && g.database.hooks.level() >= logform.Packed
-	if g.packs.Swap(packs) != packs {
+	if g.packing.Swap(packs) != packs {
 		g.log.WithFields(logrus.Fields{"event": "entry_form", "packed": packs, "unread": unread}).
-			Info("Entries are packed only while all members' processes are known to read that.")
+			Info("Packing of log entries changed; it requires that all members decode packed entries.")
 	}
 	return packs
 }
 
-// readable tells whether a message may be sent to its replica: one whose process does not
-// read an entry would take it for a command without effect, and its state would part
-// from the others'. It is sent once that process has said that it reads it.
-func (g *group) readable(message replication.WireMessage) bool {
+// canDecode reports whether the message's receiver is known to decode its entries. A process
+// that can't would apply a packed entry as a command without effect, and its state would
+// diverge. Replication resends withheld messages.
+func (g *group) canDecode(message replication.WireMessage) bool {
 	for _, entry := range message.Entries {
 		if entry.Kind == replication.EntryCommand && logform.IsPacked(entry.Data) {
 			return g.peers.level(message.To) >= logform.Packed
--- a/internal/store/form_test.go
+++ b/internal/store/form_test.go
@@ -31,7 +31,7 @@
 	for i := range text {
 		text[i] = byte('a' + random.IntN(26))
 	}
-	keep, _ := writeCommand(jobs.Command{KeepInline: &jobs.KeepInline{Parts: []jobs.InlinePart{{Job: "j", Text: string(text)}}}}, true)
+	keep, _ := encodeCommand(jobs.Command{KeepInline: &jobs.KeepInline{Parts: []jobs.InlinePart{{Job: "j", Text: string(text)}}}}, true)
 	return messageBatch{
 		From: "one", Address: "10.0.0.1:1", Reads: logform.Newest, Members: map[replication.ReplicaID]string{"three": "10.0.0.3:1"},
 		Messages: []replication.WireMessage{
@@ -44,48 +44,48 @@
 	}
 }
 
-func TestAFramedBatchIsReadBackWhole(t *testing.T) {
+func TestFramedBatchRoundTrip(t *testing.T) {
 	batch := testBatch()
-	contentType, body, err := frameBatch("two", batch)
+	contentType, body, err := encodeBatch("two", batch)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := openFrame(contentType, body); err != nil || !reflect.DeepEqual(got, batch) {
+	if got, err := decodeBatch(contentType, body); err != nil || !reflect.DeepEqual(got, batch) {
 		t.Errorf("%v\ngot  %+v\nwant %+v", err, got, batch)
 	}
 	plain, _ := json.Marshal(batch)
 	if len(body) >= len(plain) {
-		t.Errorf("%d bytes framed, %d plain", len(body), len(plain))
+		t.Errorf("framed body has %d bytes, plain body %d", len(body), len(plain))
 	}
 }
 
-func TestABrokenFrameIsNoBatch(t *testing.T) {
-	contentType, body, _ := frameBatch("two", testBatch())
+func TestInvalidFrameIsRejected(t *testing.T) {
+	contentType, body, _ := encodeBatch("two", testBatch())
 	for cut := range body {
-		if _, err := openFrame(contentType, body[:cut]); err == nil {
-			t.Fatalf("cut at %d of %d it was read", cut, len(body))
+		if _, err := decodeBatch(contentType, body[:cut]); err == nil {
+			t.Fatalf("accepted a body truncated to %d of %d bytes", cut, len(body))
 		}
 	}
 	data := bytes.LastIndex(body, []byte(`{"end_inline"`))
 	for _, at := range []int{data, data - 1, data - 4000, len(body) - 5} {
 		garbled := bytes.Clone(body)
 		garbled[at] ^= 1
-		if _, err := openFrame(contentType, garbled); err == nil {
-			t.Errorf("data garbled at %d of %d was read", at, len(body))
+		if _, err := decodeBatch(contentType, garbled); err == nil {
+			t.Errorf("accepted a frame garbled at byte %d of %d", at, len(body))
 		}
 	}
-	if _, err := openFrame(contentType, append(bytes.Clone(body), 'x')); err == nil {
-		t.Error("a byte too much was passed over")
+	if _, err := decodeBatch(contentType, append(bytes.Clone(body), 'x')); err == nil {
+		t.Error("accepted a trailing byte")
 	}
 	for _, head := range []string{`{"to":"two","messages":[{"entries":[{"index":1}]}]}`, `{"to":"two","messages":[],"sizes":[0]}`, `{"to":"two","messages":[{"entries":[{"index":1}]}],"sizes":[-1]}`} {
-		if _, err := openFrame(twoParts(t, []byte(head))); err == nil {
-			t.Errorf("%s was read", head)
+		if _, err := decodeBatch(multipartBody(t, []byte(head))); err == nil {
+			t.Errorf("accepted %s", head)
 		}
 	}
 }
 
-// twoParts gives a framed body of a head and no data.
-func twoParts(t *testing.T, head []byte) (contentType string, body []byte) {
+// multipartBody returns a framed body with the given JSON and no data.
+func multipartBody(t *testing.T, head []byte) (contentType string, body []byte) {
 	t.Helper()
 	var written bytes.Buffer
 	parts := multipart.NewWriter(&written)
@@ -97,11 +97,11 @@
 	if err := parts.Close(); err != nil {
 		t.Fatal(err)
 	}
-	return mime.FormatMediaType(contentFrame, map[string]string{"boundary": parts.Boundary()}), written.Bytes()
+	return mime.FormatMediaType(contentMultipart, map[string]string{"boundary": parts.Boundary()}), written.Bytes()
 }
 
-// earlierFrame is a body as builds before multipart write it.
-func earlierFrame(t *testing.T, to replication.ReplicaID, batch messageBatch) []byte {
+// encodeLegacyFrame returns a body as builds before multipart send it.
+func encodeLegacyFrame(t *testing.T, to replication.ReplicaID, batch messageBatch) []byte {
 	t.Helper()
 	framed := frame{messageBatch: batch, To: to}
 	framed.Messages = nil
@@ -123,18 +123,15 @@
 	return append(append(binary.AppendUvarint(nil, uint64(len(head))), head...), data...)
 }
 
-// Symptom: while machines were replaced by the next build, groups of both builds stood
-// still, items ran again and bodies were sent over and over. Sequence: a store of the build
-// before sends a frame that the next one does not read, is refused, and takes it for a
-// store that reads plain entries only, to which no packed entry may go. Cause: the form of
-// a body changed and its level did not.
-func TestABodyOfTheBuildBeforeIsRead(t *testing.T) {
+// Guards against a stalled rolling upgrade: a store that rejects the previous build's frames is
+// downgraded to plain entries by its peers and then gets no packed entries.
+func TestLegacyFrameIsAccepted(t *testing.T) {
 	batch := testBatch()
 	batch.Reads = logform.Packed
-	body := earlierFrame(t, "two", batch)
+	body := encodeLegacyFrame(t, "two", batch)
 	request := func(body []byte) (messageBatch, error) {
 		r := httptest.NewRequest(http.MethodPost, pathMessages, bytes.NewReader(body))
-		r.Header.Set("Content-Type", contentEarlierFrame)
+		r.Header.Set("Content-Type", contentLegacyFrame)
 		got, failure := readBatch(httptest.NewRecorder(), r, logform.Newest)
 		if failure != nil {
 			return got, failure
@@ -146,14 +143,14 @@
 	}
 	for cut := range body {
 		if _, err := request(body[:cut]); err == nil {
-			t.Fatalf("cut at %d of %d it was read", cut, len(body))
+			t.Fatalf("accepted a body truncated to %d of %d bytes", cut, len(body))
 		}
 	}
 }
 
-// TestEachProcessIsSentWhatItReads: a process of the version before, which decodes JSON
-// only, gets plain bodies until it says that it reads more, and again once it was put back.
-func TestEachProcessIsSentWhatItReads(t *testing.T) {
+// Checks that a receiver gets plain bodies until it announces a higher level, and again after
+// it was downgraded.
+func TestBatchFormatFollowsReceiverLevel(t *testing.T) {
 	var reads logform.Level
 	forms := make(chan string, 8)
 	peer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -170,45 +167,45 @@
 	}))
 	defer peer.Close()
 	p := newPeers(time.Minute)
-	p.heard(time.Now(), "two", peer.Listener.Addr().String())
+	p.recordContact(time.Now(), "two", peer.Listener.Addr().String())
 	s := newSender("one", "10.0.0.1:1", p, newMetrics(prometheus.NewRegistry()), nil, logform.Newest)
 	defer s.close()
 	for _, step := range []struct {
-		name  string
-		reads logform.Level
-		told  bool // its own batch came before
-		want  string
+		name      string
+		reads     logform.Level
+		announced bool // the receiver announced its level
+		want      string
 	}{
-		{"not heard yet", logform.Plain, false, "application/json"},
-		{"an older process", logform.Plain, true, "application/json"},
-		{"of a level that reads frames of one or the other kind", logform.Packed, true, "application/json"},
-		{"a new process", logform.Multipart, true, contentFrame},
-		{"put back to the older, unheard", logform.Plain, false, contentFrame},
-		{"after its refusal", logform.Plain, false, "application/json"},
+		{"unknown level", logform.Plain, false, "application/json"},
+		{"plain level", logform.Plain, true, "application/json"},
+		{"packed level, legacy or multipart frames", logform.Packed, true, "application/json"},
+		{"multipart level", logform.Multipart, true, contentMultipart},
+		{"downgraded without announcement", logform.Plain, false, contentMultipart},
+		{"after rejecting a frame", logform.Plain, false, "application/json"},
 	} {
 		reads = step.reads
-		if step.told {
-			p.saysReads("two", step.reads)
+		if step.announced {
+			p.setLevel("two", step.reads)
 		}
-		_ = s.exchange(context.Background(), "two", peer.Listener.Addr().String(), testBatch())
+		_ = s.postBatch(context.Background(), "two", peer.Listener.Addr().String(), testBatch())
 		if got := <-forms; got != step.want {
 			t.Errorf("%s: sent as %s, want %s", step.name, got, step.want)
 		}
 	}
-	// A heartbeat, or a few small entries, would be larger in parts.
+	// Heartbeats and small entries would be larger as multipart.
 	reads = logform.Packed
-	p.saysReads("two", reads)
+	p.setLevel("two", reads)
 	few := testBatch()
 	few.Messages = few.Messages[1:2]
-	if err := s.exchange(context.Background(), "two", peer.Listener.Addr().String(), few); err != nil {
+	if err := s.postBatch(context.Background(), "two", peer.Listener.Addr().String(), few); err != nil {
 		t.Error(err)
 	}
 	if got := <-forms; got != "application/json" {
-		t.Errorf("few entries are sent as %s", got)
+		t.Errorf("small batch sent as %s", got)
 	}
 }
 
-func TestACommandIsPackedOnlyWhereAllMembersReadIt(t *testing.T) {
+func TestCommandIsPackedOnlyIfAllMembersDecodeIt(t *testing.T) {
 	text := strings.Repeat("monthly payments rise ", 100)
 	command := jobs.Command{CompleteInline: &jobs.CompleteInline{Results: []jobs.InlineResult{{Job: "j", Text: text, Kept: 2000}}}}
 	for _, test := range []struct {
@@ -216,56 +213,56 @@
 		levels map[replication.ReplicaID]logform.Level
 		want   bool
 	}{
-		{"nobody was heard", nil, false},
-		{"one is older", map[replication.ReplicaID]logform.Level{"two": logform.Packed, "three": logform.Plain}, false},
-		{"all are new", map[replication.ReplicaID]logform.Level{"two": logform.Packed, "three": logform.Packed}, true},
+		{"unknown levels", nil, false},
+		{"one decodes plain only", map[replication.ReplicaID]logform.Level{"two": logform.Packed, "three": logform.Plain}, false},
+		{"all decode packed", map[replication.ReplicaID]logform.Level{"two": logform.Packed, "three": logform.Packed}, true},
 	} {
 		p := newPeers(time.Minute)
 		for replica, level := range test.levels {
-			p.saysReads(replica, level)
+			p.setLevel(replica, level)
 		}
-		packed := len(p.unread("one", logform.Packed, []replication.ReplicaID{"one", "two", "three"})) == 0
-		data, err := writeCommand(command, packed)
+		packed := len(p.belowLevel("one", logform.Packed, []replication.ReplicaID{"one", "two", "three"})) == 0
+		data, err := encodeCommand(command, packed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if packed != test.want || logform.IsPacked(data) != test.want {
 			t.Errorf("%s: packed %t", test.name, logform.IsPacked(data))
 		}
-		read, err := readCommand(data)
+		read, err := decodeCommand(data)
 		if err != nil {
 			t.Fatal(err)
 		}
-		// What an older process reads holds the whole text.
+		// Without packing the command holds the whole text.
 		if got := len(read.CompleteInline.Results[0].Text); test.want && got != len(text)-2000 || !test.want && got != len(text) {
-			t.Errorf("%s: %d bytes of text travel", test.name, got)
+			t.Errorf("%s: command holds %d bytes of text", test.name, got)
 		}
 	}
 }
 
-// A replica whose process would pass over an entry must not be sent it: it lags instead.
-func TestAnEntryGoesOnlyToWhatReadsIt(t *testing.T) {
+// A replica that would ignore a packed entry must lag rather than diverge.
+func TestPackedEntryIsWithheldFromReplicaThatCannotDecodeIt(t *testing.T) {
 	p := newPeers(time.Minute)
-	g := &group{parts: parts{peers: p}}
+	g := &group{groupDependencies: groupDependencies{peers: p}}
 	packed := replication.WireMessage{To: "two", Entries: []replication.Entry{{Data: logform.Pack([]byte(`{}`))}}}
 	plain := replication.WireMessage{To: "two", Entries: []replication.Entry{{Data: []byte(`{}`)}}}
-	if g.readable(packed) || !g.readable(plain) || !g.readable(replication.WireMessage{To: "two"}) {
-		t.Error("exactly the packed entry is to be held back")
+	if g.canDecode(packed) || !g.canDecode(plain) || !g.canDecode(replication.WireMessage{To: "two"}) {
+		t.Error("canDecode must be false for the packed entry only")
 	}
-	p.saysReads("two", logform.Packed)
-	if !g.readable(packed) {
-		t.Error("a packed entry was held back from a process that reads it")
+	p.setLevel("two", logform.Packed)
+	if !g.canDecode(packed) {
+		t.Error("packed entry withheld from a process that decodes it")
 	}
 }
 
-// TestARollingRestartPacksOnceAllProcessesAreNew: stores of two versions work together,
-// nothing that was acknowledged is lost, and no entry is packed before all read it.
-func TestARollingRestartPacksOnceAllProcessesAreNew(t *testing.T) {
+// Checks that stores of two builds interoperate without losing acknowledged commands, and that
+// no entry is packed before all members decode it.
+func TestRollingUpgradeEnablesPackingLast(t *testing.T) {
 	const stores, each = 3, 10
 	var packed atomic.Int64
 	c := newCluster(t, stores, nil)
 	c.stopAll()
-	c.hooks = hooks{older: true, proposed: func(data []byte) {
+	c.hooks = hooks{legacyFormat: true, proposed: func(data []byte) {
 		if logform.IsPacked(data) {
 			packed.Add(1)
 		}
@@ -275,11 +272,11 @@
 	}
 	c.awaitLeader()
 	c.createAll(0, each)
-	c.hooks.older = false
+	c.hooks.legacyFormat = false
 	created := each
 	for _, m := range c.machines {
 		if packed.Load() > 0 {
-			t.Fatalf("%d commands were packed while a member's process reads plain ones only", packed.Load())
+			t.Fatalf("%d commands were packed while a member decodes plain ones only", packed.Load())
 		}
 		m.crash()
 		m.start()
@@ -292,22 +289,22 @@
 		created++
 		return packed.Load() > 0
 	})
-	// Those that start anew read what lies packed in their logs.
+	// Restarted stores must decode packed entries of their logs.
 	for _, m := range c.machines {
 		m.crash()
 		m.start()
 	}
 	c.awaitLeader()
-	c.mustHave(created)
+	c.requireFiles(created)
 }
 
-// BenchmarkEntryToFour measures what a leader's processor spends on the forms of one
-// result with a text of 10 KB on its way to four replicas, and on one replica's reading.
-func BenchmarkEntryToFour(b *testing.B) {
+// BenchmarkEntryEncoding measures encoding a 10 KB result for four replicas, and decoding it
+// on one.
+func BenchmarkEntryEncoding(b *testing.B) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var letters strings.Builder
 	for range 10 << 10 {
-		letters.WriteByte(byte('a' + random.IntN(26))) // the worst of texts: nothing in it repeats
+		letters.WriteByte(byte('a' + random.IntN(26))) // incompressible
 	}
 	text := letters.String()
 	command := jobs.Command{CompleteInline: &jobs.CompleteInline{Results: []jobs.InlineResult{{Job: "7c41e09b52d6a3f8", Text: text}}}}
@@ -317,7 +314,7 @@
 	b.Run("plain", func(b *testing.B) {
 		size := 0
 		for b.Loop() {
-			data, _ := writeCommand(command, false)
+			data, _ := encodeCommand(command, false)
 			for range 4 {
 				body, _ := json.Marshal(batch(data))
 				size = len(body)
@@ -328,29 +325,29 @@
 	b.Run("packed", func(b *testing.B) {
 		size := 0
 		for b.Loop() {
-			data, _ := writeCommand(command, true)
+			data, _ := encodeCommand(command, true)
 			for range 4 {
-				_, body, _ := frameBatch("two", batch(data))
+				_, body, _ := encodeBatch("two", batch(data))
 				size = len(body)
 			}
 		}
 		b.ReportMetric(float64(size), "B/replica")
 	})
-	data, _ := writeCommand(command, false)
+	data, _ := encodeCommand(command, false)
 	plain, _ := json.Marshal(batch(data))
 	b.Run("read plain", func(b *testing.B) {
 		for b.Loop() {
 			var got messageBatch
 			_ = json.Unmarshal(plain, &got)
-			_, _ = readCommand(got.Messages[0].Entries[0].Data)
+			_, _ = decodeCommand(got.Messages[0].Entries[0].Data)
 		}
 	})
-	data, _ = writeCommand(command, true)
-	contentType, framed, _ := frameBatch("two", batch(data))
+	data, _ = encodeCommand(command, true)
+	contentType, framed, _ := encodeBatch("two", batch(data))
 	b.Run("read packed", func(b *testing.B) {
 		for b.Loop() {
-			got, _ := openFrame(contentType, framed)
-			_, _ = readCommand(got.Messages[0].Entries[0].Data)
+			got, _ := decodeBatch(contentType, framed)
+			_, _ = decodeCommand(got.Messages[0].Entries[0].Data)
 		}
 	})
 }
--- a/internal/store/group.go
+++ b/internal/store/group.go
@@ -21,22 +21,22 @@
 )
 
 const (
-	// ticksPerHeartbeat is how finely a replica's machine sees time pass.
+	// ticksPerHeartbeat is the number of ticks of a replica's state machine per heartbeat.
 	ticksPerHeartbeat = 2
-	// Bytes of applied commands that compact the log, however few they are: the
-	// machine holds the log in memory. That is a part of the process's heap.
-	mostLogBytes  = 32 << 20
-	leastLogBytes = 1 << 20
-	logHeapShare  = 16 // one part in so many of the heap, for all groups together
-	// trailingEntries are kept in memory for replicas that lag a little; parts
-	// of files make entries of hundreds of kilobytes.
+	// Bounds of the bytes of applied commands after which a log is compacted. The log is
+	// held in memory, so the limit depends on the heap size.
+	maxLogBytes    = 32 << 20
+	minLogBytes    = 1 << 20
+	logHeapDivisor = 16 // the logs of all groups may take 1/logHeapDivisor of the heap
+	// trailingEntries is how many compacted entries stay in memory for slightly lagging
+	// replicas; entries with parts of files take hundreds of kilobytes.
 	trailingEntries = 64
 )
 
-// parts are what the groups of one store share.
-type parts struct {
+// groupDependencies is what the groups of one store share.
+type groupDependencies struct {
 	settings        config.Store
-	heapBytes       int64 // that the process may take; 0: no bound
+	heapBytes       int64 // limit of the process's heap; 0: unlimited
 	electionTimeout time.Duration
 	database        *database
 	writer          *writer
@@ -44,62 +44,62 @@
 	peers           *peers
 	metrics         *metrics
 	log             *logrus.Entry
-	inline          StartInlineRunner // nil: inline jobs are kept, not run
-	led             func()            // a group is led here from now on; must not block
+	inline          StartInlineRunner // nil: inline jobs are stored but not run
+	onLeading       func()            // called when this store begins to lead a group; must not block
 }
 
 // group runs one replica: its log, its applied state and, while it leads, its
-// dispatcher. Methods called by the machine's actor say so; the others may be
-// called from anywhere.
+// dispatcher. Its methods are safe for concurrent use, except those documented to be
+// called by the actor.
 type group struct {
-	parts
+	groupDependencies
 	id     api.GroupID
 	origin replication.Members
 	state  *state
 	shell  *shell.Shell[replication.Message, replication.Action]
 	ctx    context.Context // until the group stops
 	cancel context.CancelFunc
-	halted atomic.Bool // a write failed: nothing is taken in or sent
-	// pendingVotes counts terms and votes that are not on disk yet.
-	pendingVotes atomic.Int64
-	// installed is the generation of the state in force on disk.
-	installed atomic.Uint64
-	snapshots snapshotTransfers
-	// logBytes is what was applied since the log was last compacted.
-	logBytes  atomic.Int64
-	packs     atomic.Bool // the last command was packed
-	compacted uint64      // only for maintain, like dropped
-	dropped   uint64      // one more than the generation before which none is left
+	halted atomic.Bool // a write failed: no message is accepted or sent
+	// pendingHardStates counts terms and votes that are not on disk yet.
+	pendingHardStates atomic.Int64
+	// installedGeneration is the generation of the current state on disk.
+	installedGeneration atomic.Uint64
+	snapshots           snapshotTransfers
+	// appliedBytes counts the bytes applied since the log was last compacted.
+	appliedBytes   atomic.Int64
+	packing        atomic.Bool // the last command was packed
+	compactedIndex uint64      // used by maintain only, like removedBefore
+	removedBefore  uint64      // older generations are removed, plus one; 0: none
 
-	mutex     sync.Mutex // guards all below
-	jobs      *jobs.State
-	leading   *dispatch.Leadership // nil unless leading and applied up to its own term
-	inlineRun InlineRunner         // nil unless leading
-	ledSince  time.Time            // when leading was set
-	services  []api.ServiceName    // of the table in force; nil before the first
-	role      replication.RoleChanged
-	roleSince time.Time // when role was set
-	draining  bool      // before a planned stop: nothing new is taken
-	token     uint64
-	proposals map[uint64]chan answer // by token, until the index is known
-	waiting   map[uint64]proposal    // by log index
-	reads     readRounds
-	shares    *shareOwner // guards itself
+	mutex        sync.Mutex // guards all below
+	jobs         *jobs.State
+	leading      *dispatch.Leadership // nil unless leader and an entry of its own term is applied
+	inlineRunner InlineRunner         // nil unless leading
+	leaderSince  time.Time            // when leading was set
+	services     []api.ServiceName    // of the current table; nil before the first
+	role         replication.RoleChanged
+	roleSince    time.Time // when role was set
+	draining     bool      // planned stop: new proposals are refused
+	lastToken    uint64
+	proposals    map[uint64]chan answer // by token, until the index is known
+	pending      map[uint64]proposal    // by log index
+	reads        readRounds
+	shareOwner   *shareOwner // has its own mutex
 }
 
-func newGroup(system *actor.ActorSystem, shared parts, id api.GroupID) (*group, error) {
+func newGroup(system *actor.ActorSystem, shared groupDependencies, id api.GroupID) (*group, error) {
 	restored, err := shared.database.restore(id)
 	if err != nil {
 		return nil, err
 	}
 	shared.log = shared.log.WithField("group", id)
 	g := &group{
-		roleSince: time.Now(),
-		parts:     shared, id: id, origin: restored.origin,
+		roleSince:         time.Now(),
+		groupDependencies: shared, id: id, origin: restored.origin,
 		state:     newState(shared.database, id, restored.applied),
-		proposals: map[uint64]chan answer{}, waiting: map[uint64]proposal{}, shares: newShareOwner(),
+		proposals: map[uint64]chan answer{}, pending: map[uint64]proposal{}, shareOwner: newShareOwner(),
 	}
-	g.installed.Store(restored.applied.Generation)
+	g.installedGeneration.Store(restored.applied.Generation)
 	if g.jobs, err = jobs.OpenState(g.state); err != nil {
 		return nil, fmt.Errorf("open applied state of group %d: %w", id, err)
 	}
@@ -117,11 +117,11 @@
 	return g, nil
 }
 
-// stop ends fetches and the actor, after the messages that wait.
+// stop ends snapshot fetches, and the actor once it has handled its queued messages.
 func (g *group) stop() {
 	g.cancel()
 	g.mutex.Lock()
-	g.endLeading()
+	g.stopLeading()
 	g.mutex.Unlock()
 	g.shell.Stop()
 }
@@ -133,37 +133,37 @@
 	}
 }
 
-// halt stops all acknowledgements: what is proposed ends with an unknown
-// outcome, what is read with an error, and the other replicas elect a leader.
+// halt stops all acknowledgements after a failed write: pending proposals end with an
+// unknown outcome, reads fail, and the other replicas elect a leader.
 func (g *group) halt(cause error) {
 	g.halted.Store(true)
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.endLeading()
+	g.stopLeading()
 	g.role = replication.RoleChanged{Term: g.role.Term}
 	failure := api.NewError("write log", "", api.CodeNoQuorum, api.OutcomeUnknown, "%w", cause)
 	g.failProposals(failure)
 	g.failReads(failure)
 }
 
-// resume goes on after a write succeeded at last; the machine may have kept its
-// role meanwhile, so it is asked.
+// resume undoes halt once writes succeed. The state machine may have kept its role, so it is
+// queried.
 func (g *group) resume() {
 	g.halted.Store(false)
 	g.shell.Tell(replication.Inspect{})
 }
 
-// stopOn ends this store's acknowledgements over a state that can't be read.
-func (g *group) stopOn(err error) { go g.writer.failed(err) }
+// reportFailure halts this store because an applied state can't be read.
+func (g *group) reportFailure(err error) { go g.writer.onFailure(err) }
 
-// execute carries out one action of the machine, in its actor; it never blocks.
+// execute carries out one action of the state machine. The actor calls it; it never blocks.
 func (g *group) execute(action replication.Action) {
 	switch action := action.(type) {
 	case replication.Persist:
 		g.persist(action)
 	case replication.Send:
-		g.send(action.Message, g.pendingVotes.Load() > 0)
-	case heldSend:
+		g.send(action.Message, g.pendingHardStates.Load() > 0)
+	case deferredSend:
 		g.send(action.Message, true)
 	case replication.Apply:
 		g.apply(action.Entries)
@@ -176,14 +176,14 @@
 	case replication.FetchSnapshot:
 		g.fetchSnapshot(action)
 	case replication.Halted:
-		g.log.WithError(action.Err).Error("The replica has halted for good; it is to be replaced as after a lost disk.")
+		g.log.WithError(action.Err).Error("The replica has halted permanently and must be replaced.")
 	case replication.Inspected:
 		status := action.Status
 		g.roleChanged(replication.RoleChanged{Leading: status.Role == replication.RoleLeader, Term: status.Term, Leader: status.Leader})
 	}
 }
 
-// apply hands committed entries to the applied state.
+// apply applies committed entries.
 func (g *group) apply(entries []replication.Entry) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -192,16 +192,16 @@
 		if entry.Index <= at.Index {
 			continue // applied before a restart
 		}
-		g.logBytes.Add(int64(len(entry.Data)))
+		g.appliedBytes.Add(int64(len(entry.Data)))
 		result := g.applyOne(entry, &at)
 		g.state.advance(at)
 		g.resolve(entry, result)
 	}
 	g.metrics.applied.Add(float64(len(entries)))
-	g.lead(at)
-	g.releaseReads(at.Index)
-	if g.state.wantsFlush() {
-		g.writer.add(task{group: g, flush: true})
+	g.startLeading(at)
+	g.completeReads(at.Index)
+	if g.state.needsFlush() {
+		g.writer.enqueue(task{group: g, flush: true})
 	}
 }
 
@@ -211,7 +211,7 @@
 	case replication.EntryMembers:
 		var members replication.Members
 		if err := json.Unmarshal(entry.Data, &members); err != nil {
-			g.log.WithError(err).Error("An entry with members can't be decoded.")
+			g.log.WithError(err).Error("Decoding a membership entry failed.")
 			return jobs.Result{Code: api.CodeInternal, Message: err.Error()}
 		}
 		at.Members, at.MembersIndex = members, entry.Index
@@ -222,27 +222,26 @@
 }
 
 func (g *group) applyCommand(entry replication.Entry) jobs.Result {
-	command, err := readCommand(entry.Data)
+	command, err := decodeCommand(entry.Data)
 	if err != nil {
 		return jobs.Result{Code: api.CodeInternal, Message: err.Error()}
 	}
 	results, err := g.jobs.Apply(jobs.Entry{Index: entry.Index, Command: command})
 	if err != nil {
-		g.stopOn(fmt.Errorf("apply entry %d of group %d: %w", entry.Index, g.id, err))
+		g.reportFailure(fmt.Errorf("apply entry %d of group %d: %w", entry.Index, g.id, err))
 		return jobs.Result{Code: api.CodeInternal, Message: err.Error()}
 	}
 	if g.leading != nil {
 		g.leading.Applied(command, results[0])
 	}
-	if g.inlineRun != nil {
-		g.inlineRun.Applied(command, results[0])
+	if g.inlineRunner != nil {
+		g.inlineRunner.Applied(command, results[0])
 	}
 	return results[0]
 }
 
-// roleChanged is told by the machine. A new leader serves only once it has
-// applied an entry of its own term, since until then it may not know of all
-// that is committed.
+// roleChanged handles a change of role or term. A new leader serves only after applying an
+// entry of its own term; before, it may lack committed entries.
 func (g *group) roleChanged(change replication.RoleChanged) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -254,15 +253,14 @@
 		return
 	}
 	if lost || !change.Leading {
-		g.endLeading()
+		g.stopLeading()
 		g.failProposals(g.notLeader("commit command", api.OutcomeUnknown))
 		g.failReads(g.notLeader("read group", api.OutcomeNotRun))
 	}
-	g.lead(g.state.position())
+	g.startLeading(g.state.position())
 }
 
-// logRole says what this replica now believes of the leadership, and for how long
-// it believed the last; the mutex is held.
+// logRole logs the new role and how long the previous one lasted; the mutex is held.
 func (g *group) logRole(to replication.RoleChanged) {
 	g.log.WithFields(logrus.Fields{
 		"event": "role_changed", "leading": to.Leading, "term": to.Term, "leader": to.Leader,
@@ -272,7 +270,8 @@
 	g.roleSince = time.Now()
 }
 
-// notLeader is the answer of a replica that can't serve; the mutex is held.
+// notLeader returns the error of a replica that doesn't lead, with the leader if known; the
+// mutex is held.
 func (g *group) notLeader(step string, outcome api.Outcome) *api.Error {
 	failure := api.NewError(step, "", api.CodeNotLeader, outcome, "this replica does not lead group %d", g.id)
 	failure.Leader = g.peers.node(g.role.Leader)
@@ -280,76 +279,75 @@
 	return failure
 }
 
-// members are those of the applied state.
+// members returns the applied position, which includes the members.
 func (g *group) members() position { return g.state.position() }
 
-func (g *group) leads() bool {
+func (g *group) isLeading() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.leading != nil
 }
 
-// leadingTerm is the term in which this replica leads; false when it does not.
+// leadingTerm returns the current term, and whether this replica leads in it.
 func (g *group) leadingTerm() (term uint64, leads bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.role.Term, g.leading != nil
 }
 
-// leadingSince tells when this replica began to lead.
+// leadingSince returns when this replica last began to lead.
 func (g *group) leadingSince() time.Time {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.ledSince
+	return g.leaderSince
 }
 
-// logBytes is how much log each of so many groups keeps in memory, by the bound of
-// the heap; 0 is no bound.
-func logBytes(heapBytes int64, groups int) int64 {
+// logBytesLimit returns how many bytes of log each group may keep in memory, given the heap
+// limit (0: unlimited) and the number of groups.
+func logBytesLimit(heapBytes int64, groups int) int64 {
 	if heapBytes == 0 {
-		return mostLogBytes
+		return maxLogBytes
 	}
-	return min(max(heapBytes/logHeapShare/int64(groups), leastLogBytes), mostLogBytes)
+	return min(max(heapBytes/logHeapDivisor/int64(groups), minLogBytes), maxLogBytes)
 }
 
-// maintain writes applied state that is only in memory, drops replaced states
-// and compacts the log, unless a snapshot is being streamed: the log after it
-// will be needed.
+// maintain flushes applied state, removes replaced generations and compacts the log. It
+// doesn't compact while a snapshot is being sent, since its receiver needs the log after it.
 func (g *group) maintain() {
 	if g.halted.Load() {
 		return
 	}
 	if g.state.dirty() {
-		g.writer.add(task{group: g, flush: true})
+		g.writer.enqueue(task{group: g, flush: true})
 	}
-	if err := g.dropOldStates(g.installed.Load()); err != nil {
-		g.log.WithError(err).Warn("A replaced state could not be removed yet.")
+	if err := g.removeOldGenerations(g.installedGeneration.Load()); err != nil {
+		g.log.WithError(err).Warn("Removing replaced state generations failed; retrying.")
 	}
 	onDisk := g.state.onDisk()
-	full := onDisk >= g.compacted+uint64(g.settings.SnapshotEntries) || g.logBytes.Load() >= logBytes(g.heapBytes, g.settings.Groups)
-	if !full || onDisk == g.compacted || g.snapshots.serving.Load() > 0 {
+	full := onDisk >= g.compactedIndex+uint64(g.settings.SnapshotEntries) || g.appliedBytes.Load() >= logBytesLimit(g.heapBytes, g.settings.Groups)
+	if !full || onDisk == g.compactedIndex || g.snapshots.serving.Load() > 0 {
 		return
 	}
-	g.compacted = onDisk
-	g.logBytes.Store(0)
+	g.compactedIndex = onDisk
+	g.appliedBytes.Store(0)
 	g.tell(replication.Compact{Snapshot: replication.Snapshot{Index: onDisk}})
 }
 
-// handOver ends what is proposed and then gives leadership away, before a
-// planned stop; it is called again until this replica no longer leads.
-func (g *group) handOver() {
+// drain refuses new proposals before a planned stop, and transfers leadership once none is
+// pending. It is called repeatedly until this replica no longer leads.
+func (g *group) drain() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.draining = true
-	if g.leading == nil || len(g.proposals)+len(g.waiting) > 0 {
+	if g.leading == nil || len(g.proposals)+len(g.pending) > 0 {
 		return
 	}
 	g.shell.Tell(replication.TransferLeadership{})
 }
 
-// giveAway hands leadership over and goes on as a follower.
-func (g *group) giveAway() {
-	if g.leads() {
+// transferLeadership makes a leader hand over and continue as a follower.
+func (g *group) transferLeadership() {
+	if g.isLeading() {
 		g.shell.Tell(replication.TransferLeadership{})
 	}
 }
--- a/internal/store/groupdisk.go
+++ b/internal/store/groupdisk.go
@@ -12,14 +12,14 @@
 	"github.com/dykewing/dykewing/replication"
 )
 
-// The first byte of a key within a group's bucket tells what it holds.
+// The first byte of a key within a group's bucket is its record type.
 const (
-	prefixEntry = 'l' // index: log entry
-	prefixState = 's' // generation, key: applied state
+	prefixEntry = 'l' // followed by index: log entry
+	prefixState = 's' // followed by generation and key: applied state
 )
 
 var (
-	keyOrigin    = []byte("o") // the first members, the same at all replicas
+	keyOrigin    = []byte("o") // the initial members, the same on all replicas
 	keyHardState = []byte("h")
 	keyCompacted = []byte("p") // position up to which the log is compacted
 	keyApplied   = []byte("a") // position of the applied state
@@ -28,16 +28,14 @@
 
 var errLogGap = errors.New("the log has a gap")
 
-// position is a place in the log with what a replica that goes on from there
-// has to know.
+// position is a log position with the metadata to resume from it.
 type position struct {
 	Index   uint64              `json:"index"`
 	Term    uint64              `json:"term"`
 	Members replication.Members `json:"members"`
-	// MembersIndex is the log index of the entry that made Members; 0 is the
-	// group's origin.
+	// MembersIndex is the log index of the entry that set Members; 0: the initial members.
 	MembersIndex uint64 `json:"members_index"`
-	// Generation names the state records that belong to it.
+	// Generation is part of the keys of the state records at this position.
 	Generation uint64 `json:"generation"`
 }
 
@@ -55,7 +53,7 @@
 	return binary.BigEndian.AppendUint64([]byte{prefixEntry}, index)
 }
 
-// Layout of a log entry's record: term of 8 bytes, kind of one, data.
+// A log entry's record is its term (8 bytes), kind (1 byte) and data.
 const entryHeaderBytes = 9
 
 func encodeEntry(entry replication.Entry) []byte {
@@ -75,8 +73,8 @@
 	}, nil
 }
 
-func initialiseGroup(bucket *bbolt.Bucket, origin replication.Members) error {
-	records, err := openLedger(bucket)
+func initializeGroup(bucket *bbolt.Bucket, origin replication.Members) error {
+	records, err := openSealedBucket(bucket)
 	if err != nil {
 		return err
 	}
@@ -86,7 +84,7 @@
 	return records.close()
 }
 
-func putJSON(records *ledger, key []byte, value any) error {
+func putJSON(records *sealedBucket, key []byte, value any) error {
 	raw, err := json.Marshal(value)
 	if err != nil {
 		return err
@@ -94,8 +92,8 @@
 	return records.put(key, raw)
 }
 
-// getJSON leaves value as it is when there is no record.
-func getJSON(records *ledger, key []byte, value any) error {
+// getJSON leaves value unchanged if there is no record.
+func getJSON(records *sealedBucket, key []byte, value any) error {
 	raw, err := records.get(key)
 	if err != nil || raw == nil {
 		return err
@@ -103,7 +101,7 @@
 	return json.Unmarshal(raw, value)
 }
 
-// restoredGroup is what a group goes on from after a start.
+// restoredGroup is a group's state as read from disk at startup.
 type restoredGroup struct {
 	machine replication.Restored
 	origin  replication.Members
@@ -112,7 +110,7 @@
 
 func (d *database) restore(id api.GroupID) (restored restoredGroup, err error) {
 	err = d.bolt.View(func(transaction *bbolt.Tx) error {
-		records, err := openLedger(groupBucket(transaction, id))
+		records, err := openSealedBucket(groupBucket(transaction, id))
 		if err != nil {
 			return err
 		}
@@ -124,7 +122,7 @@
 	return restored, nil
 }
 
-func (r *restoredGroup) read(records *ledger) error {
+func (r *restoredGroup) read(records *sealedBucket) error {
 	var compacted position
 	err := errors.Join(
 		getJSON(records, keyOrigin, &r.origin),
@@ -145,13 +143,13 @@
 	if err := r.readEntries(records, compacted.Index); err != nil {
 		return err
 	}
-	// A fetched state may be ahead of the log that is rebuilt after it.
+	// A fetched snapshot may be ahead of the local log.
 	last := compacted.Index + uint64(len(r.machine.Entries))
 	r.machine.Applied = min(r.applied.Index, last)
 	return nil
 }
 
-func (r *restoredGroup) readEntries(records *ledger, after uint64) error {
+func (r *restoredGroup) readEntries(records *sealedBucket, after uint64) error {
 	cursor := records.bucket.Cursor()
 	next := after + 1
 	for key, sealed := cursor.Seek([]byte{prefixEntry}); key != nil && string(key) < string(entriesEnd); key, sealed = cursor.Next() {
@@ -173,9 +171,9 @@
 	return nil
 }
 
-// writePersist carries out one Persist. install is the position of a state that
-// was received beside a snapshot; nil when the log is only compacted.
-func writePersist(records *ledger, persist replication.Persist, install *position) error {
+// writePersist carries out one replication.Persist. install is the position of a received
+// snapshot's state; nil if the log is only compacted.
+func writePersist(records *sealedBucket, persist replication.Persist, install *position) error {
 	if persist.HardState != nil {
 		if err := putJSON(records, keyHardState, persist.HardState); err != nil {
 			return err
@@ -189,7 +187,7 @@
 	return writeEntries(records, persist.Entries)
 }
 
-func writeEntries(records *ledger, entries []replication.Entry) error {
+func writeEntries(records *sealedBucket, entries []replication.Entry) error {
 	if len(entries) == 0 {
 		return nil
 	}
@@ -204,9 +202,9 @@
 	return nil
 }
 
-// writeSnapshot drops the log up to the snapshot; with install it drops the
-// whole log and makes the received state the applied one.
-func writeSnapshot(records *ledger, snapshot replication.Snapshot, install *position) error {
+// writeSnapshot removes the log up to the snapshot; with install it removes the whole log
+// and makes the received state the applied one.
+func writeSnapshot(records *sealedBucket, snapshot replication.Snapshot, install *position) error {
 	compacted := position{Index: snapshot.Index, Term: snapshot.Term, Members: snapshot.Members}
 	end := entryKey(snapshot.Index + 1)
 	if install != nil {
--- a/internal/store/hooks.go
+++ b/internal/store/hooks.go
@@ -7,25 +7,25 @@
 	"github.com/dykewing/dykewing/replication"
 )
 
-// hooks are planted faults and observations of tests; the zero value is none.
+// hooks are fault injections and callbacks for tests; the zero value has none.
 type hooks struct {
-	skipSync   bool                  // fault: acknowledge without a sync
-	skipVerify bool                  // fault: serve without reading the file at start
-	identity   replication.ReplicaID // fault: a new disk takes this identity
-	syncEach   bool                  // no group commit, to measure against
-	skipCopy   bool                  // of tests' disks, for benchmarks
-	synced     func()                // after each sync, before what depends on it
-	writeError func() error          // before each write
-	cut        func() bool           // while true no message leaves
-	wrap       func(http.HandlerFunc) http.HandlerFunc
-	freeBytes  func() (uint64, error) // in place of the file system's answer
-	older      bool                   // a process of the version before: it reads plain JSON only and says nothing
-	proposed   func(data []byte)      // before each command goes into the log
+	skipSync        bool                  // fault: acknowledge without a sync
+	skipVerify      bool                  // fault: open the file without verification
+	identity        replication.ReplicaID // fault: a new disk takes this identity
+	syncEach        bool                  // no group commit, as a benchmark's baseline
+	skipDurableCopy bool                  // don't simulate power loss, for benchmarks
+	synced          func()                // called after each sync, before dependent actions
+	writeError      func() error          // called before each write
+	isolated        func() bool           // while true no message is sent
+	wrap            func(http.HandlerFunc) http.HandlerFunc
+	freeBytes       func() (uint64, error) // replaces statfs
+	legacyFormat    bool                   // behave as a build that decodes plain JSON only and announces no level
+	proposed        func(data []byte)      // called with each command before it is proposed
 }
 
-// level is what the process reads.
+// level is the highest log format that the process decodes.
 func (h hooks) level() logform.Level {
-	if h.older {
+	if h.legacyFormat {
 		return logform.Plain
 	}
 	return logform.Newest
--- a/internal/store/http.go
+++ b/internal/store/http.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	maximumCommandBytes = 32 << 20
-	pageSize            = 500
+	maxCommandBytes = 32 << 20
+	pageSize        = 500
 )
 
 type groupHandler func(w http.ResponseWriter, r *http.Request, group *group)
@@ -30,17 +30,17 @@
 	s.handle("POST", "settle", atLeader("settle items", (*dispatch.Leadership).Settle))
 	s.handle("POST", "renewals", atLeader("renew grants", renew))
 	s.handle("POST", "shares", serveShares)
-	s.handle("GET", "jobs", linearisable(serveJobs))
-	s.handle("GET", "jobs/{id}", linearisable(serveJob))
-	s.handle("GET", "jobs/{id}/results", linearisable(serveResults))
-	s.handle("GET", "inline/{id}/results", linearisable(serveInlineResults))
-	s.handle("GET", "inline/{id}/item", linearisable(serveInlineItem))
-	s.handle("GET", "files", linearisable(serveFiles))
-	s.handle("GET", "files/{id}", linearisable(serveFile))
-	s.handle("GET", "files/{id}/lines", linearisable(serveLines))
+	s.handle("GET", "jobs", linearizable(serveJobs))
+	s.handle("GET", "jobs/{id}", linearizable(serveJob))
+	s.handle("GET", "jobs/{id}/results", linearizable(serveResults))
+	s.handle("GET", "inline/{id}/results", linearizable(serveInlineResults))
+	s.handle("GET", "inline/{id}/item", linearizable(serveInlineItem))
+	s.handle("GET", "files", linearizable(serveFiles))
+	s.handle("GET", "files/{id}", linearizable(serveFile))
+	s.handle("GET", "files/{id}/lines", linearizable(serveLines))
 }
 
-// route adds a path, behind the hook of tests.
+// route registers a handler, wrapped by the test hook if set.
 func (s *Store) route(pattern string, handler http.HandlerFunc) {
 	if wrap := s.shared.database.hooks.wrap; wrap != nil {
 		handler = wrap(handler)
@@ -57,8 +57,8 @@
 			return
 		}
 		if !ok {
-			// Only a leader knows what a group holds: without a replica this is no
-			// answer about anything in it.
+			// Without a replica nothing is known about the group's contents, so this
+			// must not be reported as not found.
 			transport.WriteError(w, api.NewError("find group", "", api.CodeNotLeader, api.OutcomeNotRun, "no replica of group %d here", id))
 			return
 		}
@@ -70,10 +70,10 @@
 	return api.NewError("find "+what, "", api.CodeNotFound, api.OutcomeNotRun, "no %s %s", what, id)
 }
 
-// linearisable lets a read go on once this replica has proved that it leads.
-func linearisable(handler groupHandler) groupHandler {
+// linearizable runs handler after a quorum has confirmed this replica's leadership.
+func linearizable(handler groupHandler) groupHandler {
 	return func(w http.ResponseWriter, r *http.Request, group *group) {
-		if failure := group.confirm(r.Context()); failure != nil {
+		if failure := group.confirmLeadership(r.Context()); failure != nil {
 			transport.WriteError(w, failure)
 			return
 		}
@@ -83,7 +83,7 @@
 
 func (s *Store) serveCommand(w http.ResponseWriter, r *http.Request, group *group) {
 	var command jobs.Command
-	if failure := transport.ReadJSON(w, r, "read command", maximumCommandBytes, &command); failure != nil {
+	if failure := transport.ReadJSON(w, r, "read command", maxCommandBytes, &command); failure != nil {
 		transport.WriteError(w, failure)
 		return
 	}
@@ -99,11 +99,11 @@
 	transport.WriteJSON(w, http.StatusOK, result)
 }
 
-// atLeader serves a typed call that only the group's leader answers.
+// atLeader serves a typed call of the group's leader.
 func atLeader[Request, Answer any](step string, call func(*dispatch.Leadership, context.Context, Request) (Answer, *api.Error)) groupHandler {
 	return func(w http.ResponseWriter, r *http.Request, group *group) {
 		var request Request
-		if failure := transport.ReadJSON(w, r, step, maximumCommandBytes, &request); failure != nil {
+		if failure := transport.ReadJSON(w, r, step, maxCommandBytes, &request); failure != nil {
 			transport.WriteError(w, failure)
 			return
 		}
@@ -125,7 +125,7 @@
 	return leading.Renew(request), nil
 }
 
-// Reads answer from the applied state and run beside it.
+// The handlers below read the applied state, concurrently with its updates.
 
 func serveJobs(w http.ResponseWriter, r *http.Request, group *group) {
 	query := r.URL.Query()
--- a/internal/store/inline.go
+++ b/internal/store/inline.go
@@ -15,15 +15,14 @@
 
 // InlineRunner runs the items of inline jobs while a replica leads its group.
 type InlineRunner interface {
-	// Applied is told of each command that took effect, in order; it must not
-	// block.
+	// Applied is called after each applied command, in log order; it must not block.
 	Applied(command jobs.Command, result jobs.Result)
-	// Stop ends all that runs; it does not wait.
+	// Stop cancels all running items without waiting for them.
 	Stop()
 }
 
-// StartInlineRunner begins to run the open jobs of a state, whose results are
-// proposed. The state must have applied all that earlier leaders committed.
+// StartInlineRunner starts a runner of the state's open jobs, which proposes their results.
+// The state must have applied all that earlier leaders committed.
 type StartInlineRunner func(group api.GroupID, state *jobs.State, propose dispatch.Propose) (InlineRunner, error)
 
 func serveInlineResults(w http.ResponseWriter, r *http.Request, group *group) {
--- a/internal/store/leadership.go
+++ b/internal/store/leadership.go
@@ -8,9 +8,9 @@
 	"github.com/dykewing/dykewing/jobs"
 )
 
-// lead begins to serve as leader when all that earlier leaders committed is
-// applied; the mutex is held.
-func (g *group) lead(at position) {
+// startLeading starts the dispatcher and the inline runner if this replica is leader and has
+// applied all that earlier leaders committed; the mutex is held.
+func (g *group) startLeading(at position) {
 	if g.leading != nil || !g.role.Leading || at.Term != g.role.Term {
 		return
 	}
@@ -18,37 +18,37 @@
 	settings.Term, settings.Lifetime, settings.Retention = g.role.Term, g.settings.GrantLifetime, g.settings.Retention
 	leading, err := dispatch.Start(g.jobs, settings, g.propose, g.log)
 	if err != nil {
-		g.log.WithError(err).Error("The waiting items could not be read; this replica does not serve.")
+		g.log.WithError(err).Error("Starting the dispatcher failed; this leader does not serve.")
 		return
 	}
 	if g.inline != nil {
-		if g.inlineRun, err = g.inline(g.id, g.jobs, g.propose); err != nil {
-			g.log.WithError(err).Error("The open batch jobs could not be read; this replica does not serve.")
+		if g.inlineRunner, err = g.inline(g.id, g.jobs, g.propose); err != nil {
+			g.log.WithError(err).Error("Starting the inline runner failed; this leader does not serve.")
 			leading.Stop()
 			return
 		}
 	}
-	g.leading, g.ledSince = leading, time.Now()
+	g.leading, g.leaderSince = leading, time.Now()
 	if g.services != nil {
 		leading.SetServices(g.services)
 	}
-	g.log.WithField("term", g.role.Term).Info("This replica leads the group.")
-	g.led()
+	g.log.WithField("term", g.role.Term).Info("This replica now leads the group.")
+	g.onLeading()
 }
 
-// endLeading ends what only a leader does; the mutex is held.
-func (g *group) endLeading() {
+// stopLeading stops the dispatcher and the inline runner; the mutex is held.
+func (g *group) stopLeading() {
 	if g.leading != nil {
 		g.leading.Stop()
 		g.leading = nil
 	}
-	if g.inlineRun != nil {
-		g.inlineRun.Stop()
-		g.inlineRun = nil
+	if g.inlineRunner != nil {
+		g.inlineRunner.Stop()
+		g.inlineRunner = nil
 	}
 }
 
-// setServices tells the dispatcher which services the table has.
+// setServices sets the services that the dispatcher serves.
 func (g *group) setServices(services []api.ServiceName) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -58,9 +58,8 @@
 	}
 }
 
-// leadership gives the dispatcher while this replica leads. Its grants need no
-// round of confirmation: one of a leader that is none any more costs repeated
-// work and never a second result.
+// leadership returns the dispatcher if this replica leads. Claims need no quorum round: a
+// grant of a deposed leader may repeat work but can't commit a second result.
 func (g *group) leadership(step string) (*dispatch.Leadership, *api.Error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -14,17 +14,16 @@
 )
 
 const (
-	membersInterval = 250 * time.Millisecond // between looks at the members
-	// silentAfter is how long a member is not heard before it is asked whether
-	// its disk is still the same.
-	silentAfter     = 500 * time.Millisecond
-	changeTimeout   = 10 * time.Second // until a change of members is committed
-	identityTimeout = time.Second
+	membersInterval = 250 * time.Millisecond // between membership checks
+	// identityProbeDelay is how long a member must be silent before its identity is probed.
+	identityProbeDelay = 500 * time.Millisecond
+	changeTimeout      = 10 * time.Second // to commit a membership change
+	identityTimeout    = time.Second
 )
 
-// lookAfterMembers replaces lost replicas of the groups that are led here, until
-// ctx ends. It needs no key-value service.
-func (s *Store) lookAfterMembers(ctx context.Context) {
+// maintainMembership replaces lost replicas of the groups led here until ctx ends. It works
+// without the key-value service.
+func (s *Store) maintainMembership(ctx context.Context) {
 	ticker := time.NewTicker(min(membersInterval, s.node.Settings.Membership.Interval))
 	defer ticker.Stop()
 	for {
@@ -34,47 +33,46 @@
 			return
 		}
 		s.shared.peers.observe(s.node.Nodes())
-		s.learnRegistered()
+		s.observeRegistrations()
 		if s.node.Leaving() {
 			continue
 		}
 		if s.decommissions != nil {
 			s.decommission(ctx)
 		}
-		s.askSilent(ctx)
-		for _, group := range s.list() {
-			s.lookAfter(ctx, group)
+		s.probeSilentMembers(ctx)
+		for _, group := range s.sortedGroups() {
+			s.maintainGroupMembers(ctx, group)
 		}
 	}
 }
 
-// learnRegistered takes what registrations tell of machines that no view shows.
-func (s *Store) learnRegistered() {
+// observeRegistrations adds registered stores that are missing from the membership view.
+func (s *Store) observeRegistrations() {
 	if s.registrations != nil {
 		s.shared.peers.register(s.registrations.Records())
 	}
 }
 
-// askSilent asks members that were not heard lately, at the address where they
-// were last, for their identity: a machine that came back with an empty disk is
-// known at once and not only when the view of nodes shows it.
-func (s *Store) askSilent(ctx context.Context) {
+// probeSilentMembers asks silent members for their identity at their last known address.
+// That detects a machine that restarted with an empty disk before the membership view does.
+func (s *Store) probeSilentMembers(ctx context.Context) {
 	asked := map[replication.ReplicaID]bool{}
-	for _, group := range s.list() {
-		if !group.leads() {
+	for _, group := range s.sortedGroups() {
+		if !group.isLeading() {
 			continue
 		}
 		for _, member := range group.members().Members.Voters {
-			if member != s.shared.database.identity && !asked[member] && s.shared.peers.silent(time.Now(), member, silentAfter) {
+			if member != s.shared.database.identity && !asked[member] && s.shared.peers.silentFor(time.Now(), member, identityProbeDelay) {
 				asked[member] = true
-				s.askSuccessor(ctx, member)
+				s.probeIdentity(ctx, member)
 			}
 		}
 	}
 }
 
-// askSuccessor learns which disk now answers at a silent member's address.
-func (s *Store) askSuccessor(ctx context.Context, member replication.ReplicaID) {
+// probeIdentity records which disk now answers at a silent member's address.
+func (s *Store) probeIdentity(ctx context.Context, member replication.ReplicaID) {
 	address, ok := s.shared.peers.address(time.Now(), member)
 	if !ok {
 		return
@@ -85,14 +83,14 @@
 	if err := transport.Get(ctx, s.node.Control, "ask identity", address, pathIdentity, &answer); err != nil {
 		return
 	}
-	if answer.Replica != member && s.shared.peers.succeeded(member, answer, address) {
+	if answer.Replica != member && s.shared.peers.recordSuccessor(member, answer, address) {
 		s.log.WithFields(logrus.Fields{"event": "disk_lost", "member": member, "successor": answer.Replica, "address": address}).
-			Warn("A member's machine came back with another disk.")
+			Warn("A member's machine has a new disk; the old replica is lost.")
 	}
 }
 
-func (s *Store) lookAfter(ctx context.Context, group *group) {
-	if !group.leads() {
+func (s *Store) maintainGroupMembers(ctx context.Context, group *group) {
+	if !group.isLeading() {
 		return
 	}
 	at, since := group.members(), group.leadingSince()
@@ -100,33 +98,32 @@
 		Group: group.id, Self: group.database.identity, Members: at.Members,
 		Stores: s.shared.peers.stores(time.Now()), Replicas: s.node.Settings.Store.Voters(), Gathered: s.node.Settings.Store.Gathered(),
 		Lost:    func(replica replication.ReplicaID) bool { return s.lost(replica, since) },
-		Leaving: s.leaves,
+		Leaving: s.isDecommissioning,
 	})
-	if !ok || !s.newcomersAnswer(ctx, at.Members, change) {
+	if !ok || !s.newLearnersReachable(ctx, at.Members, change) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	if failure := group.changeMembers(ctx, change); failure != nil {
-		group.log.WithError(failure).Debug("A change of members was not taken yet.")
+		group.log.WithError(failure).Debug("Membership change not committed; retrying.")
 		return
 	}
-	group.log.WithField("voters", change.Voters).WithField("learners", change.Learners).Info("The group's members changed.")
+	group.log.WithField("voters", change.Voters).WithField("learners", change.Learners).Info("Group membership changed.")
 	s.unregisterRemoved(ctx, at.Members, change)
-	s.publishSoon()
+	s.requestPublish()
 }
 
-// publishSoon lets what is published of the groups be looked at.
-func (s *Store) publishSoon() {
+// requestPublish triggers a bootstrap round, which publishes members and leaders.
+func (s *Store) requestPublish() {
 	select {
-	case s.changed <- struct{}{}:
+	case s.publishRequests <- struct{}{}:
 	default:
 	}
 }
 
-// unregisterRemoved removes the registrations of members that a change left out.
-// What the service refuses stays: a registration without a disk behind it only
-// costs a question.
+// unregisterRemoved deletes the registrations of removed voters. Failures are not retried: a
+// stale registration only costs a probe.
 func (s *Store) unregisterRemoved(ctx context.Context, before, after replication.Members) {
 	if s.registrations == nil {
 		return
@@ -137,13 +134,13 @@
 			continue
 		}
 		if _, err := s.node.KeyValue.Swap(ctx, kv.Swap{Key: key, Expected: revision, Delete: true}); err != nil {
-			s.log.WithError(err).Debug("A registration could not be removed.")
+			s.log.WithError(err).Debug("Deleting the registration of a removed member failed.")
 		}
 	}
 }
 
-// lost tells whether a replica is given up: not heard for too long, while this
-// store led, which all members answer. This store itself never is.
+// lost reports whether a replica has been silent for the configured replacement delay while
+// this store led, or its disk was replaced. This store's own replica is never lost.
 func (s *Store) lost(replica replication.ReplicaID, since time.Time) bool {
 	if replica == s.shared.database.identity {
 		return false
@@ -151,26 +148,26 @@
 	return s.shared.peers.lost(time.Now(), replica, since, s.node.Settings.Store.ReplaceAfter)
 }
 
-// leaves tells whether a replica's machine is to be emptied. This store itself hands its
-// leadership over first.
-func (s *Store) leaves(replica replication.ReplicaID) bool {
-	return replica != s.shared.database.identity && s.shared.peers.leaves(replica)
+// isDecommissioning reports whether a replica's machine is being decommissioned. It is false
+// for this store, which first transfers its leadership.
+func (s *Store) isDecommissioning(replica replication.ReplicaID) bool {
+	return replica != s.shared.database.identity && s.shared.peers.isDecommissioning(replica)
 }
 
-// newcomersAnswer asks stores that are to join whether they are there and still
-// have the disk that the view says. The view may be late.
-func (s *Store) newcomersAnswer(ctx context.Context, from, to replication.Members) bool {
+// newLearnersReachable verifies the identity of stores that a change adds, since the
+// membership view may be stale.
+func (s *Store) newLearnersReachable(ctx context.Context, from, to replication.Members) bool {
 	for _, learner := range to.Learners {
-		if !slices.Contains(from.Learners, learner) && !s.answers(ctx, learner) {
+		if !slices.Contains(from.Learners, learner) && !s.verifyIdentity(ctx, learner) {
 			return false
 		}
 	}
 	return true
 }
 
-// answers asks a store for its identity; one that does not answer with it is no
-// candidate for a while.
-func (s *Store) answers(ctx context.Context, replica replication.ReplicaID) bool {
+// verifyIdentity reports whether the replica's address answers with its identity. One that
+// doesn't is no candidate for the configured replacement delay.
+func (s *Store) verifyIdentity(ctx context.Context, replica replication.ReplicaID) bool {
 	if replica == s.shared.database.identity {
 		return true
 	}
@@ -182,7 +179,7 @@
 		ok = transport.Get(ctx, s.node.Control, "ask identity", address, pathIdentity, &answer) == nil
 	}
 	if !ok || answer.Replica != replica {
-		s.shared.peers.avoid(replica, time.Now().Add(s.node.Settings.Store.ReplaceAfter))
+		s.shared.peers.markUnavailable(replica, time.Now().Add(s.node.Settings.Store.ReplaceAfter))
 		return false
 	}
 	return true
--- a/internal/store/messages.go
+++ b/internal/store/messages.go
@@ -11,26 +11,26 @@
 	"github.com/dykewing/dykewing/replication"
 )
 
-// serveMessages takes a batch from another replica. It answers before anything
-// is on disk: acknowledgements travel as messages.
+// serveMessages accepts a batch from another replica. The response doesn't imply
+// persistence; acknowledgements are messages of their own.
 func (s *Store) serveMessages(w http.ResponseWriter, r *http.Request) {
 	batch, failure := readBatch(w, r, s.shared.database.hooks.level())
 	if failure != nil {
 		transport.WriteError(w, failure)
 		return
 	}
-	s.shared.peers.heard(time.Now(), batch.From, batch.Address)
-	s.shared.peers.saysReads(batch.From, batch.Reads)
-	s.shared.peers.told(batch.Members)
+	s.shared.peers.recordContact(time.Now(), batch.From, batch.Address)
+	s.shared.peers.setLevel(batch.From, batch.Reads)
+	s.shared.peers.recordAdvertised(batch.Members)
 	for _, message := range batch.Messages {
 		s.receive(message, batch.Address)
 	}
-	w.Header()["Date"] = nil // nobody reads it: half of the answer
+	w.Header()["Date"] = nil // unused, and half of the response's size
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// receive hands a message to its group. A message to another identity was meant
-// for a disk that is gone from this address.
+// receive dispatches a message to its group. A message to another identity was sent to a
+// previous disk of this machine and is dropped.
 func (s *Store) receive(message replication.WireMessage, address string) {
 	if message.To != s.shared.database.identity {
 		return
@@ -42,8 +42,8 @@
 	s.join(message.Group, address)
 }
 
-// join starts a replica of a group that a peer sends messages of; its first
-// members, from which every replica starts, come from that peer.
+// join starts a replica of a group that a peer sent a message for, with the initial members
+// fetched from that peer.
 func (s *Store) join(id api.GroupID, address string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -60,7 +60,7 @@
 			err = s.startGroup(id, origin)
 		}
 		if err != nil {
-			s.log.WithError(err).WithField("group", id).Warn("A group could not be joined; it is tried again.")
+			s.log.WithError(err).WithField("group", id).Warn("Joining the group failed; retrying.")
 		}
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
@@ -87,7 +87,7 @@
 	transport.WriteJSON(w, http.StatusOK, group.origin)
 }
 
-// groupStatus is what operators read of one replica.
+// groupStatus is one replica's status for operators.
 type groupStatus struct {
 	Group        api.GroupID           `json:"group"`
 	Replica      replication.ReplicaID `json:"replica"`
--- a/internal/store/metapages.go
+++ b/internal/store/metapages.go
@@ -15,26 +15,25 @@
 // root bucket of 16, and freelist, high-water page, transaction and checksum
 // (FNV-1a of all before it) of 8 bytes each, in the machine's byte order.
 const (
-	pageHeaderBytes   = 16
-	metaChecksumAt    = 56
-	metaBytes         = metaChecksumAt + 8
-	metaPageSizeAt    = 8
-	metaHighWaterAt   = 40
-	metaTransactionAt = 48
-	smallestPageBytes = 512
-	largestPageBytes  = 1 << 20
+	pageHeaderBytes       = 16
+	metaChecksumOffset    = 56
+	metaBytes             = metaChecksumOffset + 8
+	metaPageSizeOffset    = 8
+	metaHighWaterOffset   = 40
+	metaTransactionOffset = 48
+	minPageBytes          = 512
+	maxPageBytes          = 1 << 20
 )
 
 var (
-	errMetaPage = errors.New("a meta page's checksum does not match")
-	errCutOff   = errors.New("the data file is cut off")
+	errMetaPage  = errors.New("meta page checksum mismatch")
+	errTruncated = errors.New("data file truncated")
 )
 
-// verifyMetaPages refuses a file whose newest acknowledged meta page is damaged.
-// bbolt itself would go on from the other one, which is the transaction before: an
-// acknowledged write would be gone without a word. A page that is damaged while
-// the other one holds all that was acknowledged was torn by a loss of power in the
-// middle of a transaction that nobody was told of: the file is whole without it.
+// verifyMetaPages returns an error if the file is truncated or its newest undamaged meta page
+// is older than the acknowledged transaction. bbolt would silently fall back to that page,
+// losing an acknowledged write. A damaged page of a newer, unacknowledged transaction, torn by
+// a power loss, is harmless.
 func verifyMetaPages(path string, acknowledged uint64) error {
 	file, err := os.Open(path)
 	if err != nil {
@@ -44,9 +43,9 @@
 	size := int64(os.Getpagesize())
 	first, firstErr := readMeta(file, 0)
 	if firstErr == nil {
-		size = int64(binary.NativeEndian.Uint32(first[metaPageSizeAt:]))
+		size = int64(binary.NativeEndian.Uint32(first[metaPageSizeOffset:]))
 	}
-	if size < smallestPageBytes || size > largestPageBytes {
+	if size < minPageBytes || size > maxPageBytes {
 		return errMetaPage
 	}
 	second, secondErr := readMeta(file, size)
@@ -54,24 +53,24 @@
 	if err != nil {
 		return err
 	}
-	if binary.NativeEndian.Uint64(newest[metaTransactionAt:]) < acknowledged {
+	if binary.NativeEndian.Uint64(newest[metaTransactionOffset:]) < acknowledged {
 		return fmt.Errorf("transaction %d was acknowledged: %w", acknowledged, cmp.Or(firstErr, secondErr, errMetaPage))
 	}
 	info, err := file.Stat()
 	if err != nil {
 		return err
 	}
-	if info.Size() < size*int64(binary.NativeEndian.Uint64(newest[metaHighWaterAt:])) {
-		return errCutOff
+	if info.Size() < size*int64(binary.NativeEndian.Uint64(newest[metaHighWaterOffset:])) {
+		return errTruncated
 	}
 	return nil
 }
 
-// newestMeta is the undamaged page of the later transaction. Two damaged ones, or
-// a file that ends before a page, are an error.
+// newestMeta returns the undamaged page with the higher transaction ID. It fails if both are
+// damaged or the file is truncated.
 func newestMeta(first []byte, firstErr error, second []byte, secondErr error) ([]byte, error) {
-	if errors.Is(firstErr, errCutOff) || errors.Is(secondErr, errCutOff) {
-		return nil, errCutOff
+	if errors.Is(firstErr, errTruncated) || errors.Is(secondErr, errTruncated) {
+		return nil, errTruncated
 	}
 	switch {
 	case firstErr != nil && secondErr != nil:
@@ -80,7 +79,7 @@
 		return second, nil
 	case secondErr != nil:
 		return first, nil
-	case binary.NativeEndian.Uint64(second[metaTransactionAt:]) > binary.NativeEndian.Uint64(first[metaTransactionAt:]):
+	case binary.NativeEndian.Uint64(second[metaTransactionOffset:]) > binary.NativeEndian.Uint64(first[metaTransactionOffset:]):
 		return second, nil
 	}
 	return first, nil
@@ -90,13 +89,13 @@
 	raw := make([]byte, metaBytes)
 	if _, err := file.ReadAt(raw, offset+pageHeaderBytes); err != nil {
 		if errors.Is(err, io.EOF) {
-			err = errCutOff
+			err = errTruncated
 		}
 		return nil, fmt.Errorf("meta page at byte %d: %w", offset, err)
 	}
 	digest := fnv.New64a()
-	_, _ = digest.Write(raw[:metaChecksumAt])
-	if digest.Sum64() != binary.NativeEndian.Uint64(raw[metaChecksumAt:]) {
+	_, _ = digest.Write(raw[:metaChecksumOffset])
+	if digest.Sum64() != binary.NativeEndian.Uint64(raw[metaChecksumOffset:]) {
 		return nil, fmt.Errorf("meta page at byte %d: %w", offset, errMetaPage)
 	}
 	return raw, nil
--- a/internal/store/metrics.go
+++ b/internal/store/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics of a store, of all its groups together.
+// metrics of a store, summed over its groups.
 type metrics struct {
 	syncs       prometheus.Counter
 	tasks       prometheus.Counter
@@ -51,8 +51,8 @@
 	return m
 }
 
-func (m *metrics) committed(tasks int, took time.Duration) {
+func (m *metrics) committed(tasks int, elapsed time.Duration) {
 	m.syncs.Inc()
 	m.tasks.Add(float64(tasks))
-	m.syncSeconds.Observe(took.Seconds())
+	m.syncSeconds.Observe(elapsed.Seconds())
 }
--- a/internal/store/persist.go
+++ b/internal/store/persist.go
@@ -6,30 +6,29 @@
 	"github.com/dykewing/dykewing/replication"
 )
 
-// stepper marks, in each step, the messages that have to wait for a sync.
+// stepper marks the messages of each step that must wait for a sync.
 type stepper struct {
 	group   *group
 	machine *replication.Machine
 }
 
-// heldSend is a message that comes after a Persist of the same step.
-type heldSend struct{ replication.Send }
+// deferredSend is a message that follows a replication.Persist of the same step.
+type deferredSend struct{ replication.Send }
 
-// Step steps the machine.
 func (s *stepper) Step(now time.Time, message replication.Message) []replication.Action {
 	if staged, ok := message.(stagedSnapshot); ok {
 		s.group.snapshots.staged = staged.at
 		message = staged.SnapshotFetched
 	}
 	actions := s.machine.Step(now, message)
-	held := false
+	deferred := false
 	for i, action := range actions {
 		switch action := action.(type) {
 		case replication.Persist:
-			held = true
+			deferred = true
 		case replication.Send:
-			if held {
-				actions[i] = heldSend{action}
+			if deferred {
+				actions[i] = deferredSend{action}
 			}
 		}
 	}
@@ -42,36 +41,36 @@
 		added.install = g.install(g.snapshots.staged)
 	}
 	if persist.HardState != nil {
-		g.pendingVotes.Add(1)
+		g.pendingHardStates.Add(1)
 	}
-	g.writer.add(added)
+	g.writer.enqueue(added)
 }
 
-// persisted is told by the writer, in the order of the Persists.
+// persisted is called by the writer, in the order of the writes.
 func (g *group) persisted(written task) {
 	if written.persist.HardState != nil {
-		g.pendingVotes.Add(-1)
+		g.pendingHardStates.Add(-1)
 	}
 	if written.install != nil {
-		g.installed.Store(written.install.Generation)
+		g.installedGeneration.Store(written.install.Generation)
 	}
 	g.tell(replication.Persisted{Sequence: written.persist.Sequence})
 }
 
-// send holds a message back behind the syncs that wait now: when it follows a
-// Persist of its own step, and, whatever it says, while a term or vote is not on
-// disk. What it says of entries the machine has checked against Persisted.
-func (g *group) send(message replication.WireMessage, held bool) {
-	if held {
-		g.writer.add(task{group: g, send: &message})
+// send delays a message until the pending syncs are done if it follows a write of its own
+// step, or while a term or vote is not on disk. Acknowledgements of entries need no delay: the
+// state machine sends them only after replication.Persisted.
+func (g *group) send(message replication.WireMessage, deferred bool) {
+	if deferred {
+		g.writer.enqueue(task{group: g, send: &message})
 		return
 	}
 	g.transmit(message)
 }
 
 func (g *group) transmit(message replication.WireMessage) {
-	cut := g.database.hooks.cut
-	if g.halted.Load() || cut != nil && cut() || !g.readable(message) {
+	cut := g.database.hooks.isolated
+	if g.halted.Load() || cut != nil && cut() || !g.canDecode(message) {
 		return
 	}
 	g.sender.send(message)
--- a/internal/store/proposals.go
+++ b/internal/store/proposals.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	maximumProposals = 8192 // of one group at once; more are refused
-	busyRetryAfter   = time.Second
+	maxProposals   = 8192 // pending per group; more are rejected
+	busyRetryAfter = time.Second
 )
 
-// answer is what a proposal ends with.
+// answer is the outcome of a proposal.
 type answer struct {
 	result  jobs.Result
 	failure *api.Error
@@ -26,12 +26,12 @@
 	answer chan answer
 }
 
-// propose commits a command and gives its result. A failure with the outcome
-// unknown may have been committed; commands are made to be sent again.
+// propose commits a command and returns its result. A command that failed with an unknown
+// outcome may have been committed; commands are idempotent, so it can be retried.
 func (g *group) propose(ctx context.Context, command jobs.Command) (jobs.Result, *api.Error) {
 	const step = "commit command"
 	command.Time = time.Now().UTC()
-	data, err := writeCommand(command, g.mayPack())
+	data, err := encodeCommand(command, g.packingAllowed())
 	if err != nil {
 		return jobs.Result{}, api.NewError(step, "", api.CodeInternal, api.OutcomeNotRun, "%w", err)
 	}
@@ -39,7 +39,7 @@
 	if observe := g.database.hooks.proposed; observe != nil {
 		observe(data)
 	}
-	token, answers, failure := g.enter(step)
+	token, answers, failure := g.admitProposal(step)
 	if failure != nil {
 		return jobs.Result{}, failure
 	}
@@ -47,10 +47,10 @@
 	return await(ctx, step, answers)
 }
 
-// changeMembers commits a change of one replica.
+// changeMembers commits a membership change of one replica.
 func (g *group) changeMembers(ctx context.Context, members replication.Members) *api.Error {
 	const step = "change members"
-	token, answers, failure := g.enter(step)
+	token, answers, failure := g.admitProposal(step)
 	if failure != nil {
 		return failure
 	}
@@ -61,49 +61,50 @@
 
 func await(ctx context.Context, step string, answers chan answer) (jobs.Result, *api.Error) {
 	select {
-	case ended := <-answers:
-		return ended.result, ended.failure
+	case outcome := <-answers:
+		return outcome.result, outcome.failure
 	case <-ctx.Done():
 		return jobs.Result{}, api.NewError(step, "", api.CodeNoQuorum, api.OutcomeUnknown, "%w", ctx.Err())
 	}
 }
 
-// enter refuses what can't be committed now and gives the rest a token.
-func (g *group) enter(step string) (uint64, chan answer, *api.Error) {
+// admitProposal registers a proposal and returns its token, or an error if it can't be
+// committed now.
+func (g *group) admitProposal(step string) (uint64, chan answer, *api.Error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.leading == nil || g.draining || g.halted.Load() {
 		return 0, nil, g.notLeader(step, api.OutcomeNotRun)
 	}
-	if len(g.proposals)+len(g.waiting) >= maximumProposals {
-		failure := api.NewError(step, "", api.CodeNoCapacity, api.OutcomeNotRun, "group %d has %d commands waiting", g.id, maximumProposals)
+	if len(g.proposals)+len(g.pending) >= maxProposals {
+		failure := api.NewError(step, "", api.CodeNoCapacity, api.OutcomeNotRun, "group %d has %d commands waiting", g.id, maxProposals)
 		failure.RetryAfter = busyRetryAfter
 		return 0, nil, failure
 	}
-	g.token++
+	g.lastToken++
 	answers := make(chan answer, 1)
-	g.proposals[g.token] = answers
-	return g.token, answers, nil
+	g.proposals[g.lastToken] = answers
+	return g.lastToken, answers, nil
 }
 
-// proposed tells where a command stands in the log; called by the actor.
-func (g *group) proposed(told replication.Proposed) {
+// proposed records the log index of a proposal; called by the actor.
+func (g *group) proposed(action replication.Proposed) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	answers, ok := g.proposals[told.Token]
-	delete(g.proposals, told.Token)
+	answers, ok := g.proposals[action.Token]
+	delete(g.proposals, action.Token)
 	switch {
 	case !ok:
-	case told.Err != nil:
-		answers <- answer{failure: g.refused(told.Err)}
+	case action.Err != nil:
+		answers <- answer{failure: g.rejectionError(action.Err)}
 	default:
-		g.waiting[told.Index] = proposal{term: told.Term, answer: answers}
+		g.pending[action.Index] = proposal{term: action.Term, answer: answers}
 	}
 }
 
-// refused is the answer to what the machine did not put in the log; the mutex
+// rejectionError returns the error of a proposal that was not appended to the log; the mutex
 // is held.
-func (g *group) refused(cause error) *api.Error {
+func (g *group) rejectionError(cause error) *api.Error {
 	const step = "commit command"
 	switch {
 	case errors.Is(cause, replication.ErrNotLeader), errors.Is(cause, replication.ErrTransferring), errors.Is(cause, replication.ErrHalted):
@@ -116,30 +117,29 @@
 	return api.NewError(step, "", api.CodeConflict, api.OutcomeNotRun, "%w", cause)
 }
 
-// resolve answers the proposal that stood at an applied entry's index; the
-// mutex is held.
+// resolve answers the proposal at an applied entry's index; the mutex is held.
 func (g *group) resolve(entry replication.Entry, result jobs.Result) {
-	waiting, ok := g.waiting[entry.Index]
+	waiting, ok := g.pending[entry.Index]
 	if !ok {
 		return
 	}
-	delete(g.waiting, entry.Index)
+	delete(g.pending, entry.Index)
 	if waiting.term != entry.Term {
-		// Another leader's entry took the place: this one is not in the log.
+		// Overwritten by another leader's entry.
 		waiting.answer <- answer{failure: g.notLeader("commit command", api.OutcomeNotRun)}
 		return
 	}
 	waiting.answer <- answer{result: result}
 }
 
-// failProposals ends all that wait, at once; the mutex is held.
+// failProposals fails all pending proposals; the mutex is held.
 func (g *group) failProposals(failure *api.Error) {
 	for _, answers := range g.proposals {
 		answers <- answer{failure: failure}
 	}
-	for _, waiting := range g.waiting {
+	for _, waiting := range g.pending {
 		waiting.answer <- answer{failure: failure}
 	}
 	clear(g.proposals)
-	clear(g.waiting)
+	clear(g.pending)
 }
--- a/internal/store/reads.go
+++ b/internal/store/reads.go
@@ -7,8 +7,8 @@
 	"github.com/dykewing/dykewing/replication"
 )
 
-// readRounds lets reads share rounds of replication.Confirm: all that come
-// while a round runs wait for the next one, which begins after them.
+// readRounds batches reads into quorum rounds of replication.Confirm: reads that arrive
+// during a round wait for the next one.
 type readRounds struct {
 	token     uint64            // of the round in flight
 	running   []chan *api.Error // of the round in flight
@@ -18,11 +18,11 @@
 
 type confirmedRead struct {
 	index   uint64
-	readers []chan *api.Error
+	waiters []chan *api.Error
 }
 
-// confirm returns once a read of the applied state is linearisable.
-func (g *group) confirm(ctx context.Context) *api.Error {
+// confirmLeadership returns nil once a read of the applied state is linearizable.
+func (g *group) confirmLeadership(ctx context.Context) *api.Error {
 	const step = "confirm leadership"
 	done := make(chan *api.Error, 1)
 	g.mutex.Lock()
@@ -42,55 +42,55 @@
 	}
 }
 
-// startRound begins a round when none runs; the mutex is held.
+// startRound begins a round if none is running and reads are waiting; the mutex is held.
 func (g *group) startRound() {
 	if len(g.reads.running) > 0 || len(g.reads.next) == 0 {
 		return
 	}
 	g.reads.running, g.reads.next = g.reads.next, nil
-	g.token++
-	g.reads.token = g.token
-	g.shell.Tell(replication.Confirm{Token: g.token})
+	g.lastToken++
+	g.reads.token = g.lastToken
+	g.shell.Tell(replication.Confirm{Token: g.lastToken})
 }
 
 // confirmed ends a round; called by the actor.
-func (g *group) confirmed(told replication.Confirmed) {
+func (g *group) confirmed(action replication.Confirmed) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if told.Token != g.reads.token {
-		return // its readers had their answer when the role changed
+	if action.Token != g.reads.token {
+		return // its readers were answered when the role changed
 	}
 	readers := g.reads.running
 	g.reads.running = nil
-	if told.Err != nil {
+	if action.Err != nil {
 		answerReads(readers, g.notLeader("confirm leadership", api.OutcomeNotRun))
 	} else if len(readers) > 0 {
-		g.reads.confirmed = append(g.reads.confirmed, confirmedRead{index: told.Index, readers: readers})
+		g.reads.confirmed = append(g.reads.confirmed, confirmedRead{index: action.Index, waiters: readers})
 	}
-	g.releaseReads(g.state.position().Index)
+	g.completeReads(g.state.position().Index)
 	g.startRound()
 }
 
-// releaseReads lets confirmed reads go whose index is applied; the mutex is held.
-func (g *group) releaseReads(applied uint64) {
+// completeReads answers confirmed reads whose index is applied; the mutex is held.
+func (g *group) completeReads(applied uint64) {
 	kept := g.reads.confirmed[:0]
 	for _, read := range g.reads.confirmed {
 		if read.index > applied {
 			kept = append(kept, read)
 			continue
 		}
-		answerReads(read.readers, nil)
+		answerReads(read.waiters, nil)
 	}
 	g.reads.confirmed = kept
 }
 
-// failReads ends all reads that wait; the mutex is held. A round in flight then
-// ends without readers.
+// failReads fails all pending reads; the mutex is held. A round in flight then has no
+// waiters.
 func (g *group) failReads(failure *api.Error) {
 	answerReads(g.reads.running, failure)
 	answerReads(g.reads.next, failure)
 	for _, read := range g.reads.confirmed {
-		answerReads(read.readers, failure)
+		answerReads(read.waiters, failure)
 	}
 	g.reads = readRounds{}
 }
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -12,21 +12,21 @@
 const checksumBytes = 4
 
 var (
-	errChecksum = errors.New("checksum does not match")
-	errSum      = errors.New("records are missing or out of date")
+	errChecksum  = errors.New("checksum does not match")
+	errRecordSum = errors.New("records are missing or outdated")
 
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// sealRecord puts a checksum over key and value before the value, so that a
-// value found under another key is no valid record.
+// sealRecord prepends a checksum over key and value to the value, so that a value found
+// under another key is invalid.
 func sealRecord(key, value []byte) []byte {
 	sealed := make([]byte, checksumBytes, checksumBytes+len(value))
 	binary.BigEndian.PutUint32(sealed, checksum(key, value))
 	return append(sealed, value...)
 }
 
-// openRecord gives the value of a sealed record; it shares its memory.
+// openRecord verifies a sealed record and returns its value, which aliases sealed.
 func openRecord(key, sealed []byte) ([]byte, error) {
 	if len(sealed) < checksumBytes {
 		return nil, errChecksum
@@ -42,9 +42,8 @@
 	return crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, value)
 }
 
-// recordSum is a sum over all records of a bucket. It is kept beside them, so
-// that records that vanished or came back old are seen at the next start: a
-// checksum a record cannot show that.
+// recordSum is an order-independent sum over all records of a bucket, stored with them. It
+// detects missing and outdated records, which the checksums of single records can't.
 type recordSum struct {
 	Sum   uint64
 	Count uint64
@@ -80,18 +79,18 @@
 	return recordSum{Sum: binary.BigEndian.Uint64(raw), Count: binary.BigEndian.Uint64(raw[8:])}, nil
 }
 
-// keySum is the only record that the sum leaves out.
+// keySum is the key of the sum, the only record not included in it.
 var keySum = []byte("z/sum")
 
-// ledger writes the records of one bucket within one transaction and keeps
-// their sum. Make it with openLedger and end it with close.
-type ledger struct {
+// sealedBucket writes checksummed records of one bucket within one transaction and updates
+// their sum. Create it with openSealedBucket; close stores the sum.
+type sealedBucket struct {
 	bucket *bbolt.Bucket
 	sum    recordSum
 }
 
-func openLedger(bucket *bbolt.Bucket) (*ledger, error) {
-	l := &ledger{bucket: bucket}
+func openSealedBucket(bucket *bbolt.Bucket) (*sealedBucket, error) {
+	l := &sealedBucket{bucket: bucket}
 	sealed := bucket.Get(keySum)
 	if sealed == nil {
 		return l, nil
@@ -104,7 +103,7 @@
 	return l, err
 }
 
-func (l *ledger) put(key, value []byte) error {
+func (l *sealedBucket) put(key, value []byte) error {
 	if old := l.bucket.Get(key); old != nil {
 		l.sum.remove(key, old)
 	}
@@ -113,7 +112,7 @@
 	return l.bucket.Put(key, sealed)
 }
 
-func (l *ledger) remove(key []byte) error {
+func (l *sealedBucket) remove(key []byte) error {
 	old := l.bucket.Get(key)
 	if old == nil {
 		return nil
@@ -123,7 +122,7 @@
 }
 
 // removeRange removes the records within [from, end).
-func (l *ledger) removeRange(from, end []byte) error {
+func (l *sealedBucket) removeRange(from, end []byte) error {
 	cursor := l.bucket.Cursor()
 	for key, sealed := cursor.Seek(from); key != nil && string(key) < string(end); key, sealed = cursor.Seek(from) {
 		l.sum.remove(key, sealed)
@@ -134,7 +133,7 @@
 	return nil
 }
 
-func (l *ledger) get(key []byte) ([]byte, error) {
+func (l *sealedBucket) get(key []byte) ([]byte, error) {
 	sealed := l.bucket.Get(key)
 	if sealed == nil {
 		return nil, nil
@@ -142,13 +141,13 @@
 	return openRecord(key, sealed)
 }
 
-func (l *ledger) close() error {
+func (l *sealedBucket) close() error {
 	return l.bucket.Put(keySum, sealRecord(keySum, l.sum.encode()))
 }
 
-// verifyRecords reads every record of a bucket and compares their sum.
+// verifyRecords checks every record of a bucket and their sum.
 func verifyRecords(bucket *bbolt.Bucket) error {
-	kept, err := openLedger(bucket)
+	kept, err := openSealedBucket(bucket)
 	if err != nil {
 		return err
 	}
@@ -164,7 +163,7 @@
 		return nil
 	})
 	if err == nil && found != kept.sum {
-		err = errSum
+		err = errRecordSum
 	}
 	return err
 }
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -13,17 +13,17 @@
 	"github.com/dykewing/dykewing/internal/storeclient"
 )
 
-// errRecordsUnknown says that the service has not told the groups' records yet.
-var errRecordsUnknown = errors.New("the groups' records are not known yet")
+// errRecordsUnknown is returned before the first complete listing of group records.
+var errRecordsUnknown = errors.New("group records not loaded yet")
 
-// GroupRecords knows the groups that are published with a key-value service; it is a
-// catalog.View. With it a store learns of changes as all processes do. Stores that each
-// read the records for themselves made calls that followed their number.
+// GroupRecords caches the groups published with a key-value service; it is a catalog.View and
+// safe for concurrent use. It shares the process's watch, so that stores don't have to poll the
+// records.
 type GroupRecords struct {
 	Prefix string // of the service's keys
 
 	mutex   sync.Mutex // guards all below
-	known   bool
+	loaded  bool
 	records map[api.GroupID]publishedGroup
 }
 
@@ -31,20 +31,20 @@
 type publishedGroup struct {
 	record   groupRecord
 	revision int64
-	err      error // why it can't be read
+	err      error // decoding error
 }
 
-// Whole takes all records.
+// Whole replaces the cache by a complete listing.
 func (g *GroupRecords) Whole(result kv.RangeResult) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.known, g.records = true, map[api.GroupID]publishedGroup{}
+	g.loaded, g.records = true, map[api.GroupID]publishedGroup{}
 	for _, pair := range result.Pairs {
 		g.put(pair)
 	}
 }
 
-// Changes takes records that changed.
+// Changes applies updates of records; deletions are ignored.
 func (g *GroupRecords) Changes(batch kv.Batch) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -55,15 +55,15 @@
 	}
 }
 
-// Written takes a record that the service has told this store beside the changes: the
-// one that it has written, or the one that stood in its way.
+// Written takes a record returned by a write of this store, ahead of the watch: the one
+// written, or the conflicting one.
 func (g *GroupRecords) Written(pair kv.Pair) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.put(pair)
 }
 
-// put takes a record, unless a newer one is known; the mutex is held.
+// put stores a record unless a newer one is known; the mutex is held.
 func (g *GroupRecords) put(pair kv.Pair) {
 	number, err := strconv.ParseUint(strings.TrimPrefix(pair.Key, g.Prefix+storeclient.PrefixGroups), 10, 32)
 	id := api.GroupID(number)
@@ -75,11 +75,11 @@
 	g.records[id] = published
 }
 
-// all gives the records as they are known.
+// all returns a copy of the records, or errRecordsUnknown.
 func (g *GroupRecords) all() (map[api.GroupID]publishedGroup, error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if !g.known {
+	if !g.loaded {
 		return nil, errRecordsUnknown
 	}
 	return maps.Clone(g.records), nil
--- a/internal/store/records_test.go
+++ b/internal/store/records_test.go
@@ -7,7 +7,7 @@
 	"github.com/dykewing/dykewing/internal/kv"
 )
 
-func TestGroupRecordsAreTheNewestTold(t *testing.T) {
+func TestGroupRecordsKeepNewestRevision(t *testing.T) {
 	pair := func(key, value string, revision int64) kv.Pair {
 		return kv.Pair{Key: key, Value: []byte(value), Revision: revision}
 	}
@@ -18,22 +18,22 @@
 		index uint64
 		err   bool
 	}{
-		{"a whole state", func(*GroupRecords) {}, 4, false},
-		{"a change", func(g *GroupRecords) { g.Changes(kv.Batch{Events: []kv.Event{{Pair: newer}}}) }, 5, false},
-		{"a change that this store has written", func(g *GroupRecords) { g.Written(newer) }, 5, false},
-		{"an older one comes late", func(g *GroupRecords) { g.Written(newer); g.Changes(kv.Batch{Events: []kv.Event{{Pair: older}}}) }, 5, false},
-		{"it goes: the group stays", func(g *GroupRecords) {
+		{"complete listing", func(*GroupRecords) {}, 4, false},
+		{"update", func(g *GroupRecords) { g.Changes(kv.Batch{Events: []kv.Event{{Pair: newer}}}) }, 5, false},
+		{"write of this store", func(g *GroupRecords) { g.Written(newer) }, 5, false},
+		{"stale update", func(g *GroupRecords) { g.Written(newer); g.Changes(kv.Batch{Events: []kv.Event{{Pair: older}}}) }, 5, false},
+		{"deletion is ignored", func(g *GroupRecords) {
 			g.Changes(kv.Batch{Events: []kv.Event{{Pair: kv.Pair{Key: "/d/groups/3", Revision: 8}, Deleted: true}}})
 		}, 4, false},
-		{"one that can't be read", func(g *GroupRecords) { g.Written(pair("/d/groups/3", `{`, 9)) }, 0, true},
-		{"another key", func(g *GroupRecords) { g.Written(pair("/d/groups/x", `{`, 9)) }, 4, false},
+		{"invalid record", func(g *GroupRecords) { g.Written(pair("/d/groups/3", `{`, 9)) }, 0, true},
+		{"foreign key", func(g *GroupRecords) { g.Written(pair("/d/groups/x", `{`, 9)) }, 4, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			g := &GroupRecords{Prefix: "/d/"}
-			g.Written(newer) // before all is known
+			g.Written(newer) // ignored before the first listing
 			if _, err := g.all(); !errors.Is(err, errRecordsUnknown) {
-				t.Fatalf("before a whole state: %v", err)
+				t.Fatalf("before a complete listing: %v", err)
 			}
 			g.Whole(kv.RangeResult{Revision: 7, Pairs: []kv.Pair{older}})
 			test.tell(g)
--- a/internal/store/sender.go
+++ b/internal/store/sender.go
@@ -13,41 +13,40 @@
 )
 
 const (
-	pathMessages         = api.PathGroups + "messages"
-	pathIdentity         = api.PathGroups + "identity"
-	queuedMessages       = 4096 // to one replica; more are dropped
-	queuedBytes          = 32 << 20
-	maximumBatchBytes    = 4 << 20
-	maximumMessagesBytes = 64 << 20 // of a received body
-	messageOverhead      = 128      // bytes a message counts beside its data
-	sendTimeout          = 5 * time.Second
+	pathMessages      = api.PathGroups + "messages"
+	pathIdentity      = api.PathGroups + "identity"
+	maxQueuedMessages = 4096 // per replica; more are dropped
+	maxQueuedBytes    = 32 << 20
+	maxBatchBytes     = 4 << 20
+	maxMessagesBytes  = 64 << 20 // of a received body
+	messageOverhead   = 128      // bytes accounted per message and entry besides the data
+	sendTimeout       = 5 * time.Second
 )
 
-// messageBatch is the body of one exchange: messages of many groups to one
-// replica, in order.
+// messageBatch is the body of a request: messages of many groups to one replica, in order.
 type messageBatch struct {
 	From     replication.ReplicaID     `json:"from"`
-	Address  string                    `json:"address"` // where From is reached
+	Address  string                    `json:"address"` // where From can be reached
 	Messages []replication.WireMessage `json:"messages"`
-	// Members are other replicas of the sender's groups with their addresses, now
-	// and then: followers that lose their leader have to reach each other.
+	// Members are addresses of other replicas, sent every advertiseInterval, so that followers
+	// can reach each other when they lose their leader.
 	Members map[replication.ReplicaID]string `json:"members,omitempty"`
-	// Reads is what the sender's process reads; an older one says nothing.
+	// Reads is the log format that the sender's process decodes; older builds omit it.
 	Reads logform.Level `json:"reads,omitempty"`
 }
 
-// tellInterval is the time between two lists of members to one replica.
-const tellInterval = 500 * time.Millisecond
+// advertiseInterval is the minimum time between two lists of member addresses to one replica.
+const advertiseInterval = 500 * time.Millisecond
 
-// sender sends messages to other replicas, in order for each, as many in one
-// body as wait. What can't be sent is dropped: replication sends it again.
+// sender sends messages to other replicas, in order per replica and batched. Messages that
+// can't be sent are dropped; replication resends them.
 type sender struct {
 	self    replication.ReplicaID
 	address string
 	client  *http.Client
 	peers   *peers
 	metrics *metrics
-	reads   logform.Level // that this process says it does
+	level   logform.Level // announced to receivers
 
 	mutex  sync.Mutex // guards queues and closed
 	queues map[replication.ReplicaID]*sendQueue
@@ -58,22 +57,22 @@
 }
 
 type sendQueue struct {
-	messages []replication.WireMessage
-	bytes    int
-	wake     chan struct{}
-	told     time.Time // when members' addresses last went, only for the sending goroutine
+	messages       []replication.WireMessage
+	bytes          int
+	wake           chan struct{}
+	lastAdvertised time.Time // when member addresses were last sent; used by the sending goroutine only
 }
 
 func newSender(self replication.ReplicaID, address string, peers *peers, metrics *metrics, traffic *transport.Traffic, reads logform.Level) *sender {
 	const connections = 2
 	ctx, cancel := context.WithCancel(context.Background())
 	return &sender{
-		self: self, address: address, client: traffic.Count(transport.NewClient(connections), transport.KindLog), peers: peers, metrics: metrics, reads: reads,
+		self: self, address: address, client: traffic.Count(transport.NewClient(connections), transport.KindLog), peers: peers, metrics: metrics, level: reads,
 		queues: map[replication.ReplicaID]*sendQueue{}, ctx: ctx, cancel: cancel,
 	}
 }
 
-// send queues a message; it does not block.
+// send queues a message without blocking.
 func (s *sender) send(message replication.WireMessage) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -87,7 +86,7 @@
 		s.done.Go(func() { s.run(message.To, queue) })
 	}
 	size := messageSize(message)
-	if len(queue.messages) >= queuedMessages || queue.bytes+size > queuedBytes {
+	if len(queue.messages) >= maxQueuedMessages || queue.bytes+size > maxQueuedBytes {
 		s.metrics.dropped.Inc()
 		return
 	}
@@ -110,12 +109,12 @@
 	return size
 }
 
-// take gives the messages of the next body.
-func (s *sender) take(queue *sendQueue) []replication.WireMessage {
+// nextBatch removes the messages of the next body from the queue.
+func (s *sender) nextBatch(queue *sendQueue) []replication.WireMessage {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	count, size := 0, 0
-	for count < len(queue.messages) && (count == 0 || size < maximumBatchBytes) {
+	for count < len(queue.messages) && (count == 0 || size < maxBatchBytes) {
 		size += messageSize(queue.messages[count])
 		count++
 	}
@@ -132,7 +131,7 @@
 		case <-s.ctx.Done():
 			return
 		}
-		for batch := s.take(queue); len(batch) > 0; batch = s.take(queue) {
+		for batch := s.nextBatch(queue); len(batch) > 0; batch = s.nextBatch(queue) {
 			s.post(to, queue, batch)
 		}
 	}
@@ -146,23 +145,23 @@
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, sendTimeout)
 	defer cancel()
-	body := messageBatch{From: s.self, Address: s.address, Messages: batch, Reads: s.reads}
-	if now := time.Now(); now.Sub(queue.told) > tellInterval {
-		queue.told = now
-		body.Members = s.peers.heardAddresses(now, to)
+	body := messageBatch{From: s.self, Address: s.address, Messages: batch, Reads: s.level}
+	if now := time.Now(); now.Sub(queue.lastAdvertised) > advertiseInterval {
+		queue.lastAdvertised = now
+		body.Members = s.peers.recentAddresses(now, to)
 	}
-	if err := s.exchange(ctx, to, address, body); err != nil {
+	if err := s.postBatch(ctx, to, address, body); err != nil {
 		s.metrics.dropped.Add(float64(len(batch)))
 		return
 	}
 	s.metrics.sent.Add(float64(len(batch)))
 }
 
-// framedFrom is how many bytes of entries are worth two parts: a third of them is more than
-// the parts' own bytes.
-const framedFrom = 1 << 10
+// minMultipartBytes is the amount of entry data from which multipart bodies are smaller than
+// JSON with base64.
+const minMultipartBytes = 1 << 10
 
-// entryBytes counts the data of a body's entries.
+// entryBytes returns the size of the entries' data in a body.
 func entryBytes(body messageBatch) (total int) {
 	for _, message := range body.Messages {
 		for _, entry := range message.Entries {
@@ -172,20 +171,20 @@
 	return total
 }
 
-// exchange sends a body in a form that its receiver reads. One that refuses a frame may
-// have been put back to an older version: it gets plain bodies until it says otherwise.
-func (s *sender) exchange(ctx context.Context, to replication.ReplicaID, address string, body messageBatch) error {
+// postBatch sends a body in a format that its receiver decodes. A receiver that rejects a
+// frame may have been downgraded; it gets plain bodies until it announces a higher level.
+func (s *sender) postBatch(ctx context.Context, to replication.ReplicaID, address string, body messageBatch) error {
 	const step = "send log messages"
-	if min(s.peers.level(to), s.reads) < logform.Multipart || entryBytes(body) < framedFrom {
+	if min(s.peers.level(to), s.level) < logform.Multipart || entryBytes(body) < minMultipartBytes {
 		return transport.Call(ctx, s.client, step, address, pathMessages, body, nil)
 	}
-	contentType, framed, err := frameBatch(to, body)
+	contentType, framed, err := encodeBatch(to, body)
 	if err != nil {
 		return err
 	}
 	failure := transport.Post(ctx, s.client, step, address, pathMessages, contentType, framed)
 	if failure != nil && failure.Code == api.CodeBadRequest {
-		s.peers.saysReads(to, logform.Plain)
+		s.peers.setLevel(to, logform.Plain)
 	}
 	if failure != nil {
 		return failure
@@ -193,7 +192,7 @@
 	return nil
 }
 
-// close stops without sending what waits.
+// close stops without sending the queued messages.
 func (s *sender) close() {
 	s.mutex.Lock()
 	s.closed = true
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -18,37 +18,37 @@
 )
 
 const (
-	headerPosition = "Dykewing-Position" // JSON position of a snapshot's state
-	headerAtLeast  = "Dykewing-At-Least" // index that the state must have reached
-	deletedAtOnce  = 2000                // records of an old state in one transaction
+	headerPosition  = "Dykewing-Position" // JSON position of the snapshot's state
+	headerAtLeast   = "Dykewing-At-Least" // minimum log index of the state
+	deleteBatchSize = 2000                // records deleted per transaction
 )
 
 var errSnapshotBehind = errors.New("the peer's state is older than the snapshot")
 
-// snapshotTransfers are the streams of one group. Actor and fetch alone use
-// cancel and staged, in turn.
+// snapshotTransfers are the snapshot streams of one group. cancel, done and staged are used by
+// the actor only.
 type snapshotTransfers struct {
-	serving atomic.Int32 // while above 0 the log is not compacted
+	serving atomic.Int32 // streams being sent; while above 0 the log is not compacted
 	cancel  context.CancelFunc
 	done    chan struct{}
 	staged  position
 }
 
-// frozen is a version of the state as a storage that never changes.
-type frozen struct{ version *version }
+// readOnlyStorage is a read-only jobs.Storage over one version of the state.
+type readOnlyStorage struct{ version *version }
 
-func (f frozen) View(read func(jobs.Reader) error) error {
+func (f readOnlyStorage) View(read func(jobs.Reader) error) error {
 	if err := read(f.version); err != nil {
 		return err
 	}
 	return f.version.failure
 }
 
-func (f frozen) Update(func(jobs.Writer) error) error {
-	return errors.New("a frozen state can't change")
+func (f readOnlyStorage) Update(func(jobs.Writer) error) error {
+	return errors.New("read-only storage can't be updated")
 }
 
-// serveSnapshot streams the applied state of one moment with its position.
+// serveSnapshot streams a consistent version of the applied state with its position.
 func serveSnapshot(w http.ResponseWriter, r *http.Request, group *group) {
 	const step = "send snapshot"
 	group.snapshots.serving.Add(1)
@@ -69,7 +69,7 @@
 		transport.WriteError(w, api.NewError(step, "", api.CodeConflict, api.OutcomeNotRun, "the state here ends at %d", version.position.Index))
 		return
 	}
-	state, err := jobs.OpenState(frozen{version})
+	state, err := jobs.OpenState(readOnlyStorage{version})
 	if err != nil {
 		transport.WriteError(w, api.AsError(step, err))
 		return
@@ -77,13 +77,13 @@
 	w.Header().Set(headerPosition, string(at))
 	w.Header().Set("Content-Type", "application/octet-stream")
 	if _, err := state.WriteSnapshot(w); err != nil {
-		group.log.WithError(err).Warn("A snapshot broke off.")
+		group.log.WithError(err).Warn("Sending a snapshot failed.")
 	}
 }
 
-// fetchSnapshot stages the state of another replica; called by the actor. The
-// machine puts it in force by a Persist with Reset.
-func (g *group) fetchSnapshot(asked replication.FetchSnapshot) {
+// fetchSnapshot stages the state of another replica in the background; called by the actor.
+// The state machine installs it by a replication.Persist that resets the log.
+func (g *group) fetchSnapshot(fetch replication.FetchSnapshot) {
 	previous := g.snapshots.done
 	if g.snapshots.cancel != nil {
 		g.snapshots.cancel()
@@ -98,41 +98,41 @@
 		if previous != nil {
 			<-previous
 		}
-		at, err := g.stage(ctx, asked, generation)
+		at, err := g.stage(ctx, fetch, generation)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			g.log.WithError(err).Warn("A snapshot could not be fetched; it is asked for again.")
+			g.log.WithError(err).Warn("Fetching a snapshot failed; retrying.")
 		} else {
 			g.metrics.snapshots.Inc()
 		}
 		g.tell(stagedSnapshot{
-			SnapshotFetched: replication.SnapshotFetched{Index: asked.Snapshot.Index, Term: asked.Snapshot.Term, Err: err},
+			SnapshotFetched: replication.SnapshotFetched{Index: fetch.Snapshot.Index, Term: fetch.Snapshot.Term, Err: err},
 			at:              at,
 		})
 	}()
 }
 
-// stagedSnapshot brings the position of a staged state to the actor together
-// with the machine's message.
+// stagedSnapshot passes the position of a staged state to the actor along with the state
+// machine's message.
 type stagedSnapshot struct {
 	replication.SnapshotFetched
 	at position
 }
 
-// stage reads a stream into a generation of its own, in bounded pieces.
-func (g *group) stage(ctx context.Context, asked replication.FetchSnapshot, generation uint64) (position, error) {
+// stage reads a snapshot stream into a new generation, in bounded transactions.
+func (g *group) stage(ctx context.Context, fetch replication.FetchSnapshot, generation uint64) (position, error) {
 	var at position
-	address, ok := g.peers.address(time.Now(), asked.From)
+	address, ok := g.peers.address(time.Now(), fetch.From)
 	if !ok {
-		return at, fmt.Errorf("fetch snapshot: the address of replica %s is not known", asked.From)
+		return at, fmt.Errorf("fetch snapshot: no known address of replica %s", fetch.From)
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s%s%d/snapshot", address, api.PathGroups, g.id), nil)
 	if err != nil {
 		return at, err
 	}
-	request.Header.Set(headerAtLeast, fmt.Sprint(asked.Snapshot.Index))
+	request.Header.Set(headerAtLeast, fmt.Sprint(fetch.Snapshot.Index))
 	response, err := g.sender.client.Do(request)
 	if err != nil {
 		return at, transport.SendError("fetch snapshot", address, err)
@@ -144,7 +144,7 @@
 	if err := json.Unmarshal([]byte(response.Header.Get(headerPosition)), &at); err != nil {
 		return at, fmt.Errorf("fetch snapshot from %s: position: %w", address, err)
 	}
-	if at.Index < asked.Snapshot.Index {
+	if at.Index < fetch.Snapshot.Index {
 		return at, errSnapshotBehind
 	}
 	at.Generation = generation
@@ -159,15 +159,15 @@
 	defer g.mutex.Unlock()
 	state, err := jobs.OpenState(g.state)
 	if err != nil {
-		g.stopOn(fmt.Errorf("open fetched state of group %d: %w", g.id, err))
+		g.reportFailure(fmt.Errorf("open fetched state of group %d: %w", g.id, err))
 		return &at
 	}
 	g.jobs = state
 	return &at
 }
 
-// staging is a storage on disk beside the state in force; each Update is one
-// bounded transaction.
+// staging is a jobs.Storage on disk for a generation that is not current yet; each Update is
+// one transaction.
 type staging struct {
 	database   *database
 	group      api.GroupID
@@ -186,7 +186,7 @@
 
 func (s *staging) Update(change func(jobs.Writer) error) error {
 	return s.database.update(func(transaction *bbolt.Tx) error {
-		records, err := openLedger(groupBucket(transaction, s.group))
+		records, err := openSealedBucket(groupBucket(transaction, s.group))
 		if err != nil {
 			return err
 		}
@@ -203,15 +203,15 @@
 	})
 }
 
-// dropOldStates removes, in bounded pieces, states that were replaced or never
-// came in force.
-func (g *group) dropOldStates(kept uint64) error {
-	if g.dropped == kept+1 {
+// removeOldGenerations removes replaced and never installed generations before kept, in
+// bounded transactions.
+func (g *group) removeOldGenerations(kept uint64) error {
+	if g.removedBefore == kept+1 {
 		return nil
 	}
 	for more := true; more; {
 		err := g.database.update(func(transaction *bbolt.Tx) (err error) {
-			records, err := openLedger(groupBucket(transaction, g.id))
+			records, err := openSealedBucket(groupBucket(transaction, g.id))
 			if err != nil {
 				return err
 			}
@@ -224,16 +224,16 @@
 			return err
 		}
 	}
-	g.dropped = kept + 1
+	g.removedBefore = kept + 1
 	return nil
 }
 
-func removeGenerationsBefore(records *ledger, kept uint64) (more bool, err error) {
+func removeGenerationsBefore(records *sealedBucket, kept uint64) (more bool, err error) {
 	end := generationPrefix(kept)
 	cursor := records.bucket.Cursor()
 	var keys [][]byte
 	for key, _ := cursor.Seek([]byte{prefixState}); key != nil && string(key) < string(end); key, _ = cursor.Next() {
-		if len(keys) == deletedAtOnce {
+		if len(keys) == deleteBatchSize {
 			more = true
 			break
 		}
--- a/internal/store/state.go
+++ b/internal/store/state.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	btreeDegree     = 32
-	flushBytes      = 4 << 20 // applied state in memory that asks for a flush
-	recordOverheads = 64      // bytes of memory a record costs beside its content
+	btreeDegree    = 32
+	flushBytes     = 4 << 20 // unflushed state that triggers a flush
+	recordOverhead = 64      // estimated bytes of memory per record besides its content
 )
 
 // record is a change of the applied state that is not on disk yet.
@@ -23,13 +23,13 @@
 	deleted    bool
 }
 
-// layer is a set of changes over the state on disk. The log can make them again
-// after a crash, so they cost no sync of their own.
+// layer is a set of changes over the state on disk. After a crash they are replayed from the
+// log, so they need no sync of their own.
 type layer struct {
 	tree     *btree.BTreeG[record]
 	bytes    int
-	position position // what the state is applied up to, with this layer
-	dirty    bool     // the position has moved
+	position position // applied position including this layer
+	dirty    bool     // the position has advanced
 }
 
 func newLayer(at position) *layer {
@@ -37,17 +37,16 @@
 	return &layer{tree: btree.NewG(btreeDegree, less), position: at}
 }
 
-// state is the applied state of one group: a jobs.Storage whose changes go to
-// disk in the order of the log, with syncs that happen anyway, each together
-// with the position that it belongs to. An Update is therefore not on disk when
-// it returns; the entry that asked for it is, on a quorum.
+// state is the applied state of one group: a jobs.Storage whose changes are flushed in log
+// order with syncs that happen anyway, together with their position. An Update is therefore
+// not on disk when it returns, but its log entry is, on a quorum.
 type state struct {
 	database *database
 	group    api.GroupID
 
 	mutex    sync.Mutex // guards all below
 	active   *layer
-	flushing *layer // being written; nil when none is
+	flushing *layer // being written; nil if none
 	written  uint64 // index up to which the state is on disk
 }
 
@@ -63,14 +62,14 @@
 	return append(generationPrefix(generation), key...)
 }
 
-// position is what the state is applied up to.
+// position returns the applied position.
 func (s *state) position() position {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.active.position
 }
 
-// advance moves the position; it goes to disk with the changes before it.
+// advance sets the applied position; it is flushed with the changes before it.
 func (s *state) advance(to position) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -79,7 +78,7 @@
 	s.active.dirty = true
 }
 
-// install goes on from a state that was received whole; its records are on disk.
+// install replaces the state by a received one, whose records are already on disk.
 func (s *state) install(at position) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -87,23 +86,23 @@
 	s.flushing = nil
 }
 
-// wantsFlush tells whether much is only in memory.
-func (s *state) wantsFlush() bool {
+// needsFlush reports whether the unflushed changes have reached flushBytes.
+func (s *state) needsFlush() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.active.bytes >= flushBytes
 }
 
-// dirty tells whether anything is only in memory.
+// dirty reports whether there is anything to flush.
 func (s *state) dirty() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.active.dirty
 }
 
-// flush writes the changes so far within the caller's transaction and gives the
-// layer that flushed then ends; nil when there is nothing to write.
-func (s *state) flush(records *ledger) (*layer, error) {
+// flush writes the pending changes within the caller's transaction and returns the layer to
+// pass to flushed after the commit; nil if there is nothing to write.
+func (s *state) flush(records *sealedBucket) (*layer, error) {
 	s.mutex.Lock()
 	if s.flushing == nil && s.active.dirty {
 		s.flushing = s.active
@@ -117,14 +116,14 @@
 	return flushing, flushing.write(records)
 }
 
-func (l *layer) write(records *ledger) error {
+func (l *layer) write(records *sealedBucket) error {
 	if err := l.writeRecords(records); err != nil {
 		return err
 	}
 	return putJSON(records, keyApplied, l.position)
 }
 
-func (l *layer) writeRecords(records *ledger) error {
+func (l *layer) writeRecords(records *sealedBucket) error {
 	var failure error
 	l.tree.Ascend(func(change record) bool {
 		key := stateKey(l.position.Generation, change.key)
@@ -138,7 +137,7 @@
 	return failure
 }
 
-// flushed ends a layer whose transaction is on disk.
+// flushed completes a layer whose transaction has been committed.
 func (s *state) flushed(written *layer) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -148,14 +147,14 @@
 	}
 }
 
-// onDisk is the index up to which the applied state is on disk.
+// onDisk returns the log index up to which the applied state is on disk.
 func (s *state) onDisk() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.written
 }
 
-// View reads one version.
+// View reads one consistent version.
 func (s *state) View(read func(jobs.Reader) error) error {
 	v, err := s.begin()
 	if err != nil {
@@ -168,7 +167,7 @@
 	return v.failure
 }
 
-// Update changes all or nothing. Only the group's actor calls it.
+// Update applies all changes or none. Only the group's actor calls it.
 func (s *state) Update(change func(jobs.Writer) error) error {
 	v, err := s.begin()
 	if err != nil {
@@ -192,7 +191,7 @@
 	defer s.mutex.Unlock()
 	writes.tree.Ascend(func(change record) bool {
 		s.active.tree.ReplaceOrInsert(change)
-		s.active.bytes += len(change.key) + len(change.value) + recordOverheads
+		s.active.bytes += len(change.key) + len(change.value) + recordOverhead
 		return true
 	})
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,5 @@
-// Package store is the role of a machine with a small disk: it holds replicas
-// of the groups that keep jobs, files and claims.
+// Package store implements the store role: it holds replicas of the groups that keep jobs,
+// files and claims, replicated by consensus and persisted on a small local disk.
 package store
 
 import (
@@ -22,63 +22,65 @@
 	"github.com/dykewing/dykewing/table"
 )
 
-// flushInterval bounds how long applied state stays only in memory.
+// flushInterval bounds how long applied state stays unflushed.
 const flushInterval = time.Second
 
-// Store is the role's part of a process.
+// Store is a node's store role.
 type Store struct {
-	node          *node.Node
-	log           *logrus.Entry
-	shared        parts
-	space         *space
-	inline        StartInlineRunner       // nil: inline jobs are kept, not run
-	decommissions *Decommissions          // nil: no machine is emptied on request
-	registrations *storeclient.Registered // nil: only views tell of other stores
-	records       *GroupRecords           // nil: this store reads the published groups itself
-	began         time.Time
-	registered    bool // only for the loop that meets other stores, like the next two
-	candidates    int  // stores of which groups could be formed at the last look
-	looks         int  // in a row that saw as many
+	node            *node.Node
+	log             *logrus.Entry
+	shared          groupDependencies
+	space           *diskSpace
+	inline          StartInlineRunner       // nil: inline jobs are stored but not run
+	decommissions   *Decommissions          // nil: no decommission requests
+	registrations   *storeclient.Registered // nil: other stores are known from views only
+	records         *GroupRecords           // nil: this store reads the records itself
+	startedAt       time.Time
+	registered      bool // used by runBootstrap only, like the next two
+	candidateCount  int  // candidates in the last round
+	unchangedRounds int  // consecutive rounds with that count
 
-	ctx        context.Context
-	cancel     context.CancelFunc
-	background sync.WaitGroup
-	failure    chan error    // a write failed for good
-	changed    chan struct{} // members or a leader changed here: they are to be published
+	ctx             context.Context
+	cancel          context.CancelFunc
+	background      sync.WaitGroup
+	failure         chan error    // receives a permanent write failure
+	publishRequests chan struct{} // signals that members or a leader have changed
 
 	mutex   sync.Mutex // guards all below
 	groups  map[api.GroupID]*group
 	joining map[api.GroupID]bool
 	stopped bool
 
-	grouped chan struct{} // a group was started; holds one signal
+	groupStarted chan struct{} // signals that a group has started
 }
 
-// Option changes what New builds.
+// Option configures New.
 type Option func(*Store)
 
-// WithInlineRunner lets the leader of a group run its inline jobs.
+// WithInlineRunner makes leaders run the inline jobs of their groups.
 func WithInlineRunner(start StartInlineRunner) Option {
 	return func(s *Store) { s.inline = start }
 }
 
-// WithRegistered lets the store know of others by their registrations, before a
-// view of nodes shows them.
+// WithRegistered makes the store use registrations to find stores that the membership view
+// doesn't show yet.
 func WithRegistered(registered *storeclient.Registered) Option {
 	return func(s *Store) { s.registrations = registered }
 }
 
-// WithGroupRecords lets the store know of the published groups as all processes do.
+// WithGroupRecords makes the store use the process's watch of group records instead of
+// polling them.
 func WithGroupRecords(records *GroupRecords) Option {
 	return func(s *Store) { s.records = records }
 }
 
-// WithDecommissions lets operators have machines emptied.
+// WithDecommissions enables decommission requests.
 func WithDecommissions(decommissions *Decommissions) Option {
 	return func(s *Store) { s.decommissions = decommissions }
 }
 
-// New opens the data folder and adds the role to a node.
+// New opens the data folder and adds the store role to a node. It fails if the folder is in
+// use or corrupt.
 func New(common *node.Node, options ...Option) (*Store, error) {
 	return newStore(common, hooks{}, options...)
 }
@@ -89,22 +91,22 @@
 		return nil, errors.New("settings: store.data_folder is missing")
 	}
 	if common.KeyValue == nil && settings.Voters() > 1 {
-		return nil, errors.New("settings: key_value_service.endpoints is missing; without it only store.replicas 1 can be formed")
+		return nil, errors.New("settings: key_value_service.endpoints is missing; store.replicas above 1 requires it")
 	}
 	database, err := openDatabase(settings.DataFolder, hooks)
 	if err != nil {
 		return nil, err
 	}
 	s := &Store{
-		node: common, log: common.Logger("store"), failure: make(chan error, 1), changed: make(chan struct{}, 1),
-		groups: map[api.GroupID]*group{}, joining: map[api.GroupID]bool{}, began: time.Now(), grouped: make(chan struct{}, 1),
+		node: common, log: common.Logger("store"), failure: make(chan error, 1), publishRequests: make(chan struct{}, 1),
+		groups: map[api.GroupID]*group{}, joining: map[api.GroupID]bool{}, startedAt: time.Now(), groupStarted: make(chan struct{}, 1),
 	}
 	for _, option := range options {
 		option(s)
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.build(database, hooks)
-	if err := s.startKnown(); err != nil {
+	s.buildShared(database, hooks)
+	if err := s.openExistingGroups(); err != nil {
 		s.stop()
 		return nil, err
 	}
@@ -115,29 +117,29 @@
 	return s, nil
 }
 
-func (s *Store) build(database *database, hooks hooks) {
+func (s *Store) buildShared(database *database, hooks hooks) {
 	metrics := newMetrics(s.node.Registry)
 	settings := s.node.Settings.Store
 	peers := newPeers(settings.ReplaceAfter)
-	s.shared = parts{
+	s.shared = groupDependencies{
 		settings: settings, heapBytes: s.node.Settings.Node.HeapBytes(),
-		electionTimeout: settings.ElectionTimeoutAt(s.node.Settings.Node.ProcessorShare), database: database, peers: peers, metrics: metrics, log: s.log, inline: s.inline, led: s.publishSoon,
+		electionTimeout: settings.ElectionTimeoutAt(s.node.Settings.Node.ProcessorShare), database: database, peers: peers, metrics: metrics, log: s.log, inline: s.inline, onLeading: s.requestPublish,
 		sender: newSender(database.identity, s.node.Address(), peers, metrics, s.node.Traffic, hooks.level()),
 	}
 	s.shared.writer = newWriter(database, metrics, s.writeFailed, s.writeRecovered)
-	s.space = &space{folder: settings.DataFolder, minimum: uint64(settings.MinimumFreeBytes), hooks: hooks, metrics: metrics}
+	s.space = &diskSpace{folder: settings.DataFolder, minFreeBytes: uint64(settings.MinimumFreeBytes), hooks: hooks, metrics: metrics}
 	s.space.check()
 	go s.shared.writer.run()
 }
 
-// startKnown starts the groups of this disk. Without a key-value service the
-// store forms groups of its own.
-func (s *Store) startKnown() error {
+// openExistingGroups starts the groups on this disk. Without a key-value service it creates
+// all groups, with this store as the only voter.
+func (s *Store) openExistingGroups() error {
 	if s.node.KeyValue == nil {
 		alone := replication.Members{Voters: []replication.ReplicaID{s.shared.database.identity}}
 		for id := range api.GroupID(s.node.Settings.Store.Groups) {
 			if err := s.shared.database.createGroup(id, alone); err != nil {
-				return fmt.Errorf("form group %d: %w", id, err)
+				return fmt.Errorf("create group %d: %w", id, err)
 			}
 		}
 	}
@@ -153,7 +155,7 @@
 	return nil
 }
 
-// startGroup records a group's first members on the disk and starts its replica.
+// startGroup records a group's initial members on disk and starts its replica.
 func (s *Store) startGroup(id api.GroupID, origin replication.Members) error {
 	if err := s.shared.database.createGroup(id, origin); err != nil {
 		return fmt.Errorf("record group %d: %w", id, err)
@@ -173,11 +175,11 @@
 	}
 	if snapshot := s.node.Table(); snapshot != nil {
 		group.setServices(snapshot.Services())
-		group.shares.step(quota.Bounds{Rows: ceilingsOf(snapshot)})
+		group.shareOwner.step(quota.Bounds{Rows: ceilingsOf(snapshot)})
 	}
 	s.groups[id] = group
 	select {
-	case s.grouped <- struct{}{}:
+	case s.groupStarted <- struct{}{}:
 	default:
 	}
 	return nil
@@ -185,9 +187,9 @@
 
 func (s *Store) tableChanged(snapshot *table.Snapshot) {
 	ceilings := ceilingsOf(snapshot)
-	for _, group := range s.list() {
+	for _, group := range s.sortedGroups() {
 		group.setServices(snapshot.Services())
-		group.shares.step(quota.Bounds{Rows: ceilings})
+		group.shareOwner.step(quota.Bounds{Rows: ceilings})
 	}
 }
 
@@ -198,8 +200,8 @@
 	return group, ok
 }
 
-// list gives the groups in the order of their ids.
-func (s *Store) list() []*group {
+// sortedGroups returns the groups sorted by ID.
+func (s *Store) sortedGroups() []*group {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	list := make([]*group, 0, len(s.groups))
@@ -210,16 +212,16 @@
 	return list
 }
 
-// Run drives the groups until ctx ends, or until a write fails in a way after
-// which it is not known what the disk holds: that is the error.
+// Run drives the groups until ctx ends. It returns an error if a write fails such that the
+// state of the disk is unknown.
 func (s *Store) Run(ctx context.Context) error {
 	defer s.stop()
 	s.background.Go(func() { s.tick(s.ctx) })
 	s.background.Go(func() { s.maintain(s.ctx) })
-	s.background.Go(func() { s.lookAfterMembers(s.ctx) })
+	s.background.Go(func() { s.maintainMembership(s.ctx) })
 	s.background.Go(func() { s.space.watch(s.ctx, s.spaceChanged) })
 	if s.node.KeyValue != nil {
-		s.background.Go(func() { s.meetOtherStores(s.ctx) })
+		s.background.Go(func() { s.runBootstrap(s.ctx) })
 	}
 	select {
 	case <-ctx.Done():
@@ -229,8 +231,7 @@
 	}
 }
 
-// tick lets time pass for the machines and hands over leadership before a
-// planned stop.
+// tick sends ticks to the groups' state machines and drains the groups before a planned stop.
 func (s *Store) tick(ctx context.Context) {
 	ticker := time.NewTicker(s.node.Settings.Store.Heartbeat / ticksPerHeartbeat)
 	defer ticker.Stop()
@@ -240,31 +241,31 @@
 		case <-ctx.Done():
 			return
 		}
-		groups := s.list()
+		groups := s.sortedGroups()
 		if len(groups) == 0 && !s.awaitGroup(ctx) {
 			return
 		}
 		for _, group := range groups {
 			group.tell(replication.Tick{})
 			if s.node.Leaving() {
-				group.handOver()
+				group.drain()
 			}
 		}
 	}
 }
 
-// awaitGroup waits for the first group of this store: of hundreds of stores most hold
-// none, and each woke 75 times a second for nothing. False when ctx ends before.
+// awaitGroup blocks until a group has started, so that stores without groups don't tick. It
+// returns false if ctx ends before.
 func (s *Store) awaitGroup(ctx context.Context) bool {
 	select {
-	case <-s.grouped:
+	case <-s.groupStarted:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// maintain writes applied state that waits too long and compacts logs.
+// maintain periodically flushes applied state and compacts logs.
 func (s *Store) maintain(ctx context.Context) {
 	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
@@ -274,7 +275,7 @@
 		case <-ctx.Done():
 			return
 		}
-		for _, group := range s.list() {
+		for _, group := range s.sortedGroups() {
 			group.maintain()
 		}
 	}
@@ -282,17 +283,17 @@
 
 func (s *Store) spaceChanged(full bool) {
 	if full {
-		s.log.Warnf("Less than %d bytes are free; new jobs and files are refused.", s.space.minimum)
+		s.log.Warnf("Free disk space is below %d bytes; refusing new jobs and files.", s.space.minFreeBytes)
 		return
 	}
-	s.log.Info("There is space again; new jobs and files are taken.")
+	s.log.Info("Free disk space is sufficient again; accepting new jobs and files.")
 }
 
-// writeFailed stops acknowledgements of all groups.
+// writeFailed halts all groups. Run ends unless the disk is merely full.
 func (s *Store) writeFailed(err error) {
 	s.shared.metrics.failures.Inc()
-	s.log.WithError(err).Error("The data file could not be written; nothing is acknowledged.")
-	for _, group := range s.list() {
+	s.log.WithError(err).Error("Writing the data file failed; nothing is acknowledged.")
+	for _, group := range s.sortedGroups() {
 		group.halt(err)
 	}
 	if errors.Is(err, syscall.ENOSPC) {
@@ -305,32 +306,32 @@
 }
 
 func (s *Store) writeRecovered() {
-	s.log.Info("The data file can be written again.")
-	for _, group := range s.list() {
+	s.log.Info("Writing the data file succeeded again; resuming.")
+	for _, group := range s.sortedGroups() {
 		group.resume()
 	}
 }
 
-// stop ends the groups, writes what waits and closes the disk.
+// stop ends the groups, writes pending tasks and closes the data file.
 func (s *Store) stop() {
 	s.mutex.Lock()
 	s.stopped = true
 	s.mutex.Unlock()
 	s.cancel()
 	s.background.Wait()
-	for _, group := range s.list() {
+	for _, group := range s.sortedGroups() {
 		group.stop()
 	}
 	s.shared.writer.stop()
 	s.shared.sender.close()
 	if err := s.shared.database.close(); err != nil {
-		s.log.WithError(err).Error("The data file did not close.")
+		s.log.WithError(err).Error("Closing the data file failed.")
 	}
 }
 
 func (s *Store) summary() api.Summary {
 	summary := api.Summary{Replica: string(s.shared.database.identity), DiskFull: s.space.full.Load()}
-	for _, group := range s.list() {
+	for _, group := range s.sortedGroups() {
 		summary.Groups = append(summary.Groups, group.summary())
 	}
 	return summary
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -7,7 +7,7 @@
 	"github.com/dykewing/dykewing/config"
 )
 
-func TestAcknowledgedCommandsOutliveACrashOfTheLeader(t *testing.T) {
+func TestAcknowledgedCommandsSurviveLeaderCrash(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.awaitLeader()
 	const before, after = 40, 40
@@ -15,13 +15,13 @@
 	crashed := c.leader()
 	crashed.crash()
 	c.createAll(before, after)
-	c.mustHave(before + after)
+	c.requireFiles(before + after)
 	crashed.start()
 	c.leader().crash()
-	c.mustHave(before + after)
+	c.requireFiles(before + after)
 }
 
-func TestAnyOneDiskOfThreeMayBeLost(t *testing.T) {
+func TestAnyDiskOfThreeCanBeLost(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.awaitLeader()
 	const perRound = 15
@@ -30,14 +30,14 @@
 		lost := c.machines[number]
 		lost.crash()
 		lost.loseDisk()
-		c.mustHave((number + 1) * perRound)
+		c.requireFiles((number + 1) * perRound)
 		lost.start()
 		c.awaitMembers(c.machines...)
 	}
-	c.mustHave(len(c.machines) * perRound)
+	c.requireFiles(len(c.machines) * perRound)
 }
 
-func TestAnyTwoDisksOfFiveMayBeLostAtOnce(t *testing.T) {
+func TestTwoDisksOfFiveCanBeLostTogether(t *testing.T) {
 	c := newCluster(t, 5, nil)
 	c.awaitLeader()
 	const count = 30
@@ -48,15 +48,15 @@
 		m.crash()
 		m.loseDisk()
 	}
-	c.mustHave(count)
+	c.requireFiles(count)
 	first.start()
 	second.start()
 	c.awaitMembers(c.machines...)
-	c.mustHave(count)
+	c.requireFiles(count)
 }
 
-// A shell that acknowledges without a sync must be caught by the checks above.
-func TestSkippedSyncsAreCaught(t *testing.T) {
+// Verifies that the crash tests fail for a store that acknowledges without a sync.
+func TestSkippedSyncIsDetected(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.awaitLeader()
 	c.createAll(0, 5)
@@ -75,15 +75,15 @@
 	for _, m := range c.machines {
 		m.start()
 	}
-	if lost := c.missing(15); len(lost) == 0 {
-		t.Fatal("syncs were skipped and nothing was lost: the check can't fail")
+	if lost := c.lostFiles(15); len(lost) == 0 {
+		t.Fatal("nothing was lost without syncs: the crash tests can't fail")
 	}
 }
 
-// An empty disk that comes back under the identity of the lost one must be
-// caught: it forgets what it acknowledged and still counts.
-func TestReusedIdentityIsCaught(t *testing.T) {
-	c := newCluster(t, 3, func(settings *config.Store) { settings.ReplaceAfter = generousWait })
+// Verifies that the disk loss tests fail for an empty disk that reuses the lost one's identity
+// and therefore still counts for quorums.
+func TestReusedIdentityIsDetected(t *testing.T) {
+	c := newCluster(t, 3, func(settings *config.Store) { settings.ReplaceAfter = testTimeout })
 	c.awaitLeader()
 	leader := c.leader()
 	cutOff := c.machines[(leader.number+1)%3]
@@ -99,17 +99,17 @@
 	reused.start()
 	c.hooks = hooks{}
 	cutOff.start()
-	if lost := c.missing(count); len(lost) == 0 {
-		t.Fatal("an identity was used again and nothing was lost: the check can't fail")
+	if lost := c.lostFiles(count); len(lost) == 0 {
+		t.Fatal("nothing was lost with a reused identity: the disk loss tests can't fail")
 	}
 }
 
-func TestGroupsElectAndChangeMembersWithoutTheKeyValueService(t *testing.T) {
+func TestGroupsRunWithoutKeyValueService(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.awaitLeader()
 	c.createAll(0, 10)
 	c.awaitMembers(c.machines...)
-	c.down.Store(true)
+	c.keyValueDown.Store(true)
 	lost := c.leader()
 	lost.crash()
 	lost.loseDisk()
@@ -119,13 +119,12 @@
 	other := c.machines[(lost.number+1)%3]
 	other.crash()
 	other.start()
-	c.mustHave(20)
-	c.down.Store(false)
+	c.requireFiles(20)
+	c.keyValueDown.Store(false)
 	c.awaitPublished()
 }
 
-// awaitPublished waits until the service shows the members that the group has
-// committed.
+// awaitPublished waits until the key-value service has the group's committed members.
 func (c *cluster) awaitPublished() {
 	c.t.Helper()
 	c.await("published members", func() bool {
@@ -139,8 +138,8 @@
 	})
 }
 
-func TestALaggingReplicaGetsASnapshot(t *testing.T) {
-	c := newCluster(t, 3, func(settings *config.Store) { settings.SnapshotEntries, settings.ReplaceAfter = 100, generousWait })
+func TestLaggingReplicaInstallsSnapshot(t *testing.T) {
+	c := newCluster(t, 3, func(settings *config.Store) { settings.SnapshotEntries, settings.ReplaceAfter = 100, testTimeout })
 	c.awaitLeader()
 	c.createAll(0, 20)
 	lagging := c.machines[(c.leader().number+1)%3]
@@ -158,18 +157,18 @@
 	lagging.start()
 	c.await("an installed snapshot", func() bool {
 		group, ok := lagging.store.group(0)
-		return ok && group.installed.Load() > 0 && group.members().Index >= count
+		return ok && group.installedGeneration.Load() > 0 && group.members().Index >= count
 	})
 	others := c.machines[(lagging.number+1)%3]
 	others.crash()
-	c.mustHave(count)
+	c.requireFiles(count)
 }
 
-func TestAPlannedStopHandsOverAndAnswersAll(t *testing.T) {
-	c := newCluster(t, 3, func(settings *config.Store) { settings.ReplaceAfter = generousWait })
+func TestPlannedStopTransfersLeadership(t *testing.T) {
+	c := newCluster(t, 3, func(settings *config.Store) { settings.ReplaceAfter = testTimeout })
 	leader := c.awaitLeader()
 	c.createAll(0, 10)
 	c.require(leader.stop())
 	c.createAll(10, 10)
-	c.mustHave(20)
+	c.requireFiles(20)
 }
--- a/internal/store/version.go
+++ b/internal/store/version.go
@@ -7,8 +7,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// version is one consistent view of a state: layers of changes over the records
-// on disk. In an Update the newest layer takes the changes.
+// version is a consistent view of a state: layers of changes over the records on disk. In
+// an Update the newest layer takes the changes.
 type version struct {
 	transaction *bbolt.Tx
 	bucket      *bbolt.Bucket
@@ -19,7 +19,7 @@
 
 func (v *version) end() { _ = v.transaction.Rollback() }
 
-// Get gives the value of key, nil when there is none.
+// Get returns the value of key; nil if there is none.
 func (v *version) Get(key []byte) []byte {
 	for _, layer := range v.layers {
 		if found, ok := layer.Get(record{key: key}); ok {
@@ -45,18 +45,18 @@
 	return value
 }
 
-// Put sets a value; only within an Update.
+// Put sets a value. It may only be called within an Update.
 func (v *version) Put(key, value []byte) {
 	v.layers[0].ReplaceOrInsert(record{key: bytes.Clone(key), value: append([]byte{}, value...)})
 }
 
-// Delete removes a key; only within an Update.
+// Delete removes a key. It may only be called within an Update.
 func (v *version) Delete(key []byte) {
 	v.layers[0].ReplaceOrInsert(record{key: bytes.Clone(key), deleted: true})
 }
 
-// Scan visits keys in order from the first one that is not below from, until
-// visit returns false. Changes made meanwhile may or may not be visited.
+// Scan visits the keys from from on in order until visit returns false. Concurrent changes
+// may or may not be visited.
 func (v *version) Scan(from []byte, visit func(key, value []byte) bool) {
 	sources := make([]*source, 0, len(v.layers)+1)
 	for _, layer := range v.layers {
@@ -83,7 +83,7 @@
 	}
 }
 
-// source is one sorted part of a version within a scan.
+// source is one sorted input of a scan's merge.
 type source struct {
 	next    func(from []byte) (record, bool)
 	current record
@@ -92,7 +92,8 @@
 
 func (s *source) advance(from []byte) { s.current, s.valid = s.next(from) }
 
-// pickSmallest gives the source with the smallest key; of equal ones the newest.
+// pickSmallest returns the source with the smallest key, the newest one on a tie; nil if all
+// are exhausted.
 func pickSmallest(sources []*source) *source {
 	var smallest *source
 	for _, source := range sources {
@@ -113,7 +114,7 @@
 	}
 }
 
-// nextOnDisk gives the records of the state's generation without their prefix.
+// nextOnDisk iterates over the records of the state's generation, without their prefix.
 func (v *version) nextOnDisk() func([]byte) (record, bool) {
 	prefix := generationPrefix(v.position.Generation)
 	cursor := v.bucket.Cursor()
