--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -14,26 +14,26 @@
 
 const (
 	fullDiskRetryInterval = time.Second
-	maximumBatchTasks     = 8192 // of one sync
+	maxBatchTasks         = 8192 // per sync
 )
 
-// task is one action of a replica that has to keep its place behind a sync.
+// task is an action of a replica that must stay in order with syncs.
 type task struct {
 	group   *group
 	persist *replication.Persist
-	install *position // with persist.Snapshot
+	install *position // set if a received snapshot is installed
 	send    *replication.WireMessage
-	flush   bool // write the applied state that is only in memory
+	flush   bool // flush the applied state
 }
 
-// writer puts what all groups persist on disk, as much as waits with one sync,
-// and lets go what had to wait for it. Once a write fails it lets nothing go
-// until a write of the same tasks has succeeded.
+// writer persists the writes of all groups with group commit and then releases the messages
+// and acknowledgements that depend on them. After a failed write it releases nothing until
+// the same tasks are written.
 type writer struct {
-	database  *database
-	metrics   *metrics
-	failed    func(error) // told of each failure, before the next try
-	recovered func()      // told when a write succeeded after a failure
+	database   *database
+	metrics    *metrics
+	onFailure  func(error) // called for each failure, before the next attempt
+	onRecovery func()      // called when a write succeeds after failures
 
 	mutex   sync.Mutex // guards all below
 	tasks   []task
@@ -44,13 +44,13 @@
 
 func newWriter(database *database, metrics *metrics, failed func(error), recovered func()) *writer {
 	return &writer{
-		database: database, metrics: metrics, failed: failed, recovered: recovered,
+		database: database, metrics: metrics, onFailure: failed, onRecovery: recovered,
 		wake: make(chan struct{}, 1), done: make(chan struct{}),
 	}
 }
 
-// add queues a task; it does not block.
-func (w *writer) add(added task) {
+// enqueue adds a task without blocking.
+func (w *writer) enqueue(added task) {
 	w.mutex.Lock()
 	w.tasks = append(w.tasks, added)
 	w.mutex.Unlock()
@@ -64,7 +64,7 @@
 	}
 }
 
-// stop writes what waits and returns.
+// stop returns once all queued tasks are written or writing has failed.
 func (w *writer) stop() {
 	w.mutex.Lock()
 	w.stopped = true
@@ -76,7 +76,7 @@
 func (w *writer) take() (batch []task, stopped bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	count := min(len(w.tasks), maximumBatchTasks)
+	count := min(len(w.tasks), maxBatchTasks)
 	if w.database.hooks.syncEach {
 		count = min(count, 1)
 	}
@@ -103,18 +103,18 @@
 	}
 }
 
-// write tries until the batch is on disk. Only a full disk is tried again: after
-// another error it is not known what the disk holds.
+// write retries until the batch is on disk. It retries only if the disk is full; after any
+// other error the state of the disk is unknown.
 func (w *writer) write(batch []task) bool {
 	for failures := 0; ; failures++ {
 		err := w.commit(batch)
 		if err == nil {
 			if failures > 0 {
-				w.recovered()
+				w.onRecovery()
 			}
 			return true
 		}
-		w.failed(err)
+		w.onFailure(err)
 		if !errors.Is(err, syscall.ENOSPC) || w.isStopped() {
 			return false
 		}
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// groupWrite is what one transaction writes of one group.
+// groupWrite is the part of a transaction that belongs to one group.
 type groupWrite struct {
 	group   *group
 	tasks   []task
@@ -176,7 +176,7 @@
 }
 
 func (g *groupWrite) write(transaction *bbolt.Tx) error {
-	records, err := openLedger(groupBucket(transaction, g.group.id))
+	records, err := openSealedBucket(groupBucket(transaction, g.group.id))
 	if err != nil {
 		return err
 	}
@@ -191,7 +191,7 @@
 	return records.close()
 }
 
-// release lets go, in order, what the sync held back.
+// release carries out, in order, what depends on the sync.
 func (w *writer) release(batch []task) {
 	for _, task := range batch {
 		switch {
