--- a/internal/store/acknowledged.go
+++ b/internal/store/acknowledged.go
@@ -33,9 +33,9 @@
 }
 
 // last returns the recorded ID; 0 if there is none or its checksum is wrong.
-func (a *commitMarker) last() (uint64, error) {
+func (m *commitMarker) last() (uint64, error) {
 	raw := make([]byte, commitMarkerBytes)
-	if _, err := a.file.ReadAt(raw, 0); errors.Is(err, io.EOF) {
+	if _, err := m.file.ReadAt(raw, 0); errors.Is(err, io.EOF) {
 		return 0, nil
 	} else if err != nil {
 		return 0, err
@@ -46,18 +46,18 @@
 	return binary.BigEndian.Uint64(raw), nil
 }
 
-func (a *commitMarker) record(transaction uint64) error {
+func (m *commitMarker) record(transaction uint64) error {
 	raw := binary.BigEndian.AppendUint64(nil, transaction)
 	raw = binary.BigEndian.AppendUint64(raw, xxhash.Sum64(raw))
-	_, err := a.file.WriteAt(raw, 0)
+	_, err := m.file.WriteAt(raw, 0)
 	return err
 }
 
 // reset clears the marker for a new data file.
-func (a *commitMarker) reset() error { return a.file.Truncate(0) }
+func (m *commitMarker) reset() error { return m.file.Truncate(0) }
 
-func (a *commitMarker) close() error {
-	return errors.Join(a.file.Sync(), a.file.Close())
+func (m *commitMarker) close() error {
+	return errors.Join(m.file.Sync(), m.file.Close())
 }
 
 // update commits a transaction, syncs it and records its ID in the commit marker.
--- a/internal/store/database.go
+++ b/internal/store/database.go
@@ -235,7 +235,7 @@
 		return err
 	}
 	if header.Format != formatVersion {
-		return fmt.Errorf("format %d is not %d", header.Format, formatVersion)
+		return fmt.Errorf("unsupported format %d, want %d", header.Format, formatVersion)
 	}
 	d.identity = header.Identity
 	return nil
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -90,42 +90,42 @@
 }
 
 func openSealedBucket(bucket *bbolt.Bucket) (*sealedBucket, error) {
-	l := &sealedBucket{bucket: bucket}
+	b := &sealedBucket{bucket: bucket}
 	sealed := bucket.Get(keySum)
 	if sealed == nil {
-		return l, nil
+		return b, nil
 	}
 	raw, err := openRecord(keySum, sealed)
 	if err != nil {
 		return nil, err
 	}
-	l.sum, err = decodeSum(raw)
-	return l, err
+	b.sum, err = decodeSum(raw)
+	return b, err
 }
 
-func (l *sealedBucket) put(key, value []byte) error {
-	if old := l.bucket.Get(key); old != nil {
-		l.sum.remove(key, old)
+func (b *sealedBucket) put(key, value []byte) error {
+	if old := b.bucket.Get(key); old != nil {
+		b.sum.remove(key, old)
 	}
 	sealed := sealRecord(key, value)
-	l.sum.add(key, sealed)
-	return l.bucket.Put(key, sealed)
+	b.sum.add(key, sealed)
+	return b.bucket.Put(key, sealed)
 }
 
-func (l *sealedBucket) remove(key []byte) error {
-	old := l.bucket.Get(key)
+func (b *sealedBucket) remove(key []byte) error {
+	old := b.bucket.Get(key)
 	if old == nil {
 		return nil
 	}
-	l.sum.remove(key, old)
-	return l.bucket.Delete(key)
+	b.sum.remove(key, old)
+	return b.bucket.Delete(key)
 }
 
 // removeRange removes the records within [from, end).
-func (l *sealedBucket) removeRange(from, end []byte) error {
-	cursor := l.bucket.Cursor()
+func (b *sealedBucket) removeRange(from, end []byte) error {
+	cursor := b.bucket.Cursor()
 	for key, sealed := cursor.Seek(from); key != nil && string(key) < string(end); key, sealed = cursor.Seek(from) {
-		l.sum.remove(key, sealed)
+		b.sum.remove(key, sealed)
 		if err := cursor.Delete(); err != nil {
 			return err
 		}
@@ -133,16 +133,16 @@
 	return nil
 }
 
-func (l *sealedBucket) get(key []byte) ([]byte, error) {
-	sealed := l.bucket.Get(key)
+func (b *sealedBucket) get(key []byte) ([]byte, error) {
+	sealed := b.bucket.Get(key)
 	if sealed == nil {
 		return nil, nil
 	}
 	return openRecord(key, sealed)
 }
 
-func (l *sealedBucket) close() error {
-	return l.bucket.Put(keySum, sealRecord(keySum, l.sum.encode()))
+func (b *sealedBucket) close() error {
+	return b.bucket.Put(keySum, sealRecord(keySum, b.sum.encode()))
 }
 
 // verifyRecords checks every record of a bucket and their sum.
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -37,14 +37,14 @@
 // readOnlyStorage is a read-only jobs.Storage over one version of the state.
 type readOnlyStorage struct{ version *version }
 
-func (f readOnlyStorage) View(read func(jobs.Reader) error) error {
-	if err := read(f.version); err != nil {
+func (s readOnlyStorage) View(read func(jobs.Reader) error) error {
+	if err := read(s.version); err != nil {
 		return err
 	}
-	return f.version.failure
+	return s.version.failure
 }
 
-func (f readOnlyStorage) Update(func(jobs.Writer) error) error {
+func (s readOnlyStorage) Update(func(jobs.Writer) error) error {
 	return errors.New("read-only storage can't be updated")
 }
 
