--- a/internal/kv/call.go
+++ b/internal/kv/call.go
@@ -13,18 +13,17 @@
 )
 
 const (
-	maximumErrorBytes  = 512
-	maximumAnswerBytes = 64 << 20
+	maxErrorBytes    = 512
+	maxResponseBytes = 64 << 20
 )
 
-// reading tells which calls have no effect, so that any failure of theirs may
-// be followed by a call to another endpoint. A txn is sent to another endpoint
-// only when the first was never connected to: otherwise it may have taken
-// effect there, and whoever asked has to find out.
-var reading = map[string]bool{PathRange: true, PathWatch: true}
+// readOnlyPaths are the calls without side effects, which may be retried at another
+// endpoint after any failure. Other calls fail over only if no connection to the first
+// endpoint was made, since otherwise they may have taken effect there.
+var readOnlyPaths = map[string]bool{PathRange: true, PathWatch: true}
 
-// call posts within the timeout; a failure after a change may have left wraps
-// ErrUnknown.
+// call posts a request within the timeout and decodes the response. Errors wrap
+// ErrUnknown if the request may have taken effect.
 func (e *Etcd) call(ctx context.Context, path string, request, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, e.timeout)
 	defer cancel()
@@ -37,16 +36,16 @@
 		return err
 	}
 	defer response.Body.Close()
-	limited := io.LimitReader(response.Body, maximumAnswerBytes)
+	limited := io.LimitReader(response.Body, maxResponseBytes)
 	if err := json.NewDecoder(limited).Decode(answer); err != nil {
 		return fmt.Errorf("%w: read answer: %w", ErrUnknown, err)
 	}
 	return nil
 }
 
-// post tries the endpoints in order, as far as that is safe.
+// post tries the endpoints in order for as long as it is safe to retry.
 func (e *Etcd) post(ctx context.Context, path string, body []byte) (*http.Response, error) {
-	failure := errors.New("no endpoint is set")
+	failure := errors.New("no endpoint is configured")
 	for _, endpoint := range e.endpoints {
 		if err := e.limiter.Wait(ctx); err != nil {
 			return nil, errors.Join(failure, fmt.Errorf("%w: %w", ErrLimited, err))
@@ -59,15 +58,15 @@
 			return response, nil
 		}
 		failure = fmt.Errorf("%s: %w", endpoint, err)
-		if !reading[path] && errors.Is(err, ErrUnknown) {
+		if !readOnlyPaths[path] && errors.Is(err, ErrUnknown) {
 			return nil, failure
 		}
 	}
 	return nil, failure
 }
 
-// attempt posts to one endpoint. Its errors wrap ErrUnknown unless the request
-// certainly had no effect: no connection was made, or the service refused it.
+// attempt posts to one endpoint. Its errors wrap ErrUnknown unless the request certainly
+// had no effect: no connection was made, or the service rejected it.
 func (e *Etcd) attempt(ctx context.Context, endpoint, path string, body []byte) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, endpoint+path, bytes.NewReader(body))
 	if err != nil {
@@ -85,7 +84,7 @@
 		return response, nil
 	}
 	defer response.Body.Close()
-	text, _ := io.ReadAll(io.LimitReader(response.Body, maximumErrorBytes))
+	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	failure := fmt.Errorf("status %d: %s", response.StatusCode, bytes.TrimSpace(text))
 	switch {
 	case response.StatusCode == http.StatusTooManyRequests:
--- a/internal/kv/etcd.go
+++ b/internal/kv/etcd.go
@@ -11,25 +11,26 @@
 
 const connectionsPerHost = 4
 
-// Etcd is a Service over the etcd v3 HTTP/JSON mapping.
+// Etcd is a Service over the HTTP/JSON mapping of the etcd v3 API. It is safe for
+// concurrent use.
 type Etcd struct {
 	endpoints []string
 	timeout   time.Duration
 	limiter   *rate.Limiter
 	client    *http.Client
-	// Observe is told of every attempt, before first use set by the owner; nil
-	// is allowed.
+	// Observe, if not nil, is called with the path and error of every attempt. It must be
+	// set before first use.
 	Observe func(path string, err error)
 }
 
-// NewEtcd reaches the given base URLs in order of preference. Every attempt,
-// also a repeated one, counts against requestsPerSecond.
+// NewEtcd returns a client of the endpoints, which are base URLs in order of preference.
+// Every attempt, including retries, counts against requestsPerSecond.
 func NewEtcd(endpoints []string, timeout time.Duration, requestsPerSecond float64) *Etcd {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: connectionsPerHost}}
 	return NewEtcdWithClient(endpoints, timeout, requestsPerSecond, client)
 }
 
-// NewEtcdWithClient is NewEtcd over a client of the caller's.
+// NewEtcdWithClient is like NewEtcd but uses the given HTTP client.
 func NewEtcdWithClient(endpoints []string, timeout time.Duration, requestsPerSecond float64, client *http.Client) *Etcd {
 	burst := max(int(requestsPerSecond), 1)
 	return &Etcd{
@@ -40,7 +41,7 @@
 	}
 }
 
-// Read reads one key.
+// Read implements Service.
 func (e *Etcd) Read(ctx context.Context, key string) (*Pair, int64, error) {
 	var answer WireRangeAnswer
 	if err := e.call(ctx, PathRange, WireRangeRequest{Key: []byte(key)}, &answer); err != nil {
@@ -54,7 +55,7 @@
 	return &pair, revision, nil
 }
 
-// Range reads all pairs of the prefix.
+// Range implements Service.
 func (e *Etcd) Range(ctx context.Context, prefix string) (RangeResult, error) {
 	request := WireRangeRequest{Key: []byte(prefix), RangeEnd: PrefixEnd([]byte(prefix))}
 	var answer WireRangeAnswer
@@ -68,7 +69,7 @@
 	return result, nil
 }
 
-// Latest reads the newest pair of the prefix and the count.
+// Latest implements Service.
 func (e *Etcd) Latest(ctx context.Context, prefix string) (Latest, error) {
 	request := WireRangeRequest{
 		Key: []byte(prefix), RangeEnd: PrefixEnd([]byte(prefix)),
@@ -76,7 +77,7 @@
 	}
 	var answer WireRangeAnswer
 	if err := e.call(ctx, PathRange, request, &answer); err != nil {
-		return Latest{}, fmt.Errorf("read newest of %s: %w", prefix, err)
+		return Latest{}, fmt.Errorf("read latest pair of %s: %w", prefix, err)
 	}
 	latest := Latest{Revision: int64(answer.Header.Revision), Count: int64(answer.Count)}
 	for _, pair := range answer.Pairs {
@@ -89,7 +90,7 @@
 	return Pair{Key: string(pair.Key), Value: pair.Value, Revision: int64(pair.ModRevision)}
 }
 
-// Swap is a compare-and-swap on one key.
+// Swap implements Service with a transaction on one key.
 func (e *Etcd) Swap(ctx context.Context, swap Swap) (SwapResult, error) {
 	key := []byte(swap.Key)
 	operation := WireOperation{Put: &WirePut{Key: key, Value: swap.Value, Lease: Int64(swap.Lease)}}
@@ -116,7 +117,7 @@
 	return result, nil
 }
 
-// GrantLease asks for a lease of at least a second.
+// GrantLease implements Service. The lifetime is truncated to whole seconds, at least one.
 func (e *Etcd) GrantLease(ctx context.Context, lifetime time.Duration) (int64, error) {
 	seconds := max(int64(lifetime.Seconds()), 1)
 	var answer WireLeaseGrant
@@ -124,19 +125,19 @@
 	return int64(answer.ID), err
 }
 
-// KeepLease renews a lease once.
+// KeepLease implements Service.
 func (e *Etcd) KeepLease(ctx context.Context, lease int64) error {
 	var answer WireLeaseKeepAnswer
 	if err := e.call(ctx, PathLeaseKeep, WireLease{ID: Int64(lease)}, &answer); err != nil {
 		return fmt.Errorf("keep lease: %w", err)
 	}
 	if answer.Result.TTL <= 0 {
-		return fmt.Errorf("keep lease: lease %d is gone", lease)
+		return fmt.Errorf("keep lease: lease %d has expired or was revoked", lease)
 	}
 	return nil
 }
 
-// RevokeLease ends a lease and deletes its keys.
+// RevokeLease implements Service.
 func (e *Etcd) RevokeLease(ctx context.Context, lease int64) error {
 	var answer struct{}
 	return e.call(ctx, PathLeaseRevoke, WireLease{ID: Int64(lease)}, &answer)
--- a/internal/kv/etcd_test.go
+++ b/internal/kv/etcd_test.go
@@ -27,7 +27,7 @@
 	return server.URL
 }
 
-func TestSwapIsNotRepeatedWhereItMayHaveTakenEffect(t *testing.T) {
+func TestSwapIsNotRetriedAfterUnknownOutcome(t *testing.T) {
 	first, second := keyvalue.NewServer(), keyvalue.NewServer()
 	first.SetFaults(keyvalue.Faults{LoseAnswers: 1})
 	client := kv.NewEtcd([]string{start(t, first), start(t, second)}, testTimeout, testRate)
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestFailOverWhereItIsSafe(t *testing.T) {
+func TestFailover(t *testing.T) {
 	down := httptest.NewServer(http.NotFoundHandler())
 	down.Close() // connections are refused
 	outage, second := keyvalue.NewServer(), keyvalue.NewServer()
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestEveryAttemptCountsAgainstTheLimit(t *testing.T) {
+func TestEveryAttemptCountsAgainstRateLimit(t *testing.T) {
 	down := httptest.NewServer(http.NotFoundHandler())
 	down.Close()
 	attempts := 0
@@ -70,19 +70,19 @@
 	}
 }
 
-func TestServiceRateLimitHadNoEffect(t *testing.T) {
+func TestRateLimitOfServiceHasKnownOutcome(t *testing.T) {
 	service := keyvalue.NewServer()
 	service.SetFaults(keyvalue.Faults{RequestsPerSecond: 1e-9})
 	client := kv.NewEtcd([]string{start(t, service)}, testTimeout, testRate)
 	_, err := client.Swap(context.Background(), kv.Swap{Key: "/a", Value: []byte("x")})
 	if !errors.Is(err, kv.ErrLimited) || errors.Is(err, kv.ErrUnknown) {
-		t.Errorf("got %v, want a refusal by the rate limit that had no effect", err)
+		t.Errorf("got %v, want a rate limit error with a known outcome", err)
 	}
 }
 
-// TestWatchTellsOnlyWhatItDelivered: the message that confirms a watch carries
-// the service's revision although earlier changes are still to come.
-func TestWatchTellsOnlyWhatItDelivered(t *testing.T) {
+// TestWatchIgnoresRevisionOfConfirmation guards against taking the revision of the message
+// that confirms a watch for delivered: earlier changes may still follow.
+func TestWatchIgnoresRevisionOfConfirmation(t *testing.T) {
 	messages := `{"result":{"header":{"revision":"90"},"created":true}}
 {"result":{"header":{"revision":90},"events":[{"kv":{"key":"L2E=","mod_revision":"7"}},{"type":"DELETE","kv":{"key":"L2I=","mod_revision":8}}]}}
 {"result":{"header":{"revision":"95"}}}
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestWatchThatIsNeverConfirmedEnds(t *testing.T) {
+func TestWatchTimesOutWithoutConfirmation(t *testing.T) {
 	service := keyvalue.NewServer()
 	service.SetFaults(keyvalue.Faults{Hang: true})
 	client := kv.NewEtcd([]string{start(t, service)}, 50*time.Millisecond, testRate)
@@ -139,7 +139,7 @@
 		t.Errorf("the key outlived its lease: %v, %v", pair, err)
 	}
 	if err := client.KeepLease(ctx, lease); err == nil {
-		t.Error("a lease that ended was kept")
+		t.Error("an expired lease was renewed")
 	}
 	if err := client.RevokeLease(ctx, lease); err != nil {
 		t.Error(err)
@@ -169,7 +169,7 @@
 	})
 }
 
-// roundTrip answers without a network.
+// roundTrip is an http.RoundTripper that calls a handler directly.
 type roundTrip struct{ handler http.Handler }
 
 func (r roundTrip) RoundTrip(request *http.Request) (*http.Response, error) {
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -1,6 +1,6 @@
-// Package kv reaches the platform's key-value service. Service is what the
-// rest of dykewing needs of it; Etcd speaks the published etcd v3 HTTP/JSON
-// mapping. Another service takes an adapter of its own and nothing else.
+// Package kv provides access to the platform's key-value service. Service is the interface
+// that the rest of dykewing uses; Etcd implements it over the HTTP/JSON mapping of the etcd
+// v3 API. Supporting another service only requires another implementation of Service.
 package kv
 
 import (
@@ -9,14 +9,15 @@
 	"time"
 )
 
-// ErrUnknown says that a change may or may not have taken effect.
+// ErrUnknown reports that a change may or may not have taken effect.
 var ErrUnknown = errors.New("key-value service: outcome unknown")
 
-// ErrCompacted says that a watch asked for revisions that are gone; range again.
+// ErrCompacted reports that a watch asked for compacted revisions; the caller has to read
+// the range again.
 var ErrCompacted = errors.New("key-value service: revision compacted")
 
-// ErrLimited says that the rate limit, the service's or this client's, let the
-// call not through; it had no effect.
+// ErrLimited reports that the rate limit of the service or of this client rejected the
+// call, which had no effect.
 var ErrLimited = errors.New("key-value service: rate limit reached")
 
 // Pair is a key with its value and modification revision.
@@ -32,15 +33,15 @@
 	Revision int64
 }
 
-// Latest tells how a prefix stands, without its values.
+// Latest describes the state of a prefix without its values.
 type Latest struct {
 	Revision int64 // of the service
-	Modified int64 // newest modification revision of a pair; 0 without one
-	Count    int64 // pairs
+	Modified int64 // highest modification revision of a pair; 0 if there is none
+	Count    int64 // number of pairs
 }
 
-// Swap writes Value if the key's modification revision is still Expected (0:
-// the key is absent). Delete removes the key instead. Lease 0 is no lease.
+// Swap writes Value if the key's modification revision is still Expected, where 0 means
+// that the key is absent. Delete removes the key instead. Lease 0 means no lease.
 type Swap struct {
 	Key      string
 	Expected int64
@@ -49,8 +50,8 @@
 	Lease    int64
 }
 
-// SwapResult tells whether the swap took effect, and the pair that stands when
-// it did not (nil when the key is absent).
+// SwapResult reports whether the swap took effect. If it did not, Standing is the current
+// pair, or nil if the key is absent.
 type SwapResult struct {
 	Succeeded bool
 	Revision  int64 // of the service after the call
@@ -63,8 +64,8 @@
 	Deleted bool
 }
 
-// Batch is what a watch delivers: events in order. All changes of the prefix
-// up to Revision have been delivered with it.
+// Batch holds events of a watch in order. Once it is delivered, all changes of the prefix
+// up to Revision have been.
 type Batch struct {
 	Events   []Event
 	Revision int64
@@ -72,18 +73,25 @@
 
 // Service is a key-value service with compare-and-swap, leases and watches.
 // Errors of Swap wrap ErrUnknown unless the change certainly had no effect.
+// Implementations are safe for concurrent use.
 type Service interface {
-	// Read gives one pair, nil when the key is absent, and the service's
+	// Read returns the pair of a key, nil if the key is absent, and the service's
 	// revision.
 	Read(ctx context.Context, key string) (*Pair, int64, error)
+	// Range returns all pairs whose keys have the prefix.
 	Range(ctx context.Context, prefix string) (RangeResult, error)
-	// Latest is a cheap check of whether a watch has missed something.
+	// Latest returns the state of a prefix without its values. It is a cheap way to
+	// check whether a watch has missed changes.
 	Latest(ctx context.Context, prefix string) (Latest, error)
+	// Swap is a compare-and-swap on one key.
 	Swap(ctx context.Context, swap Swap) (SwapResult, error)
-	// Watch delivers changes of the prefix after revision until ctx ends or
-	// the connection breaks; it returns why.
+	// Watch delivers changes of the prefix after revision until ctx ends or the
+	// connection breaks, and returns the cause.
 	Watch(ctx context.Context, prefix string, revision int64, deliver func(Batch)) error
+	// GrantLease returns the id of a new lease.
 	GrantLease(ctx context.Context, lifetime time.Duration) (int64, error)
+	// KeepLease renews a lease once. It fails if the lease no longer exists.
 	KeepLease(ctx context.Context, lease int64) error
+	// RevokeLease ends a lease and deletes its keys.
 	RevokeLease(ctx context.Context, lease int64) error
 }
--- a/internal/kv/pace.go
+++ b/internal/kv/pace.go
@@ -9,46 +9,46 @@
 	"golang.org/x/time/rate"
 )
 
-// Rates are what a service takes of all its callers together, in calls a second.
-// 0 is no bound.
+// Rates are limits on the calls per second of all processes together; 0 means no limit.
 type Rates struct {
 	Reads  float64
 	Writes float64
 }
 
-// Pace keeps one process to its part of a service's rates: all of them may start, or
-// come back after an outage, at the same moment.
+// Pace limits one process to its share of the Rates of a service, so that all processes
+// may start, or reconnect after an outage, at the same time. It is safe for concurrent use.
 type Pace struct {
 	rates Rates
 
 	mutex     sync.Mutex // guards all below
-	processes func() int // that call the service, as far as is known
+	processes func() int // number of processes known to call the service
 	reads     *rate.Limiter
 	writes    *rate.Limiter
 }
 
 const (
-	// fewestProcesses are assumed to call a service: a process that has just begun
-	// knows of no other.
-	fewestProcesses = 16
-	// burstTime of its part may be called at once.
-	burstTime = time.Second
+	// minProcesses is the lowest number of processes that a share is computed for, since
+	// a process that has just started does not know of the others.
+	minProcesses = 16
+	// burstPeriod is the time whose share of calls may be made in one burst.
+	burstPeriod = time.Second
 )
 
-// Paced gives a pace for a process that knows of no other yet.
+// Paced returns a Pace for a process that does not know of any others yet.
 func Paced(rates Rates) *Pace {
 	return &Pace{rates: rates, processes: func() int { return 1 }, reads: rate.NewLimiter(0, 1), writes: rate.NewLimiter(0, 1)}
 }
 
-// Among tells of how many processes this is one.
+// Among sets the function that returns the number of processes that share the rates,
+// including this one.
 func (p *Pace) Among(processes func() int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.processes = processes
 }
 
-// Wait lets one call through as soon as its turn is; ErrLimited when that would be
-// after ctx has ended.
+// Wait blocks until the limit permits one call. The error wraps ErrLimited if ctx ends, or
+// its deadline would pass, before that.
 func (p *Pace) Wait(ctx context.Context, write bool) error {
 	total, limiter := p.rates.Reads, p.reads
 	if write {
@@ -60,15 +60,15 @@
 	p.mutex.Lock()
 	part := Part(total, p.processes())
 	limiter.SetLimit(rate.Limit(part))
-	limiter.SetBurst(max(int(part*burstTime.Seconds()), 1))
+	limiter.SetBurst(max(int(part*burstPeriod.Seconds()), 1))
 	p.mutex.Unlock()
 	if err := limiter.Wait(ctx); err != nil {
-		return fmt.Errorf("%w: this process's part is %.2f calls a second: %w", ErrLimited, part, err)
+		return fmt.Errorf("%w: the share of this process is %.2f calls per second: %w", ErrLimited, part, err)
 	}
 	return nil
 }
 
-// Part is what one of so many processes may call a second.
+// Part returns the calls per second of one process out of the given number.
 func Part(total float64, processes int) float64 {
-	return total / float64(max(processes, fewestProcesses))
+	return total / float64(max(processes, minProcesses))
 }
--- a/internal/kv/pace_test.go
+++ b/internal/kv/pace_test.go
@@ -14,22 +14,22 @@
 		processes int
 		want      float64
 	}{
-		{"others are not known yet", 400, 1, 25},
+		{"no other process known", 400, 1, 25},
 		{"a small fleet", 400, 9, 25},
-		{"a large one", 400, 200, 2},
+		{"a large fleet", 400, 200, 2},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := Part(test.total, test.processes); got != test.want {
-				t.Errorf("%v calls a second, want %v", got, test.want)
+				t.Errorf("%v calls per second, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// TestAProcessKeepsToItsPart: with one call in 16 s, a second one within a second is
-// refused here and not at the service; reads do not use up writes.
-func TestAProcessKeepsToItsPart(t *testing.T) {
+// TestPaceLimitsReadsAndWritesSeparately allows one call in 16 s each, so that a second
+// call within a second is rejected before it reaches the service.
+func TestPaceLimitsReadsAndWritesSeparately(t *testing.T) {
 	pace := Paced(Rates{Reads: 1, Writes: 1})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestNoRateIsNoBound(t *testing.T) {
+func TestZeroRateIsUnlimited(t *testing.T) {
 	pace := Paced(Rates{})
 	for range 100 {
 		if err := pace.Wait(context.Background(), true); err != nil {
--- a/internal/kv/watch.go
+++ b/internal/kv/watch.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Watch streams changes after the revision.
+// Watch implements Service.
 func (e *Etcd) Watch(ctx context.Context, prefix string, revision int64, deliver func(Batch)) error {
 	if err := e.watch(ctx, prefix, revision, deliver); err != nil {
 		return fmt.Errorf("watch %s: %w", prefix, err)
@@ -24,8 +24,8 @@
 	if err != nil {
 		return err
 	}
-	// Without this an endpoint that takes the connection and says nothing would
-	// hold the watch for ever.
+	// Bounds the time until the first message, in case an endpoint accepts the connection
+	// but never responds.
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	timer := time.AfterFunc(e.timeout, func() { cancel(errors.New("the watch was not confirmed in time")) })
@@ -48,12 +48,12 @@
 	}
 }
 
-// deliverMessage passes events on. Only progress notices and events tell what
-// has been delivered; the message that confirms the watch does not, although
-// it carries the service's revision.
+// deliverMessage delivers the events of a message. The revision of the message that
+// confirms the watch is ignored: changes up to it may not have been delivered yet, unlike
+// those up to the revision of a progress notification.
 func deliverMessage(message WireWatchAnswer, deliver func(Batch)) error {
 	if message.Error != nil {
-		return fmt.Errorf("the service answered: %s", message.Error.Message)
+		return fmt.Errorf("the service responded with an error: %s", message.Error.Message)
 	}
 	result := message.Result
 	if result == nil {
@@ -63,7 +63,7 @@
 		return ErrCompacted
 	}
 	if result.Canceled {
-		return errors.New("the service cancelled the watch")
+		return errors.New("the service canceled the watch")
 	}
 	if result.Created && len(result.Events) == 0 {
 		return nil
--- a/internal/kv/wire.go
+++ b/internal/kv/wire.go
@@ -6,20 +6,20 @@
 	"strconv"
 )
 
-// The JSON bodies of the etcd v3 HTTP mapping: bytes are base64 (Go's []byte),
-// 64-bit integers are strings, and fields with the zero value may be missing.
+// This file has the JSON bodies of the etcd v3 HTTP mapping: bytes are base64, 64-bit
+// integers are strings, and fields with the zero value may be missing.
 // Source: etcd API reference v3.5 (rpc.proto and its grpc-gateway mapping).
 
-// Int64 is a 64-bit integer of the mapping: written as a string, read from a
-// string or a number.
+// Int64 is a 64-bit integer that is encoded as a JSON string and decoded from a string or
+// a number.
 type Int64 int64
 
-// MarshalJSON writes a string.
+// MarshalJSON implements json.Marshaler.
 func (i Int64) MarshalJSON() ([]byte, error) {
 	return []byte(`"` + strconv.FormatInt(int64(i), 10) + `"`), nil
 }
 
-// UnmarshalJSON reads a string, a number or null.
+// UnmarshalJSON implements json.Unmarshaler. An empty string and null decode as 0.
 func (i *Int64) UnmarshalJSON(raw []byte) error {
 	text := string(bytes.Trim(raw, `"`))
 	if text == "" || text == "null" {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// Paths of the mapping.
+// Paths of the etcd v3 API.
 const (
 	PathRange       = "/v3/kv/range"
 	PathTxn         = "/v3/kv/txn"
@@ -44,7 +44,7 @@
 	PathLeaseRevoke = "/v3/lease/revoke"
 )
 
-// WireHeader is the header of each answer.
+// WireHeader is the header of each response.
 type WireHeader struct {
 	Revision Int64 `json:"revision,omitempty"`
 }
@@ -68,20 +68,20 @@
 	SortTarget string `json:"sort_target,omitempty"` // MOD
 }
 
-// Values of a range's sort.
+// Values of SortOrder and SortTarget in WireRangeRequest.
 const (
 	WireSortDescend = "DESCEND"
 	WireSortMod     = "MOD"
 )
 
-// WireRangeAnswer answers a range.
+// WireRangeAnswer is the response to a range request.
 type WireRangeAnswer struct {
 	Header WireHeader `json:"header"`
 	Pairs  []WirePair `json:"kvs,omitempty"`
 	Count  Int64      `json:"count,omitempty"`
 }
 
-// Values of a compare.
+// Values of Result and Target in WireCompare.
 const (
 	WireCompareEqual = "EQUAL"
 	WireCompareMod   = "MOD"
@@ -121,12 +121,12 @@
 	Failure []WireOperation `json:"failure"`
 }
 
-// WireOperationAnswer answers one operation.
+// WireOperationAnswer is the response to one operation of a transaction.
 type WireOperationAnswer struct {
 	Range *WireRangeAnswer `json:"response_range,omitempty"`
 }
 
-// WireTxnAnswer answers a transaction.
+// WireTxnAnswer is the response to a transaction.
 type WireTxnAnswer struct {
 	Header    WireHeader            `json:"header"`
 	Succeeded bool                  `json:"succeeded,omitempty"`
@@ -138,7 +138,7 @@
 	Create WireWatchCreate `json:"create_request"`
 }
 
-// WireWatchCreate says what to watch.
+// WireWatchCreate selects the keys and the first revision to watch.
 type WireWatchCreate struct {
 	Key            []byte `json:"key"`
 	RangeEnd       []byte `json:"range_end,omitempty"`
@@ -152,7 +152,7 @@
 	Error  *WireError       `json:"error,omitempty"`
 }
 
-// WireWatchResult carries events.
+// WireWatchResult holds the events or the state of a watch.
 type WireWatchResult struct {
 	Header          WireHeader  `json:"header"`
 	Created         bool        `json:"created,omitempty"`
@@ -170,30 +170,33 @@
 // WireEventDelete is the Type of a deletion.
 const WireEventDelete = "DELETE"
 
-// WireError is the body of an error answer.
+// WireError is the body of an error response.
 type WireError struct {
 	Code    int    `json:"code,omitempty"`
 	HTTP    int    `json:"http_code,omitempty"`
 	Message string `json:"message"`
 }
 
-// WireLeaseGrant asks for a lease (TTL in seconds) and answers with its ID.
+// WireLeaseGrant is the request for a lease, with the TTL in seconds, and the response,
+// which adds the ID.
 type WireLeaseGrant struct {
 	TTL Int64 `json:"TTL,omitempty"`
 	ID  Int64 `json:"ID,omitempty"`
 }
 
-// WireLease names a lease.
+// WireLease identifies a lease.
 type WireLease struct {
 	ID Int64 `json:"ID"`
 }
 
-// WireLeaseKeepAnswer is one message of a keepalive stream; TTL 0: it is gone.
+// WireLeaseKeepAnswer is one message of a keep-alive stream. A TTL of 0 means that the
+// lease does not exist.
 type WireLeaseKeepAnswer struct {
 	Result WireLeaseGrant `json:"result"`
 }
 
-// PrefixEnd is the first key after all that start with prefix.
+// PrefixEnd returns the first key after all keys that start with prefix, as the end of an
+// etcd range. If there is none, it returns the zero byte, which etcd takes as unbounded.
 func PrefixEnd(prefix []byte) []byte {
 	end := append([]byte(nil), prefix...)
 	for i := len(end) - 1; i >= 0; i-- {
