--- a/internal/transport/body.go
+++ b/internal/transport/body.go
@@ -12,34 +12,35 @@
 )
 
 const (
-	firstBodyBytes = 4 << 10
-	// requestBytes is charged for each request besides its body: its
-	// goroutines, its header and the buffers of its connections.
-	requestBytes     = 16 << 10
-	budgetRetryAfter = time.Second
+	initialBodyBytes = 4 << 10
+	// requestOverheadBytes is charged for each request in addition to its body: for its
+	// goroutines, headers and connection buffers.
+	requestOverheadBytes = 16 << 10
+	budgetRetryAfter     = time.Second
 )
 
-// BodyBudget bounds the bytes of request bodies that a process holds at once,
-// and how long one caller may take to send its body.
+// BodyBudget limits the memory for request bodies in a process, the size of each body and
+// the time to receive it. It is safe for concurrent use; the exported fields must be set
+// before first use.
 type BodyBudget struct {
-	Total   int64         // bytes held by all requests
-	Each    int64         // bytes of one body
-	Timeout time.Duration // for a whole body
-	held    atomic.Int64
+	Total   int64         // maximum bytes in use by all requests
+	Each    int64         // maximum bytes of one body
+	Timeout time.Duration // for receiving a whole body
+	inUse   atomic.Int64
 }
 
-// Held is the number of bytes held now.
-func (b *BodyBudget) Held() int64 { return b.held.Load() }
+// Held returns the number of bytes in use.
+func (b *BodyBudget) Held() int64 { return b.inUse.Load() }
 
-// Read takes a body whole. release gives its bytes back to the budget and must
-// be called once the body is no longer used, also after a failure. Space is
-// taken as bytes come, so that a caller holds no more than it sent, twice.
+// Read reads a whole body. The caller must call release once the body is no longer used,
+// also after a failure. Memory is reserved as data arrives, so that a caller cannot
+// reserve far more than it has sent.
 func (b *BodyBudget) Read(w http.ResponseWriter, r *http.Request, step string) (body []byte, release func(), failure *api.Error) {
-	reserved := int64(requestBytes)
-	release = func() { b.held.Add(-reserved) }
+	reserved := int64(requestOverheadBytes)
+	release = func() { b.inUse.Add(-reserved) }
 	if !b.reserve(reserved) {
 		reserved = 0
-		return nil, release, b.full(step)
+		return nil, release, b.exhausted(step)
 	}
 	if r.ContentLength > b.Each {
 		return nil, release, api.NewError(step, "", api.CodeTooLarge, api.OutcomeNotRun, "body of %d bytes is over %d", r.ContentLength, b.Each)
@@ -48,8 +49,8 @@
 	_ = controller.SetReadDeadline(time.Now().Add(b.Timeout))
 	defer func() {
 		if failure != nil {
-			// The rest of the body stays unread. The deadline stays too, since
-			// the server may wait for that rest before it lets the caller go.
+			// Keeps the read deadline, since the server may drain the unread rest of
+			// the body before it closes the connection.
 			w.Header().Set("Connection", "close")
 			return
 		}
@@ -58,12 +59,12 @@
 	reader := http.MaxBytesReader(w, r.Body, b.Each)
 	for {
 		if len(body) == cap(body) {
-			next := max(2*int64(cap(body)), min(max(r.ContentLength+1, 1), firstBodyBytes))
+			next := max(2*int64(cap(body)), min(max(r.ContentLength+1, 1), initialBodyBytes))
 			if r.ContentLength >= 0 {
-				next = min(next, r.ContentLength+1) // one more, to meet the end without growing
+				next = min(next, r.ContentLength+1) // one more byte to read EOF without growing
 			}
 			if !b.reserve(next) {
-				return nil, release, b.full(step)
+				return nil, release, b.exhausted(step)
 			}
 			reserved += next
 			grown := make([]byte, len(body), next)
@@ -76,26 +77,26 @@
 			return body, release, nil
 		}
 		if err != nil {
-			return nil, release, bodyFailure(step, err)
+			return nil, release, bodyReadError(step, err)
 		}
 	}
 }
 
 func (b *BodyBudget) reserve(bytes int64) bool {
-	if b.held.Add(bytes) <= b.Total {
+	if b.inUse.Add(bytes) <= b.Total {
 		return true
 	}
-	b.held.Add(-bytes)
+	b.inUse.Add(-bytes)
 	return false
 }
 
-func (b *BodyBudget) full(step string) *api.Error {
+func (b *BodyBudget) exhausted(step string) *api.Error {
 	failure := api.NewError(step, "", api.CodeOverloaded, api.OutcomeNotRun, "bodies of %d bytes are held already", b.Held())
 	failure.RetryAfter = budgetRetryAfter
 	return failure
 }
 
-func bodyFailure(step string, err error) *api.Error {
+func bodyReadError(step string, err error) *api.Error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return api.NewError(step, "", api.CodeRequestTimeout, api.OutcomeNotRun, "the body did not come in time")
 	}
--- a/internal/transport/body_test.go
+++ b/internal/transport/body_test.go
@@ -18,16 +18,16 @@
 		name   string
 		budget *BodyBudget
 		body   string
-		length int64 // as announced; -1 for chunks
+		length int64 // Content-Length; -1 if chunked
 		code   api.ErrorCode
 	}{
 		{"fits", &BodyBudget{Total: 1 << 20, Each: 1 << 10}, "body", 4, ""},
-		{"fits in chunks", &BodyBudget{Total: 1 << 20, Each: 1 << 14}, strings.Repeat("b", 1<<14), -1, ""},
+		{"fits, chunked", &BodyBudget{Total: 1 << 20, Each: 1 << 14}, strings.Repeat("b", 1<<14), -1, ""},
 		{"empty", &BodyBudget{Total: 1 << 20, Each: 1 << 10}, "", 0, ""},
-		{"announced too large", &BodyBudget{Total: 1 << 20, Each: 10}, strings.Repeat("b", 11), 11, api.CodeTooLarge},
-		{"too large in chunks", &BodyBudget{Total: 1 << 20, Each: 10}, strings.Repeat("b", 11), -1, api.CodeTooLarge},
+		{"Content-Length too large", &BodyBudget{Total: 1 << 20, Each: 10}, strings.Repeat("b", 11), 11, api.CodeTooLarge},
+		{"too large, chunked", &BodyBudget{Total: 1 << 20, Each: 10}, strings.Repeat("b", 11), -1, api.CodeTooLarge},
 		{"no budget for the request", &BodyBudget{Total: 10, Each: 10}, "b", 1, api.CodeOverloaded},
-		{"no budget for the body", &BodyBudget{Total: requestBytes + 1000, Each: 1 << 20}, strings.Repeat("b", 5000), -1, api.CodeOverloaded},
+		{"no budget for the body", &BodyBudget{Total: requestOverheadBytes + 1000, Each: 1 << 20}, strings.Repeat("b", 5000), -1, api.CodeOverloaded},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -42,26 +42,26 @@
 				t.Fatalf("%d bytes of %d", len(body), len(c.body))
 			}
 			if failure != nil && failure.Outcome != api.OutcomeNotRun {
-				t.Fatalf("outcome %s of a body that was refused", failure.Outcome)
+				t.Fatalf("outcome %s of a rejected body", failure.Outcome)
 			}
 			if c.code == api.CodeOverloaded && failure.RetryAfter == 0 {
 				t.Fatal("no Retry-After")
 			}
 			release()
 			if held := c.budget.Held(); held != 0 {
-				t.Fatalf("%d bytes are held after release", held)
+				t.Fatalf("%d bytes are in use after release", held)
 			}
 		})
 	}
 }
 
-func TestSlowCallerIsRefused(t *testing.T) {
+func TestSlowBodyTimesOut(t *testing.T) {
 	budget := &BodyBudget{Total: 1 << 20, Each: 1 << 10, Timeout: 50 * time.Millisecond}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, release, failure := budget.Read(w, r, "read")
 		defer release()
 		if failure == nil {
-			t.Error("a body that never ends was read")
+			t.Error("an incomplete body was read")
 			return
 		}
 		WriteError(w, failure)
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestGuardAnswersPanics(t *testing.T) {
+func TestGuardRecoversFromPanics(t *testing.T) {
 	reports := make(chan any, 2)
 	server := httptest.NewServer(Guard(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/begun" {
@@ -104,7 +104,7 @@
 		response.Body.Close()
 	}
 	if err == nil {
-		t.Fatal("an answer cut by a panic was whole")
+		t.Fatal("a response aborted by a panic was complete")
 	}
 	if len(reports) != 2 {
 		t.Fatalf("%d of 2 panics were reported", len(reports))
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -12,51 +12,52 @@
 const (
 	dialTimeout            = 2 * time.Second
 	keepAlivePeriod        = 15 * time.Second
-	idleConnectionLifetime = 90 * time.Second
-	maximumResponseHeader  = 64 << 10
+	idleConnectionTimeout  = 90 * time.Second
+	maxResponseHeaderBytes = 64 << 10
 )
 
-// errForbidden answers writes on a connection whose request was given up.
-var errForbidden = errors.New("connection was given up")
+// errWritesBlocked is returned for writes after countingConn.blockWrites.
+var errWritesBlocked = errors.New("write after the request was abandoned")
 
-// NewClient gives a client with a connection pool of its own; callers use one
-// client for each class of traffic, so that none waits for another's. It
-// follows no redirect: a back end names no other place to send a request to.
+// NewClient returns a client with its own connection pool, which keeps up to
+// connectionsPerHost idle connections to each host. Callers use one client for each class
+// of traffic, so that classes do not wait for each other. It does not follow redirects.
 func NewClient(connectionsPerHost int) *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlivePeriod}
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext:            countingDial(dialer),
 			MaxIdleConnsPerHost:    connectionsPerHost,
-			IdleConnTimeout:        idleConnectionLifetime,
-			MaxResponseHeaderBytes: maximumResponseHeader,
+			IdleConnTimeout:        idleConnectionTimeout,
+			MaxResponseHeaderBytes: maxResponseHeaderBytes,
 			DisableCompression:     true,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
-// Options of a client whose peers may fall silent at any moment.
+// Options configure NewProbingClient.
 type Options struct {
-	ConnectionsPerHost int           // kept idle
-	DialTimeout        time.Duration // until a connection is up
-	IdleLifetime       time.Duration // of a connection without a request
-	// SilenceLimit is about how long a peer may not answer the probes of the
-	// network before a connection counts as broken.
+	ConnectionsPerHost int           // maximum idle connections
+	DialTimeout        time.Duration // for opening a connection
+	IdleLifetime       time.Duration // after which an idle connection is closed
+	// SilenceLimit is the approximate time without replies to TCP keep-alive probes after
+	// which a connection is closed.
 	SilenceLimit time.Duration
-	// Compressed: answers may come compressed; they are read as if they had not.
+	// Compressed accepts responses with gzip encoding and decodes them transparently.
 	Compressed bool
 }
 
-// probes of a silent connection before it is given up.
-const probes = 3
+// keepAliveProbes is the number of unanswered TCP keep-alive probes before a connection is
+// closed.
+const keepAliveProbes = 3
 
-// NewProbingClient gives a client that finds out by probes that a peer is gone.
+// NewProbingClient returns a client that detects dead peers by TCP keep-alive probes.
 func NewProbingClient(options Options) *http.Client {
 	client := NewClient(options.ConnectionsPerHost)
-	interval := options.SilenceLimit / (probes + 1)
+	interval := options.SilenceLimit / (keepAliveProbes + 1)
 	dialer := &net.Dialer{Timeout: options.DialTimeout, KeepAliveConfig: net.KeepAliveConfig{
-		Enable: true, Idle: interval, Interval: interval, Count: probes,
+		Enable: true, Idle: interval, Interval: interval, Count: keepAliveProbes,
 	}}
 	pool := client.Transport.(*http.Transport)
 	pool.DialContext = countingDial(dialer)
@@ -75,33 +76,32 @@
 	}
 }
 
-// countingConn counts the bytes that were handed to the kernel or may have
-// been. Invariant: once forbid has returned, the count does not grow by a write
-// that leaves.
+// countingConn counts the bytes that may have been passed to the kernel. After blockWrites
+// has returned, only writes that attempted already includes can reach the network.
 type countingConn struct {
 	net.Conn
-	attempted atomic.Int64
-	forbidden atomic.Bool
-	meter     *meter // nil: nobody asks for the count by kind
+	attempted     atomic.Int64
+	writesBlocked atomic.Bool
+	meter         *connMeter // nil if traffic is not counted by kind
 }
 
-// Write counts before it writes, so that the count is never too low.
+// Write counts before it writes, so that attempted is never too low.
 func (c *countingConn) Write(data []byte) (int, error) {
 	c.attempted.Add(int64(len(data)))
-	if c.forbidden.Load() {
-		return 0, errForbidden
+	if c.writesBlocked.Load() {
+		return 0, errWritesBlocked
 	}
 	n, err := c.Conn.Write(data)
 	c.meter.sent(n)
 	return n, err
 }
 
-// Read counts what has come.
+// Read reads from the connection and counts the bytes received.
 func (c *countingConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	c.meter.received(n)
 	return n, err
 }
 
-// forbid refuses every later write.
-func (c *countingConn) forbid() { c.forbidden.Store(true) }
+// blockWrites makes later writes fail.
+func (c *countingConn) blockWrites() { c.writesBlocked.Store(true) }
--- a/internal/transport/compressed.go
+++ b/internal/transport/compressed.go
@@ -9,28 +9,28 @@
 	"sync"
 )
 
-// leastCompressedBytes of an answer are worth compressing: below, headers are most of it.
-const leastCompressedBytes = 1 << 10
+// minCompressBytes is the response size below which compression saves too little.
+const minCompressBytes = 1 << 10
 
 var gzipWriters = sync.Pool{New: func() any {
 	writer, err := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed)
 	if err != nil {
-		panic(err) // only for a level that does not exist
+		panic(err) // the level is invalid
 	}
 	return writer
 }}
 
-// WriteCompactJSON is WriteJSON for answers that may be large: compressed where the caller
-// says that it reads that, as one with Options.Compressed does.
+// WriteCompactJSON is like WriteJSON for responses that may be large: it compresses them
+// if the request accepts gzip, as those of clients with Options.Compressed do.
 func WriteCompactJSON(w http.ResponseWriter, r *http.Request, status int, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
-		// As with WriteJSON the status goes out; the caller finds no JSON and fails.
+		// As in WriteJSON, the caller fails to decode the empty body.
 		w.WriteHeader(status)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	if len(body) < leastCompressedBytes || !strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
+	if len(body) < minCompressBytes || !strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
 		w.WriteHeader(status)
 		_, _ = w.Write(body)
 		return
@@ -40,6 +40,6 @@
 	writer := gzipWriters.Get().(*gzip.Writer)
 	defer gzipWriters.Put(writer)
 	writer.Reset(w)
-	_, _ = writer.Write(body) // as with WriteJSON: a caller that is gone needs no answer
+	_, _ = writer.Write(body) // as in WriteJSON: fails only if the caller is gone
 	_ = writer.Close()
 }
--- a/internal/transport/compressed_test.go
+++ b/internal/transport/compressed_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-func TestALargeAnswerIsCompressedForWhoReadsIt(t *testing.T) {
+func TestLargeResponseIsCompressedIfAccepted(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		bytes      int
-		compressed bool // the caller reads compressed answers
+		compressed bool // the client accepts gzip
 		want       bool
 	}{
-		{"a page", 20_000, true, true},
-		{"a small answer", 100, true, false},
-		{"an older caller", 20_000, false, false},
+		{"large response", 20_000, true, true},
+		{"small response", 100, true, false},
+		{"gzip not accepted", 20_000, false, false},
 	} {
 		text := strings.Repeat("monthly payments rise ", test.bytes/22+1)[:test.bytes]
 		encoding := ""
--- a/internal/transport/guard.go
+++ b/internal/transport/guard.go
@@ -8,9 +8,10 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Guard answers a panic of the handler with 500 and outcome unknown, or cuts
-// the connection when an answer has begun. report gets the panic and its stack.
-// http.ErrAbortHandler passes: it cuts the connection by intent.
+// Guard recovers from panics of the handler. It responds with status 500 and outcome
+// unknown, or aborts the connection if the response has started. report is called with the
+// panic and its stack. It passes on http.ErrAbortHandler, which aborts the connection
+// deliberately.
 func Guard(handler http.Handler, report func(cause any, stack []byte)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		guarded := &guardedWriter{ResponseWriter: w}
@@ -23,7 +24,7 @@
 				panic(cause)
 			}
 			report(cause, debug.Stack())
-			if guarded.began {
+			if guarded.started {
 				panic(http.ErrAbortHandler)
 			}
 			WriteError(w, api.NewError("handle request", "", api.CodeInternal, api.OutcomeUnknown, "%w", panicError{cause}))
@@ -34,26 +35,26 @@
 
 type panicError struct{ cause any }
 
-// Error names no detail of the process: the log has the stack.
+// Error omits the value of the panic, which must not be sent to callers.
 func (e panicError) Error() string { return fmt.Sprintf("panic of type %T", e.cause) }
 
-// guardedWriter notes whether an answer has begun.
+// guardedWriter records whether the response has started.
 type guardedWriter struct {
 	http.ResponseWriter
-	began bool
+	started bool
 }
 
-// WriteHeader begins the answer.
+// WriteHeader implements http.ResponseWriter.
 func (w *guardedWriter) WriteHeader(status int) {
-	w.began = true
+	w.started = true
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Write begins the answer.
+// Write implements http.ResponseWriter.
 func (w *guardedWriter) Write(data []byte) (int, error) {
-	w.began = true
+	w.started = true
 	return w.ResponseWriter.Write(data)
 }
 
-// Unwrap lets http.ResponseController reach the connection.
+// Unwrap returns the underlying writer for http.ResponseController.
 func (w *guardedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/internal/transport/send.go
+++ b/internal/transport/send.go
@@ -11,32 +11,32 @@
 	"github.com/dykewing/dykewing/retry"
 )
 
-// replayHeaders make net/http take a POST for idempotent, so that it may send
-// it a second time by itself. They never leave a process under these names.
-var replayHeaders = []string{api.HeaderIdempotencyKey, "X-Idempotency-Key"}
+// idempotencyHeaders make net/http treat a POST as idempotent and retry it. Send removes
+// them.
+var idempotencyHeaders = []string{api.HeaderIdempotencyKey, "X-Idempotency-Key"}
 
-// Send sends the request at most once and gives the answer when its header is
-// there. net/http resends a request on a reused connection that broke when it
-// can rewind the body or when a header calls the request idempotent; both are
-// taken away here, since only package retry may decide to send again. A
-// failure says whether any byte of the request can have left.
+// Send sends the request at most once and returns the response once its header has
+// arrived. net/http retries a request on a broken reused connection if GetBody is set or a
+// header marks it as idempotent. Send removes both from the request, since only package
+// retry decides about retries. The outcome of the error says whether any byte of the
+// request may have been sent.
 func Send(client *http.Client, request *http.Request, step, peer string) (*http.Response, *api.Error) {
 	request.GetBody = nil
-	for _, name := range replayHeaders {
+	for _, name := range idempotencyHeaders {
 		request.Header.Del(name)
 	}
-	var watch sendWatch
+	var watch connTrace
 	trace := &httptrace.ClientTrace{GotConn: watch.gotConn}
 	request = request.WithContext(httptrace.WithClientTrace(request.Context(), trace))
 	response, err := roundTrip(client, request)
 	if err != nil {
-		return nil, sendFailure(step, peer, err, watch.evidence())
+		return nil, sendFailure(step, peer, err, watch.progress())
 	}
 	return response, nil
 }
 
-// roundTrip leaves out what http.Client adds for redirects and cookies, which
-// are not used here and cost a copy of the header.
+// roundTrip bypasses http.Client, whose handling of redirects and cookies is not needed and
+// copies the header.
 func roundTrip(client *http.Client, request *http.Request) (*http.Response, error) {
 	if client.Transport == nil || client.Timeout != 0 {
 		return client.Do(request)
@@ -44,45 +44,46 @@
 	return client.Transport.RoundTrip(request)
 }
 
-// sendWatch follows the connections that one request was given.
-type sendWatch struct {
-	mutex  sync.Mutex
-	conns  []*countingConn
-	before []int64
-	blind  bool // a connection whose bytes are not counted
+// connTrace records the connections that a request was assigned.
+type connTrace struct {
+	mutex     sync.Mutex
+	conns     []*countingConn
+	baseline  []int64 // bytes attempted on each connection before the request
+	untracked bool    // a connection does not count bytes
 }
 
-func (w *sendWatch) gotConn(info httptrace.GotConnInfo) {
+func (w *connTrace) gotConn(info httptrace.GotConnInfo) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	conn, ok := info.Conn.(*countingConn)
 	if !ok {
-		w.blind = true
+		w.untracked = true
 		return
 	}
 	w.conns = append(w.conns, conn)
-	w.before = append(w.before, conn.attempted.Load())
+	w.baseline = append(w.baseline, conn.attempted.Load())
 }
 
-// evidence ends the request's connections and reads whether a byte left.
-func (w *sendWatch) evidence() retry.Evidence {
+// progress blocks further writes on the request's connections and reports whether any byte
+// may have been sent.
+func (w *connTrace) progress() retry.Evidence {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	evidence := retry.Evidence{Connected: w.blind || len(w.conns) > 0, BytesLeft: w.blind}
+	progress := retry.Evidence{Connected: w.untracked || len(w.conns) > 0, BytesLeft: w.untracked}
 	for i, conn := range w.conns {
-		conn.forbid()
-		if conn.attempted.Load() != w.before[i] {
-			evidence.BytesLeft = true
+		conn.blockWrites()
+		if conn.attempted.Load() != w.baseline[i] {
+			progress.BytesLeft = true
 		}
 	}
-	return evidence
+	return progress
 }
 
-func sendFailure(step, peer string, err error, evidence retry.Evidence) *api.Error {
-	return &api.Error{Step: step, Peer: peer, Code: codeOf(err), Outcome: retry.OutcomeOf(evidence), Err: err}
+func sendFailure(step, peer string, err error, progress retry.Evidence) *api.Error {
+	return &api.Error{Step: step, Peer: peer, Code: errorCode(err), Outcome: retry.OutcomeOf(progress), Err: err}
 }
 
-func codeOf(err error) api.ErrorCode {
+func errorCode(err error) api.ErrorCode {
 	switch {
 	case errors.Is(err, context.DeadlineExceeded):
 		return api.CodeDeadline
--- a/internal/transport/send_test.go
+++ b/internal/transport/send_test.go
@@ -14,9 +14,9 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// closingServer answers the first request of each connection and closes the
-// connection unanswered once a second one has come on it, as a server does
-// whose idle timeout meets a new request.
+// closingServer responds to the first request of each connection and closes the connection
+// without a response to the second, like a server whose idle timeout coincides with a new
+// request.
 type closingServer struct {
 	listener net.Listener
 	requests atomic.Int64
@@ -86,7 +86,7 @@
 			discard(response)
 			_, failure = Send(client, server.request(t, body), "send", "peer")
 			if failure == nil || failure.Outcome != api.OutcomeUnknown {
-				t.Fatalf("a request cut off after it was sent gave %v, not unknown", failure)
+				t.Fatalf("got %v for a request that was interrupted after it was sent, want outcome unknown", failure)
 			}
 			if got := server.requests.Load(); got != 2 {
 				t.Fatalf("%d requests arrived of 2 sent", got)
@@ -95,8 +95,8 @@
 	}
 }
 
-// TestPlainClientSendsTwice shows that the check above can fail: without Send,
-// net/http does send a request with an idempotency key a second time.
+// TestPlainClientSendsTwice checks the premise of TestSendNeverSendsTwice: without Send,
+// net/http retries a request with an idempotency key.
 func TestPlainClientSendsTwice(t *testing.T) {
 	server := newClosingServer(t)
 	client := NewClient(2)
@@ -108,11 +108,11 @@
 		discard(response)
 	}
 	if got := server.requests.Load(); got != 3 {
-		t.Fatalf("%d requests arrived: net/http no longer resends, and this guard is not needed", got)
+		t.Fatalf("%d requests arrived, want 3: net/http no longer retries, so that Send is not needed", got)
 	}
 }
 
-func TestSendTellsWhatCannotHaveRun(t *testing.T) {
+func TestSendToClosedPortIsNotRun(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -122,14 +122,13 @@
 	request, _ := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+address, bytes.NewReader([]byte("x")))
 	_, failure := Send(NewClient(1), request, "send", address)
 	if failure == nil || failure.Outcome != api.OutcomeNotRun {
-		t.Fatalf("a refused connection gave %v, not not_run", failure)
+		t.Fatalf("got %v for a refused connection, want outcome not_run", failure)
 	}
 }
 
-// TestSendSeesNothingWritten has the server close an idle connection before the
-// next request: whatever net/http makes of it, not run is said only when no
-// request arrived.
-func TestSendSeesNothingWritten(t *testing.T) {
+// TestSendIsNotRunOnlyIfNothingArrived checks that whatever net/http does about a
+// connection that the server closes, the outcome is not run only if no request arrived.
+func TestSendIsNotRunOnlyIfNothingArrived(t *testing.T) {
 	server := newClosingServer(t)
 	client := NewClient(1)
 	for range 50 {
@@ -140,26 +139,26 @@
 			continue
 		}
 		if failure.Outcome == api.OutcomeNotRun && server.requests.Load() != before {
-			t.Fatal("not run was said of a request that arrived")
+			t.Fatal("outcome not_run for a request that arrived")
 		}
 	}
 }
 
-func TestForbiddenConnectionWritesNothing(t *testing.T) {
+func TestBlockedConnectionWritesNothing(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	conn := &countingConn{Conn: near}
-	var watch sendWatch
-	watch.conns, watch.before = []*countingConn{conn}, []int64{0}
-	if evidence := watch.evidence(); evidence.BytesLeft || !evidence.Connected {
-		t.Fatalf("evidence %+v of a connection without a write", evidence)
+	var watch connTrace
+	watch.conns, watch.baseline = []*countingConn{conn}, []int64{0}
+	if progress := watch.progress(); progress.BytesLeft || !progress.Connected {
+		t.Fatalf("got %+v for a connection without a write", progress)
 	}
 	if _, err := conn.Write([]byte("late")); err == nil {
-		t.Fatal("a late write left after not run was said")
+		t.Fatal("a write succeeded after blockWrites")
 	}
 }
 
-func TestCancelledSendIsUnknown(t *testing.T) {
+func TestCanceledSendIsUnknown(t *testing.T) {
 	arrived := make(chan struct{})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -179,6 +178,6 @@
 	request, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+listener.Addr().String(), http.NoBody)
 	_, failure := Send(NewClient(1), request, "send", "peer")
 	if failure == nil || failure.Outcome != api.OutcomeUnknown || failure.Code != api.CodeClientCancelled {
-		t.Fatalf("a cancelled request gave %v", failure)
+		t.Fatalf("got %v for a canceled request", failure)
 	}
 }
--- a/internal/transport/traffic.go
+++ b/internal/transport/traffic.go
@@ -10,76 +10,78 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Kind names what a client's connections carry.
+// Kind is a class of traffic, a label of the metrics.
 type Kind string
 
-// The kinds of connections that are counted.
+// Kinds of traffic.
 const (
 	KindLog     Kind = "log"     // between replicas of a group
 	KindJobs    Kind = "jobs"    // commands to and reads from leaders of groups
-	KindWorkers Kind = "workers" // requests and items to workers, and their answers
-	KindPlaces  Kind = "places"  // questions for places at workers
+	KindWorkers Kind = "workers" // requests and batch items to workers
+	KindPlaces  Kind = "places"  // requests for slot reservations at workers
 	KindControl Kind = "control" // configuration, origins, identities
 	KindGossip  Kind = "gossip"  // heartbeats
 )
 
-// Crossing tells whether a connection leaves this process's zone.
+// Crossing says whether a connection crosses the boundary of this process's zone.
 type Crossing string
 
-// The crossings.
+// Values of Crossing.
 const (
 	CrossingNone    Crossing = "none"    // the peer is in this zone
-	CrossingZones   Crossing = "zones"   // the peer is in another
-	CrossingUnknown Crossing = "unknown" // nobody has told where the peer is
+	CrossingZones   Crossing = "zones"   // the peer is in another zone
+	CrossingUnknown Crossing = "unknown" // the zone of the peer or of this process is unknown
 )
 
-// Directions of bytes.
+// Values of the direction label.
 const (
 	directionSent     = "sent"
 	directionReceived = "received"
 )
 
-// Names of the counters among a process's metrics.
+// Names of the metrics.
 const (
 	TrafficName     = "dykewing_traffic_bytes_total"
 	ConnectionsName = "dykewing_traffic_connections_total"
 )
 
-// Traffic counts the bytes of the connections that a process opens, with their headers,
-// by kind, direction and whether they cross zones. A byte between two own processes is
-// counted once, by the one that opened the connection. It is a prometheus.Collector with
-// at most kinds x crossings x directions series, and one a kind of the connections.
+// Traffic counts the bytes, including headers, of the connections that a process opens, by
+// kind, direction and crossing. Traffic between two dykewing processes is counted once, by
+// the process that opened the connection. Traffic is a prometheus.Collector with at most
+// kinds x crossings x directions series of bytes and one series of connections per kind.
+// It is safe for concurrent use.
 type Traffic struct {
 	zone   string // of this process
 	zoneOf func(address string) (zone string, known bool)
 
 	mutex  sync.Mutex // guards counts
-	counts map[Kind]map[Crossing]*flow
+	counts map[Kind]map[Crossing]*byteCounters
 	dials  map[Kind]*atomic.Int64
 	bytes  *prometheus.Desc
 	opened *prometheus.Desc
 }
 
-type flow struct{ sent, received atomic.Int64 }
+type byteCounters struct{ sent, received atomic.Int64 }
 
-// NewTraffic gives a count for a process of a zone; zoneOf tells where own processes are.
-// A process that knows no zone of its own takes every peer's for unknown.
+// NewTraffic returns the counts of a process in the zone; zoneOf, which may be nil, returns
+// the zone of a dykewing process by its address. If zone is empty, every crossing is
+// CrossingUnknown.
 func NewTraffic(zone string, zoneOf func(address string) (zone string, known bool)) *Traffic {
 	return &Traffic{
-		zone: zone, zoneOf: zoneOf, counts: map[Kind]map[Crossing]*flow{}, dials: map[Kind]*atomic.Int64{},
+		zone: zone, zoneOf: zoneOf, counts: map[Kind]map[Crossing]*byteCounters{}, dials: map[Kind]*atomic.Int64{},
 		opened: prometheus.NewDesc(ConnectionsName, "Connections that this process opened, by kind.", []string{"kind"}, nil),
 		bytes: prometheus.NewDesc(TrafficName, "Bytes of connections that this process opened, by kind, direction and crossing of zones.",
 			[]string{"kind", "direction", "crossing"}, nil),
 	}
 }
 
-// Describe is prometheus.Collector's.
+// Describe implements prometheus.Collector.
 func (t *Traffic) Describe(descriptions chan<- *prometheus.Desc) {
 	descriptions <- t.bytes
 	descriptions <- t.opened
 }
 
-// Collect is prometheus.Collector's.
+// Collect implements prometheus.Collector.
 func (t *Traffic) Collect(metrics chan<- prometheus.Metric) {
 	t.each(func(kind Kind, crossing Crossing, sent, received int64) {
 		metrics <- prometheus.MustNewConstMetric(t.bytes, prometheus.CounterValue, float64(sent), string(kind), directionSent, string(crossing))
@@ -92,7 +94,7 @@
 	}
 }
 
-// Crossed gives, by kind, the bytes that crossed zones so far in both directions.
+// Crossed returns the total cross-zone bytes in both directions by kind.
 func (t *Traffic) Crossed() map[Kind]int64 {
 	crossed := map[Kind]int64{}
 	t.each(func(kind Kind, crossing Crossing, sent, received int64) {
@@ -113,20 +115,20 @@
 	}
 }
 
-func (t *Traffic) flow(kind Kind, crossing Crossing) *flow {
+func (t *Traffic) counters(kind Kind, crossing Crossing) *byteCounters {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.counts[kind] == nil {
-		t.counts[kind] = map[Crossing]*flow{}
+		t.counts[kind] = map[Crossing]*byteCounters{}
 	}
 	if t.counts[kind][crossing] == nil {
-		t.counts[kind][crossing] = &flow{}
+		t.counts[kind][crossing] = &byteCounters{}
 	}
 	return t.counts[kind][crossing]
 }
 
-// dialsOf counts the connections of a kind.
-func (t *Traffic) dialsOf(kind Kind) *atomic.Int64 {
+// dialCounter returns the counter of connections of a kind.
+func (t *Traffic) dialCounter(kind Kind) *atomic.Int64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.dials[kind] == nil {
@@ -135,8 +137,9 @@
 	return t.dials[kind]
 }
 
-// crossing is what is known of a peer; zone is what the caller knows, or empty.
-func (t *Traffic) crossing(address, zone string) Crossing {
+// classify returns the crossing of connections to a peer. If zone is empty, it looks up the
+// zone by the address.
+func (t *Traffic) classify(address, zone string) Crossing {
 	if zone == "" && t.zoneOf != nil {
 		zone, _ = t.zoneOf(address)
 	}
@@ -151,8 +154,8 @@
 
 type peerZoneKey struct{}
 
-// WithPeerZone says in which zone the peer of a request is, for peers that are no own
-// processes.
+// WithPeerZone returns a context that sets the zone of a request's peer, for peers that
+// are not dykewing processes, such as workers.
 func WithPeerZone(ctx context.Context, zone string) context.Context {
 	if zone == "" {
 		return ctx
@@ -160,55 +163,56 @@
 	return context.WithValue(ctx, peerZoneKey{}, zone)
 }
 
-// Count lets the client's connections from now on be counted and gives the client. A nil
-// Traffic counts nothing.
+// Count instruments connections that the client opens from now on and returns the client.
+// It does nothing if t is nil or if the client's transport is not an *http.Transport. It
+// must be called before the client is used.
 func (t *Traffic) Count(client *http.Client, kind Kind) *http.Client {
 	pool, ok := client.Transport.(*http.Transport)
 	if t == nil || !ok {
 		return client
 	}
-	dial, dials := pool.DialContext, t.dialsOf(kind)
+	dial, dials := pool.DialContext, t.dialCounter(kind)
 	pool.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if counted, ok := conn.(*countingConn); ok && err == nil {
 			dials.Add(1)
 			zone, _ := ctx.Value(peerZoneKey{}).(string)
-			counted.meter = &meter{traffic: t, kind: kind, address: address, zone: zone}
+			counted.meter = &connMeter{traffic: t, kind: kind, address: address, zone: zone}
 		}
 		return conn, err
 	}
 	return client
 }
 
-// meter counts one connection. Where its peer is may be told after it was opened, so it is
-// asked again until it is known.
-type meter struct {
+// connMeter counts the bytes of one connection. The zone of the peer may become known after
+// the connection was opened, so that it is looked up until then.
+type connMeter struct {
 	traffic       *Traffic
 	kind          Kind
 	address, zone string
-	flow          atomic.Pointer[flow] // once the crossing is known
+	resolved      atomic.Pointer[byteCounters] // set once the crossing is known
 }
 
-func (m *meter) now() *flow {
-	if known := m.flow.Load(); known != nil {
+func (m *connMeter) counters() *byteCounters {
+	if known := m.resolved.Load(); known != nil {
 		return known
 	}
-	crossing := m.traffic.crossing(m.address, m.zone)
-	found := m.traffic.flow(m.kind, crossing)
+	crossing := m.traffic.classify(m.address, m.zone)
+	found := m.traffic.counters(m.kind, crossing)
 	if crossing != CrossingUnknown {
-		m.flow.Store(found)
+		m.resolved.Store(found)
 	}
 	return found
 }
 
-func (m *meter) sent(n int) {
+func (m *connMeter) sent(n int) {
 	if m != nil && n > 0 {
-		m.now().sent.Add(int64(n))
+		m.counters().sent.Add(int64(n))
 	}
 }
 
-func (m *meter) received(n int) {
+func (m *connMeter) received(n int) {
 	if m != nil && n > 0 {
-		m.now().received.Add(int64(n))
+		m.counters().received.Add(int64(n))
 	}
 }
--- a/internal/transport/traffic_test.go
+++ b/internal/transport/traffic_test.go
@@ -11,7 +11,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-func TestBytesAreCountedByKindAndCrossing(t *testing.T) {
+func TestTrafficCountsBytesByKindAndCrossing(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		_, _ = io.WriteString(w, strings.Repeat("y", 50_000))
@@ -19,15 +19,15 @@
 	defer server.Close()
 	for _, test := range []struct {
 		name            string
-		own, told, view string // zones: this process's, what the caller knows, what the view knows
+		own, told, view string // zones: of this process, set by WithPeerZone, returned by zoneOf
 		want            Crossing
 	}{
-		{"an own process of this zone", "a", "", "a", CrossingNone},
-		{"an own process of another zone", "a", "", "b", CrossingZones},
-		{"a worker of another zone", "a", "b", "", CrossingZones},
-		{"a worker of this zone", "a", "a", "", CrossingNone},
-		{"a peer that nobody knows", "a", "", "", CrossingUnknown},
-		{"a process without a zone", "", "b", "", CrossingUnknown},
+		{"process in this zone", "a", "", "a", CrossingNone},
+		{"process in another zone", "a", "", "b", CrossingZones},
+		{"worker in another zone", "a", "b", "", CrossingZones},
+		{"worker in this zone", "a", "a", "", CrossingNone},
+		{"unknown peer", "a", "", "", CrossingUnknown},
+		{"process without a zone", "", "b", "", CrossingUnknown},
 	} {
 		traffic := NewTraffic(test.own, func(string) (string, bool) { return test.view, test.view != "" })
 		client := traffic.Count(NewClient(1), KindJobs)
@@ -56,11 +56,10 @@
 	}
 }
 
-// A peer may be known only after its connection was opened.
-func TestAPeerThatIsKnownLaterIsCountedFromThenOn(t *testing.T) {
+func TestTrafficResolvesPeerZoneAfterDial(t *testing.T) {
 	zone := ""
 	traffic := NewTraffic("a", func(string) (string, bool) { return zone, zone != "" })
-	m := &meter{traffic: traffic, kind: KindLog, address: "10.0.0.1:1"}
+	m := &connMeter{traffic: traffic, kind: KindLog, address: "10.0.0.1:1"}
 	m.sent(10)
 	zone = "b"
 	m.sent(100)
@@ -71,12 +70,12 @@
 	}
 }
 
-func TestTheSeriesOfTrafficAreBounded(t *testing.T) {
+func TestTrafficSeriesAreBounded(t *testing.T) {
 	zones := []string{"a", "b", ""}
 	next := 0
 	traffic := NewTraffic("a", func(string) (string, bool) { next++; return zones[next%3], true })
 	for n := range 1000 {
-		m := &meter{traffic: traffic, kind: []Kind{KindLog, KindJobs}[n%2], address: "10.0.0.1:1"}
+		m := &connMeter{traffic: traffic, kind: []Kind{KindLog, KindJobs}[n%2], address: "10.0.0.1:1"}
 		m.sent(1)
 	}
 	registry := prometheus.NewRegistry()
@@ -87,14 +86,13 @@
 	}
 }
 
-// What is not counted by kind keeps its evidence of whether a byte left.
-func TestANilTrafficCountsNothing(t *testing.T) {
+func TestNilTrafficCountsNothing(t *testing.T) {
 	var traffic *Traffic
 	client := NewProbingClient(Options{ConnectionsPerHost: 1, DialTimeout: time.Second, SilenceLimit: time.Second})
 	if traffic.Count(client, KindLog) != client {
 		t.Error("another client")
 	}
-	var m *meter
+	var m *connMeter
 	m.sent(1)
 	m.received(1)
 }
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,5 +1,5 @@
-// Package transport has the small common parts of the internal HTTP/JSON
-// protocol: calls with typed bodies, and typed errors on both sides.
+// Package transport implements the common parts of the internal HTTP/JSON protocol: HTTP
+// clients, calls with typed bodies and errors, limits on request bodies, and traffic counts.
 package transport
 
 import (
@@ -20,17 +20,17 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// MaximumControlBytes bounds the body of a control message.
+// MaximumControlBytes is the maximum size of the body of a control message.
 const MaximumControlBytes = 64 << 20
 
-// maximumErrorBytes bounds how much of an error body is read.
-const maximumErrorBytes = 64 << 10
+// maxErrorBytes is the number of bytes that are read of an error body.
+const maxErrorBytes = 64 << 10
 
-// maximumRetryAfterSeconds bounds what a peer's advice is taken for.
-const maximumRetryAfterSeconds = 24 * 60 * 60
+// maxRetryAfterSeconds caps the Retry-After header of a peer's response.
+const maxRetryAfterSeconds = 24 * 60 * 60
 
-// Call posts request as JSON to address+path and decodes the answer; answer
-// may be nil. Failures are *api.Error with the step and the address as peer.
+// Call posts request as JSON to address+path and decodes the response into answer, which
+// may be nil. Errors are *api.Error with the step and with the address as peer.
 func Call(ctx context.Context, client *http.Client, step, address, path string, request, answer any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -39,14 +39,14 @@
 	return exchange(ctx, client, step, http.MethodPost, address, path, body, answer)
 }
 
-// Post sends a body of a content type of its own; what the answer holds is not read.
+// Post sends a body of the given content type and discards the response body.
 func Post(ctx context.Context, client *http.Client, step, address, path, contentType string, body []byte) *api.Error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return api.NewError(step, address, api.CodeInternal, api.OutcomeNotRun, "%w", err)
 	}
 	request.Header.Set("Content-Type", contentType)
-	// Nobody reads net/http's own name: 36 bytes of a message of 500.
+	// Omits the default User-Agent of net/http, which no peer uses.
 	request.Header["User-Agent"] = nil
 	response, err := client.Do(request)
 	if err != nil {
@@ -56,22 +56,23 @@
 	if response.StatusCode >= 300 {
 		return ReadError(step, address, response)
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maximumErrorBytes))
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxErrorBytes))
 	return nil
 }
 
-// Get reads address+path and decodes the answer.
+// Get reads address+path and decodes the response into answer. Errors are as of Call.
 func Get(ctx context.Context, client *http.Client, step, address, path string, answer any) error {
 	return exchange(ctx, client, step, http.MethodGet, address, path, nil, answer)
 }
 
-// GetSteadily is Get for an answer that may be long: it is to begin within head, and to go on
-// without a pause over mostPause, however long it takes in all.
-func GetSteadily(ctx context.Context, client *http.Client, step, address, path string, head, mostPause time.Duration, answer any) error {
+// GetSteadily is like Get for large responses: the header must arrive within headerTimeout,
+// and the body must not pause for longer than idleTimeout, but its total time is not
+// limited.
+func GetSteadily(ctx context.Context, client *http.Client, step, address, path string, headerTimeout, idleTimeout time.Duration, answer any) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	late := time.AfterFunc(head, func() { cancel(context.DeadlineExceeded) })
-	defer late.Stop()
+	timer := time.AfterFunc(headerTimeout, func() { cancel(context.DeadlineExceeded) })
+	defer timer.Stop()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
 		return api.NewError(step, address, api.CodeInternal, api.OutcomeNotRun, "%w", err)
@@ -81,13 +82,13 @@
 		return SendError(step, address, err)
 	}
 	defer response.Body.Close()
-	late.Reset(mostPause)
+	timer.Reset(idleTimeout)
 	if response.StatusCode >= http.StatusMultipleChoices {
 		return ReadError(step, address, response)
 	}
-	body := &steadyReader{from: io.LimitReader(response.Body, MaximumControlBytes), late: late, mostPause: mostPause}
+	body := &idleTimeoutReader{reader: io.LimitReader(response.Body, MaximumControlBytes), timer: timer, timeout: idleTimeout}
 	raw, err := io.ReadAll(body)
-	late.Stop()
+	timer.Stop()
 	if err == nil {
 		err = json.Unmarshal(raw, answer)
 	}
@@ -97,17 +98,17 @@
 	return nil
 }
 
-// steadyReader begins the time of a pause anew with each piece that comes.
-type steadyReader struct {
-	from      io.Reader
-	late      *time.Timer
-	mostPause time.Duration
+// idleTimeoutReader resets the timer each time that data arrives.
+type idleTimeoutReader struct {
+	reader  io.Reader
+	timer   *time.Timer
+	timeout time.Duration
 }
 
-func (r *steadyReader) Read(p []byte) (int, error) {
-	n, err := r.from.Read(p)
+func (r *idleTimeoutReader) Read(p []byte) (int, error) {
+	n, err := r.reader.Read(p)
 	if n > 0 {
-		r.late.Reset(r.mostPause)
+		r.timer.Reset(r.timeout)
 	}
 	return n, err
 }
@@ -137,17 +138,17 @@
 	return nil
 }
 
-// SendError classifies a failed round trip: not run only when no connection
-// was made, so that no byte of the request left.
+// SendError returns the api.Error of a failed round trip. Its outcome is not run only if
+// no connection was made, so that no byte of the request was sent.
 func SendError(step, peer string, err error) *api.Error {
 	outcome := api.OutcomeUnknown
 	if NeverConnected(err) {
 		outcome = api.OutcomeNotRun
 	}
-	return &api.Error{Step: step, Peer: peer, Code: codeOf(err), Outcome: outcome, Err: err}
+	return &api.Error{Step: step, Peer: peer, Code: errorCode(err), Outcome: outcome, Err: err}
 }
 
-// NeverConnected tells whether the error arose while dialling.
+// NeverConnected reports whether the error occurred while dialing.
 func NeverConnected(err error) bool {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
@@ -156,7 +157,7 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// WriteError answers with the error's JSON body, outcome and Retry-After.
+// WriteError responds with the status, JSON body, outcome and Retry-After of the error.
 func WriteError(w http.ResponseWriter, err *api.Error) {
 	header := w.Header()
 	header.Del("Content-Length")
@@ -170,7 +171,7 @@
 	_ = json.NewEncoder(w).Encode(BodyOf(err))
 }
 
-// BodyOf gives the error's JSON body.
+// BodyOf returns the JSON body of an error response.
 func BodyOf(err *api.Error) api.ErrorBody {
 	message := err.Error()
 	return api.ErrorBody{
@@ -192,12 +193,12 @@
 	return "server_error"
 }
 
-// ReadError decodes an error answer of another node and closes nothing.
+// ReadError decodes an error response of another node. It does not close the body.
 func ReadError(step, peer string, response *http.Response) *api.Error {
-	raw, _ := io.ReadAll(io.LimitReader(response.Body, maximumErrorBytes))
+	raw, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	failure := &api.Error{Step: step, Peer: peer, Code: api.CodeUpstream, Outcome: api.OutcomeUnknown}
 	if seconds, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil && seconds > 0 {
-		failure.RetryAfter = min(time.Duration(seconds), maximumRetryAfterSeconds) * time.Second
+		failure.RetryAfter = min(time.Duration(seconds), maxRetryAfterSeconds) * time.Second
 	}
 	var body api.ErrorBody
 	if err := json.Unmarshal(raw, &body); err != nil || body.Error.Code == "" {
@@ -213,14 +214,15 @@
 	return failure
 }
 
-// WriteJSON answers with a JSON body.
+// WriteJSON responds with a JSON body.
 func WriteJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// ReadJSON decodes a bounded request body; the error is ready to be written.
+// ReadJSON decodes a request body of at most limit bytes. The error, if any, can be passed
+// to WriteError.
 func ReadJSON(w http.ResponseWriter, r *http.Request, step string, limit int64, value any) *api.Error {
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, limit)).Decode(value)
 	if err == nil {
@@ -229,7 +231,7 @@
 	return BodyError(step, err)
 }
 
-// BodyError classifies a failure to read a request's body.
+// BodyError returns the api.Error of a failure to read a request body.
 func BodyError(step string, err error) *api.Error {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
