--- a/internal/logform/logform.go
+++ b/internal/logform/logform.go
@@ -1,8 +1,9 @@
-// Package logform gives the forms in which the data of a log's entry is written: plain
-// JSON, which every process reads, and packed, which one reads that says so.
+// Package logform encodes the data of replicated log entries: as plain JSON, which every
+// process decodes, or packed, which only processes that announce a Level of at least Packed
+// decode.
 //
-// An entry is packed once, by the leader that proposes it, so that it crosses to each
-// replica, and lies on each disk, in its small form.
+// The leader packs an entry once when it proposes it, so that it is sent to replicas and
+// stored on disk in packed form.
 package logform
 
 import (
@@ -15,103 +16,102 @@
 	"sync"
 )
 
-// Level tells which forms a process reads; a process that tells none reads Plain.
+// Level is the version of the encodings that a process decodes. Processes that do not
+// announce a level decode Plain.
 type Level int
 
-// The levels. Each one reads the forms of those before it.
+// Levels. Each one includes the encodings of those before it.
 const (
 	Plain  Level = 0 // JSON
-	Packed Level = 1 // compressed JSON, results that name what is kept
-	// Multipart: bodies between stores of two parts, too. Processes of level 1 read them or
-	// a frame that was used before, and do not say which: they are sent JSON.
+	Packed Level = 1 // compressed JSON, results that refer to stored data
+	// Multipart adds two-part bodies between stores. Processes of level 1 decode either
+	// these or an earlier framing and do not announce which, so that they are sent JSON.
 	Multipart Level = 2
 )
 
-// Newest is the level of this process.
+// Newest is the level that this process announces.
 const Newest = Multipart
 
-// The first byte of what is packed; JSON begins with none of them.
+// The first byte of packed data, never that of JSON.
 const (
-	markStored     = 's' // the JSON as it is
-	markCompressed = 'z' // the length of the JSON, and the JSON compressed
+	prefixStored     = 's' // the JSON, not compressed
+	prefixCompressed = 'z' // the uvarint length of the JSON, and the JSON compressed with DEFLATE
 )
 
 const (
-	// leastCompressed bytes are worth compressing: below it a command is mostly ids, and
-	// 10 to 16 µs (BenchmarkPack) save under 100 bytes.
-	leastCompressed = 256
-	// MaximumBytes of one entry's JSON, as of the largest command that is taken, with
-	// room for what the encoding adds.
+	// minCompressBytes is the size below which compression saves too little.
+	minCompressBytes = 256
+	// MaximumBytes is the maximum size of the JSON of one entry, sufficient for the largest
+	// accepted command.
 	MaximumBytes = 64 << 20
 )
 
-var errForm = errors.New("the entry's form is not known or broken")
+var errInvalidEntry = errors.New("log entry has an unknown encoding or is corrupt")
 
-// compressors are kept, as each takes about a megabyte. BestSpeed took 0.14 ms for 10 KB
-// of text where the usual level took 0.6 ms and gave a fifth fewer bytes (a benchmark of
-// all levels on one core of a Xeon).
-var compressors = sync.Pool{New: func() any {
+// compressorPool reuses compressors, each of which takes about a megabyte. BestSpeed is
+// several times as fast as the default level, for moderately larger output.
+var compressorPool = sync.Pool{New: func() any {
 	compressor, err := flate.NewWriter(nil, flate.BestSpeed)
 	if err != nil {
-		panic(err) // only for a level that does not exist
+		panic(err) // the level is invalid
 	}
 	return compressor
 }}
 
-var readers = sync.Pool{New: func() any { return flate.NewReader(bytes.NewReader(nil)) }}
+var decompressorPool = sync.Pool{New: func() any { return flate.NewReader(bytes.NewReader(nil)) }}
 
-// Pack gives the packed form of JSON.
+// Pack returns the packed encoding of JSON.
 func Pack(plain []byte) []byte {
-	if len(plain) >= leastCompressed {
+	if len(plain) >= minCompressBytes {
 		if packed, ok := compress(plain); ok {
 			return packed
 		}
 	}
-	return append([]byte{markStored}, plain...)
+	return append([]byte{prefixStored}, plain...)
 }
 
 func compress(plain []byte) ([]byte, bool) {
 	var packed bytes.Buffer
 	packed.Grow(len(plain))
-	packed.Write(binary.AppendUvarint([]byte{markCompressed}, uint64(len(plain))))
-	compressor := compressors.Get().(*flate.Writer)
-	defer compressors.Put(compressor)
+	packed.Write(binary.AppendUvarint([]byte{prefixCompressed}, uint64(len(plain))))
+	compressor := compressorPool.Get().(*flate.Writer)
+	defer compressorPool.Put(compressor)
 	compressor.Reset(&packed)
 	_, err := compressor.Write(plain)
 	err = errors.Join(err, compressor.Close())
 	return packed.Bytes(), err == nil && packed.Len() < len(plain)
 }
 
-// IsPacked tells whether a process must read Packed to read the data.
+// IsPacked reports whether data is packed rather than plain JSON.
 func IsPacked(data []byte) bool {
-	return len(data) > 0 && (data[0] == markStored || data[0] == markCompressed)
+	return len(data) > 0 && (data[0] == prefixStored || data[0] == prefixCompressed)
 }
 
-// Open gives the JSON of data in any form; it may share data's memory. What is not whole
-// is an error, never a part of it.
+// Open returns the JSON of data in any encoding; the result may share memory with data. It
+// returns an error for truncated or corrupt packed data, never a part of the JSON.
 func Open(data []byte) ([]byte, error) {
 	if !IsPacked(data) {
 		return data, nil
 	}
-	if data[0] == markStored {
+	if data[0] == prefixStored {
 		return data[1:], nil
 	}
 	size, n := binary.Uvarint(data[1:])
 	if n <= 0 || size > MaximumBytes {
-		return nil, errForm
+		return nil, errInvalidEntry
 	}
-	reader := readers.Get().(io.ReadCloser)
-	defer readers.Put(reader)
+	reader := decompressorPool.Get().(io.ReadCloser)
+	defer decompressorPool.Put(reader)
 	if err := reader.(flate.Resetter).Reset(bytes.NewReader(data[1+n:]), nil); err != nil {
-		return nil, fmt.Errorf("%w: %w", errForm, err)
+		return nil, fmt.Errorf("%w: %w", errInvalidEntry, err)
 	}
-	// Memory is taken as bytes come: the length is only what the data says.
+	// Does not allocate by size, which may be corrupt.
 	plain, err := io.ReadAll(io.LimitReader(reader, int64(size)+1))
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", errForm, err)
+		return nil, fmt.Errorf("%w: %w", errInvalidEntry, err)
 	}
 	if uint64(len(plain)) != size {
-		return nil, errForm
+		return nil, errInvalidEntry
 	}
 	return plain, nil
 }
--- a/internal/logform/logform_test.go
+++ b/internal/logform/logform_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// text is n bytes of words that repeat, as an answer of a language model does.
+// text returns n bytes of repetitive words, similar to the output of a language model.
 func text(n int) string {
 	random := rand.New(rand.NewPCG(1, 2))
 	words := strings.Fields("the loan is repaid over thirty years at a rate that the bank may change each year so monthly payments rise")
@@ -25,28 +25,28 @@
 	return []byte(`{"time":"2026-01-02T03:04:05Z","complete_inline":{"results":[{"job":"7c41e09b52d6a3f8","index":3,"text":"` + text(n) + `"}]}}`)
 }
 
-func TestWhatIsPackedIsReadBackWhole(t *testing.T) {
+func TestPackRoundTrip(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		plain []byte
-		most  int // bytes of the packed form
+		max   int // packed bytes
 	}{
-		{"nothing", nil, 1},
+		{"empty", nil, 1},
 		{"a small command", []byte(`{"end_inline":{"job":"j"}}`), 27},
 		{"a text", command(10_000), 5_000},
 		{"a large text", command(1 << 20), 500 << 10},
 	} {
 		packed := Pack(test.plain)
-		if !IsPacked(packed) || len(packed) > test.most {
-			t.Errorf("%s: %d bytes packed of %d, packed %t", test.name, len(packed), len(test.plain), IsPacked(packed))
+		if !IsPacked(packed) || len(packed) > test.max {
+			t.Errorf("%s: %d bytes packed from %d, IsPacked %t", test.name, len(packed), len(test.plain), IsPacked(packed))
 		}
 		if plain, err := Open(packed); err != nil || !bytes.Equal(plain, test.plain) {
-			t.Errorf("%s: read back as %d bytes, %v", test.name, len(plain), err)
+			t.Errorf("%s: opened as %d bytes, %v", test.name, len(plain), err)
 		}
 	}
 }
 
-func TestPlainJSONIsReadAsItIs(t *testing.T) {
+func TestOpenReturnsPlainJSONUnchanged(t *testing.T) {
 	for _, plain := range []string{`{"time":"2026-01-02T03:04:05Z"}`, ``, `{}`} {
 		if got, err := Open([]byte(plain)); err != nil || string(got) != plain || IsPacked([]byte(plain)) {
 			t.Errorf("%q: %q, %v", plain, got, err)
@@ -54,26 +54,26 @@
 	}
 }
 
-// A part of an entry must never be taken for the whole of it.
-func TestAnEntryThatIsCutOrGarbledIsNoCommand(t *testing.T) {
+// TestOpenRejectsTruncatedAndCorruptData guards against accepting a part of an entry.
+func TestOpenRejectsTruncatedAndCorruptData(t *testing.T) {
 	packed := Pack(command(2_000))
 	for cut := 1; cut < len(packed); cut++ {
 		if plain, err := Open(packed[:cut]); err == nil {
-			t.Fatalf("cut at %d of %d: %d bytes", cut, len(packed), len(plain))
+			t.Fatalf("truncated to %d of %d: opened as %d bytes", cut, len(packed), len(plain))
 		}
 	}
-	for _, broken := range [][]byte{{markCompressed}, {markCompressed, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f}, append([]byte{markCompressed, 3}, packed[3:]...)} {
+	for _, broken := range [][]byte{{prefixCompressed}, {prefixCompressed, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f}, append([]byte{prefixCompressed, 3}, packed[3:]...)} {
 		if _, err := Open(broken); err == nil {
-			t.Errorf("%v was read", broken[:min(len(broken), 12)])
+			t.Errorf("%v was accepted", broken[:min(len(broken), 12)])
 		}
 	}
 }
 
-func TestAnyBytesSurvive(t *testing.T) {
+func TestPackRoundTripOfAnyBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plain := rapid.SliceOfN(rapid.Byte(), 0, 4000).Draw(t, "plain")
 		if got, err := Open(Pack(plain)); err != nil || !bytes.Equal(got, plain) {
-			t.Fatalf("%d bytes came back as %d, %v", len(plain), len(got), err)
+			t.Fatalf("%d bytes were opened as %d, %v", len(plain), len(got), err)
 		}
 	})
 }
@@ -88,7 +88,7 @@
 	})
 }
 
-// BenchmarkPack measures what packing costs the leader, once an entry.
+// BenchmarkPack measures the cost per entry at the leader.
 func BenchmarkPack(b *testing.B) {
 	for name, n := range map[string]int{"100 B": 100, "1 KB": 1 << 10, "10 KB": 10 << 10, "64 KB": 64 << 10} {
 		plain := command(n)
@@ -103,7 +103,7 @@
 	}
 }
 
-// BenchmarkOpen measures what opening costs each replica.
+// BenchmarkOpen measures the cost per entry at each replica.
 func BenchmarkOpen(b *testing.B) {
 	packed := Pack(command(10 << 10))
 	b.SetBytes(10 << 10)
