--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging sets up logrus so that each line starts with the fixed
-// prefix of the part that wrote it.
+// Package logging configures logrus. Text lines start with the name of the component that
+// logged them; Queue writes lines in the background.
 package logging
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/dykewing/dykewing/config"
 )
 
-// New gives a logger for the settings.
+// New returns a logger that writes to output.
 func New(settings config.Log, output io.Writer) (*logrus.Logger, error) {
 	level, err := logrus.ParseLevel(settings.Level)
 	if err != nil {
@@ -29,8 +29,8 @@
 	return logger, nil
 }
 
-// NewQueued gives a logger whose lines are written in the background; close it
-// before the process ends.
+// NewQueued returns a logger whose lines a Queue writes to output in the background. The
+// caller must close the queue before the process exits, or lines may be lost.
 func NewQueued(settings config.Log, output io.Writer) (*logrus.Logger, *Queue, error) {
 	logger, err := New(settings, io.Discard)
 	if err != nil {
@@ -41,10 +41,10 @@
 	return logger, queue, nil
 }
 
-// prefixFormatter puts the field "part" before the text as "[part]".
+// prefixFormatter moves the field "part" to the front of the message as "[part]".
 type prefixFormatter struct{ inner logrus.Formatter }
 
-// Format formats one entry.
+// Format implements logrus.Formatter.
 func (f *prefixFormatter) Format(entry *logrus.Entry) ([]byte, error) {
 	part, ok := entry.Data["part"]
 	if !ok {
--- a/internal/logging/queue.go
+++ b/internal/logging/queue.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	// queuedLines wait at the most, of each of the two queues.
-	queuedLines = 2048
-	// closeTimeout bounds how long Close waits for a slow reader.
+	// maxQueuedLines is the capacity of each of the two queues.
+	maxQueuedLines = 2048
+	// closeTimeout bounds how long Close waits for the output.
 	closeTimeout = time.Second
 )
 
-// fieldEvent is the field that names what a line is about.
+// fieldEvent is the field with the type of event that a line reports.
 const fieldEvent = "event"
 
-// Queue writes log lines in the background. A full or slow output costs lines,
-// never time: what does not fit is dropped and counted, and a later line says how
-// many, of which event. Warnings and errors go first.
+// Queue writes log lines in the background, so that a slow or blocked output never blocks
+// logging. Lines that do not fit are dropped, and a later line reports their number by
+// event. Warnings and errors have a queue of their own and are written first. It is safe
+// for concurrent use.
 type Queue struct {
 	inner  logrus.Formatter
 	output io.Writer
@@ -31,26 +32,26 @@
 
 	mutex   sync.Mutex // guards all below
 	urgent  [][]byte   // warnings and errors
-	usual   [][]byte
-	dropped map[string]int // by event, since it was last told
+	normal  [][]byte
+	dropped map[string]int // by event, not yet reported
 	closed  bool
 }
 
-// newQueue starts writing to output.
+// newQueue returns a Queue and starts its goroutine.
 func newQueue(inner logrus.Formatter, output io.Writer) *Queue {
 	q := &Queue{inner: inner, output: output, wake: make(chan struct{}, 1), done: make(chan struct{}), dropped: map[string]int{}}
 	go q.run()
 	return q
 }
 
-// Format queues the entry's line; it is a logrus.Formatter that gives logrus
-// nothing to write.
+// Format implements logrus.Formatter. It queues the entry's line and returns nothing for
+// logrus to write.
 func (q *Queue) Format(entry *logrus.Entry) ([]byte, error) {
 	line, err := q.inner.Format(entry)
 	if err != nil {
 		return nil, fmt.Errorf("format log line: %w", err)
 	}
-	q.add(entry.Level <= logrus.WarnLevel, eventOf(entry), bytes.Clone(line)) // logrus uses the line's memory again
+	q.add(entry.Level <= logrus.WarnLevel, eventOf(entry), bytes.Clone(line)) // logrus reuses the buffer
 	return nil, nil
 }
 
@@ -61,15 +62,15 @@
 	return "other"
 }
 
-// add never blocks on the output.
+// add queues a line, or counts it as dropped if the queue is full or closed.
 func (q *Queue) add(urgent bool, event string, line []byte) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	queue := &q.usual
+	queue := &q.normal
 	if urgent {
 		queue = &q.urgent
 	}
-	if len(*queue) >= queuedLines || q.closed {
+	if len(*queue) >= maxQueuedLines || q.closed {
 		q.dropped[event]++
 		return
 	}
@@ -83,7 +84,7 @@
 func (q *Queue) run() {
 	defer close(q.done)
 	for {
-		lines, dropped, closed := q.take()
+		lines, dropped, closed := q.drain()
 		if len(lines) == 0 && len(dropped) == 0 {
 			if closed {
 				return
@@ -92,25 +93,26 @@
 			continue
 		}
 		if len(dropped) > 0 {
-			lines = append(lines, q.dropLine(dropped))
+			lines = append(lines, q.formatDropped(dropped))
 		}
 		q.write(lines)
 	}
 }
 
-// take gives all that waits, warnings and errors first.
-func (q *Queue) take() (lines [][]byte, dropped map[string]int, closed bool) {
+// drain removes and returns all queued lines, warnings and errors first, and the counts of
+// dropped ones.
+func (q *Queue) drain() (lines [][]byte, dropped map[string]int, closed bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	lines = append(q.urgent, q.usual...)
-	q.urgent, q.usual = nil, nil
+	lines = append(q.urgent, q.normal...)
+	q.urgent, q.normal = nil, nil
 	if len(q.dropped) > 0 {
 		dropped, q.dropped = q.dropped, map[string]int{}
 	}
 	return lines, dropped, q.closed
 }
 
-// write joins lines, so that many cost one call. What the output refuses is lost.
+// write writes all lines with one call. Lines are lost if it fails.
 func (q *Queue) write(lines [][]byte) {
 	joined := make([]byte, 0, len(lines)*len(lines[0]))
 	for _, line := range lines {
@@ -119,9 +121,9 @@
 	_, _ = q.output.Write(joined)
 }
 
-func (q *Queue) dropLine(dropped map[string]int) []byte {
+func (q *Queue) formatDropped(dropped map[string]int) []byte {
 	entry := logrus.NewEntry(logrus.StandardLogger()).WithFields(logrus.Fields{"part": "log", fieldEvent: "lines_dropped", "dropped": dropped})
-	entry.Time, entry.Level, entry.Message = time.Now(), logrus.WarnLevel, "Log lines were dropped, since their reader was slow."
+	entry.Time, entry.Level, entry.Message = time.Now(), logrus.WarnLevel, "Log lines were dropped because the output is too slow."
 	line, err := q.inner.Format(entry)
 	if err != nil {
 		return nil
@@ -129,7 +131,7 @@
 	return line
 }
 
-// Close writes what waits, unless the reader is too slow.
+// Close writes the queued lines and stops the queue. It gives up after closeTimeout.
 func (q *Queue) Close() {
 	q.mutex.Lock()
 	q.closed = true
--- a/internal/logging/queue_test.go
+++ b/internal/logging/queue_test.go
@@ -13,14 +13,14 @@
 	"github.com/dykewing/dykewing/config"
 )
 
-// stoppedReader takes nothing until it is let go.
-type stoppedReader struct {
+// blockedWriter blocks writes until release is closed.
+type blockedWriter struct {
 	release chan struct{}
 	mutex   sync.Mutex
 	written bytes.Buffer
 }
 
-func (r *stoppedReader) Write(data []byte) (int, error) {
+func (r *blockedWriter) Write(data []byte) (int, error) {
 	<-r.release
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -40,24 +40,24 @@
 	return lines
 }
 
-func TestAReaderThatStopsCostsLinesAndNoTime(t *testing.T) {
-	reader := &stoppedReader{release: make(chan struct{})}
-	logger, queue, err := NewQueued(config.Log{Level: "info", Format: "json"}, reader)
+func TestBlockedOutputDropsLinesWithoutBlocking(t *testing.T) {
+	output := &blockedWriter{release: make(chan struct{})}
+	logger, queue, err := NewQueued(config.Log{Level: "info", Format: "json"}, output)
 	if err != nil {
 		t.Fatal(err)
 	}
-	const infos, warnings = 3 * queuedLines, 100
+	const infos, warnings = 3 * maxQueuedLines, 100
 	for range infos {
 		logger.WithField("event", "request_served").Info("usual")
 	}
 	for range warnings {
 		logger.WithField("event", "request_refused").Warn("urgent")
 	}
-	close(reader.release) // nothing above has waited for it
+	close(output.release) // the calls above did not block
 	queue.Close()
 	counts := map[string]int{}
 	dropped := 0.0
-	for _, line := range jsonLines(t, reader.written.String()) {
+	for _, line := range jsonLines(t, output.written.String()) {
 		counts[line["event"].(string)]++
 		if line["event"] == "lines_dropped" {
 			dropped += line["dropped"].(map[string]any)["request_served"].(float64)
@@ -67,11 +67,11 @@
 		t.Errorf("%d of %d warnings were written", counts["request_refused"], warnings)
 	}
 	if counts["lines_dropped"] == 0 || counts["request_served"]+int(dropped) != infos {
-		t.Errorf("%d written and %v told as dropped of %d", counts["request_served"], dropped, infos)
+		t.Errorf("%d written and %v reported as dropped of %d", counts["request_served"], dropped, infos)
 	}
 }
 
-func TestLinesAreJSONWithTheirFields(t *testing.T) {
+func TestQueuedLinesAreJSONWithFields(t *testing.T) {
 	var written bytes.Buffer
 	logger, queue, err := NewQueued(config.Log{Level: "info", Format: "json"}, &written)
 	if err != nil {
