--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,6 +1,6 @@
-// Package discovery reads the platform's lagging machine list in the published
-// HTTP service-discovery JSON (Prometheus http_sd): an array of target groups,
-// each with targets (host:port) and labels.
+// Package discovery reads the platform's list of workers in the JSON format of Prometheus
+// HTTP service discovery (http_sd): an array of target groups, each with targets
+// (host:port) and labels. The list may lag behind the actual state of the workers.
 package discovery
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/dykewing/dykewing/internal/transport"
 )
 
-// Labels that a target group carries.
+// Labels of a target group.
 const (
 	LabelID      = "id"
 	LabelService = "service"
@@ -28,45 +28,47 @@
 	LabelState   = "state" // StateLive or StateLeaving; empty is live
 )
 
-// The states of a machine.
+// Values of LabelState.
 const (
 	StateLive    = "live"
 	StateLeaving = "leaving"
 )
 
-// Group is one element of the list.
+// Group is a target group, one element of the list.
 type Group struct {
 	Targets []string          `json:"targets"`
 	Labels  map[string]string `json:"labels"`
 }
 
-// List gives the workers that the platform knows.
+// List is a source of the workers that the platform knows.
 type List interface {
+	// Workers returns the listed workers, which may be valid beside an error. Both
+	// results are nil if the list has not changed since the last call.
 	Workers(ctx context.Context) ([]api.Worker, error)
 }
 
-// HTTPList reads the list from a URL. It asks with the entity tag of the list
-// that it has (RFC 9110), so that a list that did not change is not sent again
-// by a platform that gives tags. It is not safe for concurrent use.
+// HTTPList reads the list from a URL. It sends the entity tag of the previous list in
+// If-None-Match (RFC 9110), so that a server that supports entity tags does not resend an
+// unchanged list. It is not safe for concurrent use.
 type HTTPList struct {
 	Address string // host:port
 	Path    string
 	Client  *http.Client
 
-	tag string // of the last list that was read whole
+	etag string // of the last list that was decoded
 }
 
-// Workers reads the list; targets that are not valid are left out and reported
-// in the error beside the valid ones. Both are nil when nothing changed since
-// the last call.
+// Workers reads the list. It skips invalid targets and returns the valid workers together
+// with the error of the last invalid one. Both results are nil if the list has not changed
+// since the last call.
 func (l *HTTPList) Workers(ctx context.Context) ([]api.Worker, error) {
 	const step = "read machine list"
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+l.Address+l.Path, nil)
 	if err != nil {
 		return nil, api.NewError(step, l.Address, api.CodeInternal, api.OutcomeNotRun, "%w", err)
 	}
-	if l.tag != "" {
-		request.Header.Set("If-None-Match", l.tag)
+	if l.etag != "" {
+		request.Header.Set("If-None-Match", l.etag)
 	}
 	response, err := l.Client.Do(request)
 	if err != nil {
@@ -84,17 +86,18 @@
 	if err := json.NewDecoder(body).Decode(&groups); err != nil {
 		return nil, api.NewError(step, l.Address, api.CodeUpstream, api.OutcomeUnknown, "read answer: %w", err)
 	}
-	l.tag = response.Header.Get("ETag")
+	l.etag = response.Header.Get("ETag")
 	return WorkersOf(groups)
 }
 
-// WorkersOf turns target groups into workers.
+// WorkersOf returns the workers of target groups. It skips invalid targets and returns the
+// error of the last one beside the valid workers.
 func WorkersOf(groups []Group) ([]api.Worker, error) {
 	var workers []api.Worker
 	var problem error
 	for _, group := range groups {
 		for _, target := range group.Targets {
-			worker, err := workerOf(target, group.Labels)
+			worker, err := parseWorker(target, group.Labels)
 			if err != nil {
 				problem = err
 				continue
@@ -107,7 +110,7 @@
 
 const defaultSlots = 8
 
-func workerOf(target string, labels map[string]string) (api.Worker, error) {
+func parseWorker(target string, labels map[string]string) (api.Worker, error) {
 	if _, err := netip.ParseAddrPort(target); err != nil {
 		return api.Worker{}, fmt.Errorf("read machine list: target %q is not IP:port", target)
 	}
@@ -130,8 +133,8 @@
 	return worker, nil
 }
 
-// Poll reads the list every interval until ctx ends. The last good list stays
-// when a read fails; failed is told why.
+// Poll reads the list at once and then every interval until ctx ends. It calls deliver with
+// each changed list and failed with each error; both may be called for one read.
 func Poll(ctx context.Context, list List, interval time.Duration, deliver func([]api.Worker), failed func(error)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -20,19 +20,18 @@
 	}
 }
 
-// counting counts the bytes of bodies that a handler writes.
+// counting counts the bytes of response bodies.
 type counting struct {
 	http.ResponseWriter
 	bytes *int
 }
 
-// Write counts.
 func (c counting) Write(p []byte) (int, error) {
 	*c.bytes += len(p)
 	return c.ResponseWriter.Write(p)
 }
 
-func TestUnchangedListIsNotSentAgain(t *testing.T) {
+func TestUnchangedListIsNotResent(t *testing.T) {
 	list, bytes := machinelist.NewServer(0), 0
 	list.Set([]api.Worker{worker("a")})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -57,9 +56,9 @@
 	read(worker("a"), worker("b"))
 }
 
-// TestBrokenListIsAskedForAgain holds that a tag counts only for a list that
-// was read whole.
-func TestBrokenListIsAskedForAgain(t *testing.T) {
+// TestTruncatedListIsReadAgain guards against keeping the entity tag of a response that
+// could not be decoded.
+func TestTruncatedListIsReadAgain(t *testing.T) {
 	calls := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls++
@@ -76,9 +75,9 @@
 	defer server.Close()
 	reader := &discovery.HTTPList{Address: strings.TrimPrefix(server.URL, "http://"), Path: "/", Client: server.Client()}
 	if _, err := reader.Workers(context.Background()); err == nil {
-		t.Fatal("half a list was taken for one")
+		t.Fatal("a truncated list was accepted")
 	}
 	if workers, err := reader.Workers(context.Background()); err != nil || len(workers) != 1 {
-		t.Fatalf("read %v, %v after a broken answer", workers, err)
+		t.Fatalf("read %v, %v after a truncated response", workers, err)
 	}
 }
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits.
+// Package pause provides a sleep that a context can interrupt.
 package pause
 
 import (
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// For waits for a time or until ctx ends, and tells whether ctx goes on. A time that is
-// not positive is over at once.
+// For sleeps until length has passed or ctx ends and reports whether the sleep was
+// completed. If length is not positive, it returns at once and reports whether ctx has not
+// ended.
 func For(ctx context.Context, length time.Duration) bool {
 	if length <= 0 {
 		return ctx.Err() == nil
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -13,12 +13,12 @@
 		length time.Duration
 		ends   time.Duration // of ctx
 		took   time.Duration
-		goesOn bool
+		slept  bool
 	}{
 		{"the time passes", time.Second, time.Minute, time.Second, true},
 		{"ctx ends first", time.Minute, time.Second, time.Second, false},
-		{"no time", 0, time.Minute, 0, true},
-		{"no time, and ctx has ended", -time.Second, 0, 0, false},
+		{"zero", 0, time.Minute, 0, true},
+		{"negative, ctx has ended", -time.Second, 0, 0, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -26,8 +26,8 @@
 				ctx, cancel := context.WithTimeout(t.Context(), test.ends)
 				defer cancel()
 				began := time.Now()
-				if goesOn := For(ctx, test.length); goesOn != test.goesOn || time.Since(began) != test.took {
-					t.Errorf("%t after %v, want %t after %v", goesOn, time.Since(began), test.goesOn, test.took)
+				if slept := For(ctx, test.length); slept != test.slept || time.Since(began) != test.took {
+					t.Errorf("%t after %v, want %t after %v", slept, time.Since(began), test.slept, test.took)
 				}
 			})
 		})
