--- a/internal/node/wire_test.go
+++ b/internal/node/wire_test.go
@@ -44,9 +44,9 @@
 	return n, err
 }
 
-// TestHeartbeatHeaderBytes bounds the bytes of HTTP/1.1 headers of an exchange, request
+// TestHeartbeatOnTheWire bounds the bytes of HTTP/1.1 headers of an exchange, request
 // and response together.
-func TestHeartbeatHeaderBytes(t *testing.T) {
+func TestHeartbeatOnTheWire(t *testing.T) {
 	services := make([]api.ServiceSummary, 4)
 	for i := range services {
 		services[i] = api.ServiceSummary{Service: "tutor-model", Place: "cairo-west", Workers: 5, Slots: 160, Online: 40 + i, Batch: 7 * i}
