--- a/internal/kv/call.go
+++ b/internal/kv/call.go
@@ -65,8 +65,9 @@
 	return nil, failure
 }
 
-// attempt posts to one endpoint. Its errors wrap ErrUnknown unless the request certainly
-// had no effect: no connection was made, or the service rejected it.
+// attempt posts to one endpoint. Its errors wrap
+// ErrUnknown unless the request certainly had no effect: no connection was made, or the
+// service rejected it.
 func (e *Etcd) attempt(ctx context.Context, endpoint, path string, body []byte) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, endpoint+path, bytes.NewReader(body))
 	if err != nil {
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -50,7 +50,7 @@
 	Lease    int64
 }
 
-// SwapResult reports whether the swap took effect. If it did not, Standing is the current
+// SwapResult reports whether the swap took effect. If it did not, it holds the current
 // pair, or nil if the key is absent.
 type SwapResult struct {
 	Succeeded bool
@@ -72,8 +72,8 @@
 }
 
 // Service is a key-value service with compare-and-swap, leases and watches.
-// Errors of Swap wrap ErrUnknown unless the change certainly had no effect.
-// Implementations are safe for concurrent use.
+// Implementations are safe for concurrent use. Errors of Swap wrap
+// ErrUnknown unless the change certainly had no effect.
 type Service interface {
 	// Read returns the pair of a key, nil if the key is absent, and the service's
 	// revision.
--- a/internal/kv/pace.go
+++ b/internal/kv/pace.go
@@ -34,7 +34,7 @@
 	burstPeriod = time.Second
 )
 
-// Paced returns a Pace for a process that does not know of any others yet.
+// Paced returns the limits for a process that does not know of any others yet.
 func Paced(rates Rates) *Pace {
 	return &Pace{rates: rates, processes: func() int { return 1 }, reads: rate.NewLimiter(0, 1), writes: rate.NewLimiter(0, 1)}
 }
@@ -47,8 +47,8 @@
 	p.processes = processes
 }
 
-// Wait blocks until the limit permits one call. The error wraps ErrLimited if ctx ends, or
-// its deadline would pass, before that.
+// Wait blocks until the limit permits one call. The error wraps
+// ErrLimited if ctx ends, or its deadline would pass, before that.
 func (p *Pace) Wait(ctx context.Context, write bool) error {
 	total, limiter := p.rates.Reads, p.reads
 	if write {
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// Options configure NewProbingClient.
+// Options configure a client that detects dead peers.
 type Options struct {
 	ConnectionsPerHost int           // maximum idle connections
 	DialTimeout        time.Duration // for opening a connection
--- a/internal/transport/compressed.go
+++ b/internal/transport/compressed.go
@@ -21,7 +21,7 @@
 }}
 
 // WriteCompactJSON is like WriteJSON for responses that may be large: it compresses them
-// if the request accepts gzip, as those of clients with Options.Compressed do.
+// if the request accepts gzip.
 func WriteCompactJSON(w http.ResponseWriter, r *http.Request, status int, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
--- a/internal/transport/steady_test.go
+++ b/internal/transport/steady_test.go
@@ -13,7 +13,7 @@
 // Guards against a limit on the total time of a response: slow processes never received the
 // state of a large fleet and kept serving an old configuration.
 func TestGetSteadilyLimitsPausesOnly(t *testing.T) {
-	// Each pause is a sixth of the limit, and all together exceed it.
+	// Every pause is a sixth of the limit, and all together exceed it.
 	const pause, limit, pieces = 250 * time.Millisecond, 1500 * time.Millisecond, 8
 	tests := []struct {
 		name  string
