--- a/internal/node/traffic.go
+++ b/internal/node/traffic.go
@@ -50,7 +50,7 @@
 	}
 	if total > 0 {
 		fields["crossed"] = total
-		n.Logger("traffic").WithFields(fields).Info("Cross-zone traffic in bytes on connections opened by this process.")
+		n.Logger("traffic").WithFields(fields).Info("Bytes that crossed zones on connections opened here.")
 	}
 	return crossed
 }
