--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,6 +1,6 @@
-// Package backend is the seam between the roles and a platform's way of speaking
-// with clients and workers over HTTP: typed values on one side, an adapter's
-// header names and formats on the other.
+// Package backend separates the roles from a platform's HTTP protocol with clients
+// and workers. The roles use typed values; a Protocol implementation maps them to
+// header names and body formats.
 package backend
 
 import (
@@ -12,82 +12,82 @@
 	"github.com/dykewing/dykewing/worker"
 )
 
-// Request is what a client says of its request.
+// Request holds what a client's headers say about its request.
 type Request struct {
 	ID           string
-	Left         time.Duration // that the client waits; 0: not told
-	LastEvent    string        // a stream is to go on after it
+	Left         time.Duration // remaining time before the client's deadline; 0 if not given
+	LastEvent    string        // ID of the last event received, after which a stream resumes
 	Parts        []worker.Part // of the prompt, in order
 	PromptTokens int
-	OutputTokens int // estimate; 0: not told
+	OutputTokens int // estimate; 0 if not given
 	Key          route.Key
-	HasKey       bool // Key is told, once and in the right form
+	HasKey       bool // exactly one well-formed key was given
 }
 
-// Call is what the system tells a worker with a request.
+// Call holds what a worker is told about a request.
 type Call struct {
-	ID        string        // empty: as the client sent it
-	Left      time.Duration // after which the worker may stop
-	Worker    string        // the only one that may run it
-	LastEvent string        // go on after it; empty: as the client sent it
-	// Tenants: the configuration has tenants, so that neither a key nor a tenant that
-	// the client named may reach the worker. Tenant is whose the request is, if known.
+	ID        string        // if empty, the client's header is kept
+	Left      time.Duration // remaining time, after which the worker may stop
+	Worker    string        // the only worker that may run the request
+	LastEvent string        // event after which to resume; if empty, the client's header is kept
+	// Tenants reports whether the configuration has tenants. If so, keys and tenants
+	// named by the client are not passed to the worker.
 	Tenants bool
-	Tenant  string
+	Tenant  string // owner of the request; empty if unknown
 }
 
-// Answer is what a worker says with an answer's header.
+// Answer holds what the header of a worker's response says.
 type Answer struct {
 	RequestID string
-	Stamped   bool // the worker signed it
-	NotRun    bool // the worker says that it did not run the request
-	Moved     bool // another worker has the address
+	Stamped   bool // the response carries the worker protocol's stamp header
+	NotRun    bool // the worker reports that it did not run the request
+	Moved     bool // the address now belongs to another worker
 	Load      worker.Load
-	Loaded    bool // Load is told
+	Loaded    bool // Load is present
 }
 
-// Report is a worker's state when asked for it.
+// Report is a worker's state, as returned by its report endpoint.
 type Report struct {
-	Born        time.Time // when the worker started; zero when not told
+	Born        time.Time // start time; zero if not given
 	Running     int
 	Waiting     int
 	UsedTokens  int
 	TotalTokens int
-	Pace        float64 // of its answer's header; 0 when not told
+	Pace        float64 // from the response's header; 0 if not given
 }
 
-// JobAction is what a call about a submitted job asks for.
+// JobAction is the operation that a call on a submitted job requests.
 type JobAction int
 
-// The actions.
 const (
-	JobRead JobAction = iota + 1 // results from a position on
-	JobItem                      // an item's body
+	JobRead JobAction = iota + 1 // read results from a position on
+	JobItem                      // read an item's body
 	JobEnd                       // end the job
 )
 
-// JobCall is a call about a submitted job.
+// JobCall is a call on a submitted job.
 type JobCall struct {
 	Action JobAction
 	Job    string
 	Item   string
-	From   int // position, counted from 0
+	From   int // index of the first result, from 0
 }
 
-// Resolve is a client's question to the registry.
+// Resolve is a client's query for the addresses of a host.
 type Resolve struct {
 	Host   string
 	Region string
 	Zone   string
 }
 
-// Addresses is the registry's answer.
+// Addresses is the response to a Resolve query. Clients may cache it for Lifetime.
 type Addresses struct {
 	Addresses []string
 	Lifetime  time.Duration
 }
 
-// Protocol is a platform's way of speaking. It decides nothing.
+// Protocol maps the values of this package to a platform's HTTP headers and body
+// formats. It makes no routing or scheduling decisions.
 type Protocol interface {
 	ReadRequest(header http.Header) Request
 	WriteCall(header http.Header, call Call)
--- a/internal/backend/caller.go
+++ b/internal/backend/caller.go
@@ -15,53 +15,54 @@
 	"github.com/dykewing/dykewing/worker"
 )
 
-// connectionHeaders concern one connection only and are not passed on.
+// connectionHeaders are the hop-by-hop headers, which are not forwarded.
 var connectionHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Proxy-Authenticate", "Proxy-Authorization",
 }
 
-// Connections to workers.
+// Limits of connections to workers.
 const (
-	idleConnections = 16 // kept to one worker
-	idleLifetime    = 900 * time.Millisecond
-	dialTimeout     = 500 * time.Millisecond
-	silenceLimit    = 2 * time.Second
-	maximumReport   = 64 << 10
+	maxIdleConnections = 16 // per worker
+	idleTimeout        = 900 * time.Millisecond
+	dialTimeout        = 500 * time.Millisecond
+	silenceLimit       = 2 * time.Second
+	maxReportBytes     = 64 << 10
 )
 
-// Caller sends requests to workers and reads what they say of themselves.
+// Caller sends requests to workers and fetches their reports. It is safe for
+// concurrent use.
 type Caller struct {
 	Protocol Protocol
 	client   *http.Client
 }
 
-// NewCaller gives a caller with a pool of connections of its own.
+// NewCaller returns a Caller with its own connection pool.
 func NewCaller(protocol Protocol) *Caller {
 	return &Caller{Protocol: protocol, client: transport.NewProbingClient(transport.Options{
-		ConnectionsPerHost: idleConnections, DialTimeout: dialTimeout, IdleLifetime: idleLifetime, SilenceLimit: silenceLimit,
+		ConnectionsPerHost: maxIdleConnections, DialTimeout: dialTimeout, IdleLifetime: idleTimeout, SilenceLimit: silenceLimit,
 	})}
 }
 
-// Count lets the bytes to and from workers be counted.
+// Count adds the bytes sent to and received from workers to traffic and returns c.
 func (c *Caller) Count(traffic *transport.Traffic) *Caller {
 	traffic.Count(c.client, transport.KindWorkers)
 	return c
 }
 
-// Outgoing is a request as a worker is to get it.
+// Outgoing is a request to be sent to a worker.
 type Outgoing struct {
 	Method string
-	Path   string // escaped, as the caller sent it
+	Path   string // escaped, as sent by the client
 	Query  string
 	Host   string
-	Header http.Header // is changed
+	Header http.Header // modified by Send
 	Body   []byte
 	Call   Call
-	ID     string // that the answer must carry
+	ID     string // request ID that the response must carry
 	Worker worker.Worker
 }
 
-// Incoming is a worker's answer, whose body is still to come.
+// Incoming is a worker's response with its body unread. The receiver closes it.
 type Incoming struct {
 	Answer
 	Response *http.Response
@@ -69,7 +70,8 @@
 
 const stepSend = "send to worker"
 
-// Send sends a request once. An error says whether it can have run.
+// Send sends a request once, without retries. The outcome of an error tells whether the
+// request may have run.
 func (c *Caller) Send(ctx context.Context, out Outgoing) (*Incoming, *api.Error) {
 	ctx = transport.WithPeerZone(ctx, out.Worker.Zone)
 	request, err := http.NewRequestWithContext(ctx, out.Method, "http://"+out.Worker.Address, bytes.NewReader(out.Body))
@@ -81,7 +83,7 @@
 	request.Header = out.Header
 	DropConnectionHeaders(request.Header)
 	if _, ok := request.Header["User-Agent"]; !ok {
-		request.Header["User-Agent"] = nil // not net/http's own
+		request.Header["User-Agent"] = nil // suppresses the default of net/http
 	}
 	out.Call.Worker = out.Worker.ID
 	c.Protocol.WriteCall(request.Header, out.Call)
@@ -90,23 +92,24 @@
 		return nil, failure
 	}
 	incoming := &Incoming{Answer: c.Protocol.ReadAnswer(response.StatusCode, response.Header), Response: response}
-	if failure := incoming.check(out); failure != nil {
+	if failure := incoming.checkRequestID(out); failure != nil {
 		response.Body.Close()
 		return nil, failure
 	}
 	return incoming, nil
 }
 
-// check refuses an answer that belongs to another request.
-func (i *Incoming) check(out Outgoing) *api.Error {
+// checkRequestID rejects a response that belongs to another request. A refusal may lack the ID.
+func (i *Incoming) checkRequestID(out Outgoing) *api.Error {
 	if i.RequestID == out.ID || i.RequestID == "" && i.NotRun {
 		return nil
 	}
 	return api.NewError("read answer", out.Worker.ID, api.CodeUpstream, api.OutcomeUnknown,
-		"the answer is of request %q", i.RequestID)
+		"response carries the id of another request, %q", i.RequestID)
 }
 
-// DropConnectionHeaders removes what concerns one connection only.
+// DropConnectionHeaders removes hop-by-hop headers, including those that the
+// Connection header names.
 func DropConnectionHeaders(header http.Header) {
 	for _, named := range header["Connection"] {
 		for name := range strings.SplitSeq(named, ",") {
@@ -118,7 +121,7 @@
 	}
 }
 
-// Report asks a worker for its state.
+// Report fetches a worker's state.
 func (c *Caller) Report(ctx context.Context, w worker.Worker) (Report, error) {
 	ctx = transport.WithPeerZone(ctx, w.Zone)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+w.Address+c.Protocol.ReportPath(), nil)
@@ -130,7 +133,7 @@
 		return Report{}, fmt.Errorf("ask worker %s: %w", w.ID, err)
 	}
 	defer response.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(response.Body, maximumReport))
+	raw, err := io.ReadAll(io.LimitReader(response.Body, maxReportBytes))
 	if err != nil {
 		return Report{}, fmt.Errorf("ask worker %s: %w", w.ID, err)
 	}
@@ -145,5 +148,5 @@
 	return report, nil
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Caller) Close() { c.client.CloseIdleConnections() }
--- a/internal/backend/evacuation.go
+++ b/internal/backend/evacuation.go
@@ -11,8 +11,8 @@
 	"github.com/dykewing/dykewing/worker"
 )
 
-// evacuations are the zones to whose workers operators want nothing further sent: a key
-// each, with the zone's name, for as long as it is there. It is a catalog.View.
+// evacuations is a catalog.View of the evacuated zones, whose workers get no new
+// requests. A zone is evacuated while a key with its name exists under prefix.
 type evacuations struct {
 	prefix string
 	pool   *Pool
@@ -22,13 +22,13 @@
 	zones map[string]bool
 }
 
-// Evacuations gives a view that keeps a pool from the workers of zones whose keys stand
-// under a prefix. What runs there goes on.
+// Evacuations returns a view that excludes the workers of the zones named by the keys
+// under prefix. Requests that already run there are not affected.
 func (p *Pool) Evacuations(prefix string, log *logrus.Entry) catalog.View {
 	return &evacuations{prefix: prefix, pool: p, log: log, zones: map[string]bool{}}
 }
 
-// Whole takes all keys.
+// Whole replaces the set of evacuated zones.
 func (e *evacuations) Whole(result kv.RangeResult) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -38,25 +38,25 @@
 	}
 	for zone := range e.zones {
 		if !zones[zone] {
-			e.set(zone, false)
+			e.setZone(zone, false)
 		}
 	}
 	for zone := range zones {
-		e.set(zone, true)
+		e.setZone(zone, true)
 	}
 }
 
-// Changes takes keys that came or went.
+// Changes applies created and deleted keys.
 func (e *evacuations) Changes(batch kv.Batch) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, event := range batch.Events {
-		e.set(strings.TrimPrefix(event.Pair.Key, e.prefix), !event.Deleted)
+		e.setZone(strings.TrimPrefix(event.Pair.Key, e.prefix), !event.Deleted)
 	}
 }
 
-// set takes one zone; the mutex is held.
-func (e *evacuations) set(zone string, evacuated bool) {
+// set updates one zone. The caller holds the mutex.
+func (e *evacuations) setZone(zone string, evacuated bool) {
 	if e.zones[zone] == evacuated {
 		return
 	}
@@ -65,13 +65,13 @@
 	} else {
 		delete(e.zones, zone)
 	}
-	e.log.WithFields(logrus.Fields{"event": "zone_evacuated", "zone": zone, "evacuated": evacuated}).Info("Whether a zone's workers get anything has changed.")
+	e.log.WithFields(logrus.Fields{"event": "zone_evacuated", "zone": zone, "evacuated": evacuated}).Info("Zone evacuation changed.")
 	e.pool.setEvacuated(zone, evacuated)
 }
 
-// setEvacuated keeps requests from a zone's workers, or no longer.
+// setEvacuated excludes or readmits a zone's workers.
 func (p *Pool) setEvacuated(zone string, evacuated bool) {
-	p.do(func(pool *worker.Pool) { pool.SetEvacuated(zone, evacuated) })
+	p.withLock(func(pool *worker.Pool) { pool.SetEvacuated(zone, evacuated) })
 	if p.changed != nil {
 		p.changed()
 	}
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -11,9 +11,9 @@
 	"github.com/dykewing/dykewing/worker"
 )
 
-// Pool is a worker.Pool that may be used from anywhere.
+// Pool is a worker.Pool that is safe for concurrent use.
 type Pool struct {
-	mutex   sync.Mutex // guards all below
+	mutex   sync.Mutex // guards pool and random
 	pool    *worker.Pool
 	random  *rand.Rand
 	changed func()
@@ -21,26 +21,28 @@
 	generation atomic.Uint64
 }
 
-// NewPool gives an empty pool; changed is called, without a lock, after each
-// change of the list, and may be nil.
+// NewPool returns an empty pool. changed may be nil; it is called without the lock held
+// after a change of the worker list, the configuration or the evacuated zones.
 func NewPool(settings worker.Settings, changed func()) *Pool {
 	return &Pool{pool: worker.NewPool(settings), random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), changed: changed}
 }
 
-// Ticket is a request's place at a worker, from the choice until End.
+// Ticket is a request's assignment to a worker, from Take until End. It is not safe for
+// concurrent use.
 type Ticket struct {
 	worker.Choice
-	pool    *Pool
-	unread  int
-	started bool
-	ended   bool
-	onEnd   func()
+	pool           *Pool
+	uncachedTokens int
+	started        bool
+	ended          bool
+	onEnd          func()
 }
 
-// OnEnd sets what is called, without a lock, when the request leaves the worker.
+// OnEnd sets a function that End calls once, without the pool's lock held.
 func (t *Ticket) OnEnd(call func()) { t.onEnd = call }
 
-// Take chooses a worker and notes the request there.
+// Take chooses a worker and counts the request there. It returns false if no worker
+// fits the query.
 func (p *Pool) Take(query worker.Query) (*Ticket, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -50,26 +52,26 @@
 	}
 	p.pool.Begin(choice.Worker.ID, choice.Unread)
 	p.pool.Sent(choice.Worker.ID, query.Parts)
-	return &Ticket{Choice: choice, pool: p, unread: choice.Unread}, true
+	return &Ticket{Choice: choice, pool: p, uncachedTokens: choice.Unread}, true
 }
 
-// Started notes that the worker has read the prompt.
+// Started records that the worker has processed the prompt. Later calls have no effect.
 func (t *Ticket) Started() {
 	if t.started {
 		return
 	}
 	t.started = true
-	t.do(func(pool *worker.Pool) { pool.Started(t.Worker.ID, t.unread) })
+	t.updateWorker(func(pool *worker.Pool) { pool.Started(t.Worker.ID, t.uncachedTokens) })
 }
 
-// End notes that the request has left the worker.
+// End records that the request has left the worker. Later calls have no effect.
 func (t *Ticket) End() {
 	if t.ended {
 		return
 	}
 	t.ended = true
 	t.Started()
-	t.do(func(pool *worker.Pool) {
+	t.updateWorker(func(pool *worker.Pool) {
 		pool.End(t.Worker.ID)
 		pool.Used(time.Now(), t.Worker.ID)
 	})
@@ -78,15 +80,15 @@
 	}
 }
 
-// Report takes a load that the worker told.
+// Report records a load that the worker reported.
 func (t *Ticket) Report(load worker.Load) {
-	t.do(func(pool *worker.Pool) { pool.Report(time.Now(), t.Worker.ID, load) })
+	t.updateWorker(func(pool *worker.Pool) { pool.Report(time.Now(), t.Worker.ID, load) })
 }
 
-// do changes what is believed of the ticket's worker, unless the worker has started again
-// since: what ends now is of the start before.
-func (t *Ticket) do(change func(*worker.Pool)) {
-	t.pool.do(func(pool *worker.Pool) {
+// do applies change unless the worker has restarted since the ticket was taken, since
+// the ticket then belongs to the previous incarnation.
+func (t *Ticket) updateWorker(change func(*worker.Pool)) {
+	t.pool.withLock(func(pool *worker.Pool) {
 		if current, ok := pool.Current(t.Worker.ID); ok && current != t.Worker.Incarnation() {
 			return
 		}
@@ -94,163 +96,165 @@
 	})
 }
 
-// Refused notes that no connection could be made.
+// Refused records that no connection could be made.
 func (t *Ticket) Refused() {
-	t.do(func(pool *worker.Pool) { pool.Refused(time.Now(), t.Worker.ID) })
+	t.updateWorker(func(pool *worker.Pool) { pool.Refused(time.Now(), t.Worker.ID) })
 }
 
-// Broke notes that the worker's answer broke off.
+// Broke records that the worker's response was interrupted.
 func (t *Ticket) Broke() {
-	t.do(func(pool *worker.Pool) { pool.Broke(time.Now(), t.Worker.ID) })
+	t.updateWorker(func(pool *worker.Pool) { pool.Broke(time.Now(), t.Worker.ID) })
 }
 
-// Full notes that the worker turned the request away.
+// Full records that the worker rejected the request for lack of capacity.
 func (t *Ticket) Full() {
-	t.do(func(pool *worker.Pool) { pool.Full(time.Now(), t.Worker.ID) })
+	t.updateWorker(func(pool *worker.Pool) { pool.Full(time.Now(), t.Worker.ID) })
 }
 
-// Moved notes that another worker has the address.
+// Moved removes the worker, whose address now belongs to another one.
 func (t *Ticket) Moved() {
-	t.do(func(pool *worker.Pool) { pool.Remove(t.Worker.ID) })
+	t.updateWorker(func(pool *worker.Pool) { pool.Remove(t.Worker.ID) })
 }
 
-// Put takes what a worker says of itself before its list does.
+// Put adds or updates a worker before the worker list does.
 func (p *Pool) Put(w worker.Worker) {
-	p.do(func(pool *worker.Pool) { pool.Put(w) })
+	p.withLock(func(pool *worker.Pool) { pool.Put(w) })
 	p.generation.Add(1)
 }
 
-// Current gives the incarnation of a worker that is listed.
+// Current returns the incarnation of a listed worker.
 func (p *Pool) Current(id string) (current worker.Incarnation, ok bool) {
-	p.do(func(pool *worker.Pool) { current, ok = pool.Current(id) })
+	p.withLock(func(pool *worker.Pool) { current, ok = pool.Current(id) })
 	return current, ok
 }
 
-// TellPace takes a worker's word of its pace that another process heard at a moment.
+// TellPace records a pace that a worker reported to another process at the given time.
 func (p *Pool) TellPace(at time.Time, id string, pace float64) {
-	p.do(func(pool *worker.Pool) { pool.TellPace(at, id, pace) })
+	p.withLock(func(pool *worker.Pool) { pool.TellPace(at, id, pace) })
 }
 
-// LearnPaces takes the stable parts of workers' paces that another process gathered.
+// LearnPaces sets the stable paces, by worker ID, that another process computed.
 func (p *Pool) LearnPaces(slow map[string]float64) {
 	now := time.Now()
-	p.do(func(pool *worker.Pool) {
+	p.withLock(func(pool *worker.Pool) {
 		for id, pace := range slow {
 			pool.LearnPace(now, id, pace)
 		}
 	})
 }
 
-// Paced tells whether something is known of the pace of one of a service's workers.
+// Paced reports whether the pace of any of a service's workers is known.
 func (p *Pool) Paced(service string) (paced bool) {
-	p.do(func(pool *worker.Pool) { paced = pool.Paced(time.Now(), service) })
+	p.withLock(func(pool *worker.Pool) { paced = pool.Paced(time.Now(), service) })
 	return paced
 }
 
-// PaceOf is what is believed of a worker's pace; false where nothing is known.
+// PaceOf returns the estimated pace of a worker and whether one is known.
 func (p *Pool) PaceOf(id string) (pace worker.Pace, known bool) {
-	p.do(func(pool *worker.Pool) { pace, known = pool.PaceOf(time.Now(), id) })
+	p.withLock(func(pool *worker.Pool) { pace, known = pool.PaceOf(time.Now(), id) })
 	return pace, known
 }
 
-// ObserveStep takes the mean time between two events of a stream that a worker gave.
+// ObserveStep records the mean time between two events of a worker's stream.
 func (p *Pool) ObserveStep(id string, step time.Duration) {
-	p.do(func(pool *worker.Pool) { pool.ObserveStep(time.Now(), id, step) })
+	p.withLock(func(pool *worker.Pool) { pool.ObserveStep(time.Now(), id, step) })
 }
 
-// Slowness is how many times as long as expected work takes at a worker; 1 unless it is
-// far beyond.
+// Slowness returns the factor by which a worker is slower than expected; 1 unless it is
+// far slower.
 func (p *Pool) Slowness(id string) (slowness float64) {
-	p.do(func(pool *worker.Pool) { slowness = pool.Slowness(time.Now(), id) })
+	p.withLock(func(pool *worker.Pool) { slowness = pool.Slowness(time.Now(), id) })
 	return slowness
 }
 
-// TakeOutcomes takes how requests ended at a worker. True with a change of what is
-// believed of it.
+// TakeOutcomes records how requests ended at a worker. It returns true if that ejects
+// or readmits the worker.
 func (p *Pool) TakeOutcomes(id string, outcomes worker.Outcomes) (judgement worker.Judgement, changed bool) {
-	p.do(func(pool *worker.Pool) { judgement, changed = pool.TakeOutcomes(time.Now(), id, outcomes) })
+	p.withLock(func(pool *worker.Pool) { judgement, changed = pool.TakeOutcomes(time.Now(), id, outcomes) })
 	return judgement, changed
 }
 
-// Accepts tells whether a worker is listed and does not leave.
+// Accepts reports whether a worker is listed and not draining.
 func (p *Pool) Accepts(id string) (accepts bool) {
-	p.do(func(pool *worker.Pool) { accepts = pool.Accepts(id) })
+	p.withLock(func(pool *worker.Pool) { accepts = pool.Accepts(id) })
 	return accepts
 }
 
-// Workers lists a service's workers; of some groups only where any are named.
+// Workers lists a service's workers, limited to the given groups if there are any.
 func (p *Pool) Workers(service string, groups ...int) (list []worker.Worker) {
-	p.do(func(pool *worker.Pool) { list = pool.Workers(service, groups...) })
+	p.withLock(func(pool *worker.Pool) { list = pool.Workers(service, groups...) })
 	return list
 }
 
-// SetHeld takes what all others hold at workers, by their own word.
+// SetHeld sets the exact number of requests that all other processes have at workers,
+// by worker ID.
 func (p *Pool) SetHeld(held map[string]int) {
 	now := time.Now()
-	p.do(func(pool *worker.Pool) {
+	p.withLock(func(pool *worker.Pool) {
 		for id, n := range held {
 			pool.SetHeld(now, id, n)
 		}
 	})
 }
 
-// ForgetHeld makes what others hold a guess again.
-func (p *Pool) ForgetHeld() { p.do(func(pool *worker.Pool) { pool.ForgetHeld() }) }
+// ForgetHeld drops the counts of SetHeld, so that other processes' load is estimated
+// again.
+func (p *Pool) ForgetHeld() { p.withLock(func(pool *worker.Pool) { pool.ForgetHeld() }) }
 
-// EachOccupancy calls visit, which must not use the pool, with what is believed of a
-// service's workers; nil groups are all.
+// EachOccupancy calls visit with the estimated occupancy of each of a service's workers;
+// nil groups means all. visit runs with the lock held and must not use the pool.
 func (p *Pool) EachOccupancy(service string, groups []int, visit func(worker.Occupancy)) {
-	p.do(func(pool *worker.Pool) { pool.EachOccupancy(time.Now(), service, groups, visit) })
+	p.withLock(func(pool *worker.Pool) { pool.EachOccupancy(time.Now(), service, groups, visit) })
 }
 
-// Occupancies lists what is believed of a service's workers; of some groups only where any
-// are named.
+// Occupancies lists the estimated occupancy of a service's workers, limited to the given
+// groups if there are any.
 func (p *Pool) Occupancies(service string, groups ...int) (list []worker.Occupancy) {
-	p.do(func(pool *worker.Pool) { list = pool.Occupancies(time.Now(), service, groups...) })
+	p.withLock(func(pool *worker.Pool) { list = pool.Occupancies(time.Now(), service, groups...) })
 	return list
 }
 
-// OccupancyOf is what is believed of one worker; false where it is not listed.
+// OccupancyOf returns the estimated occupancy of a worker and whether it is listed.
 func (p *Pool) OccupancyOf(id string) (occupancy worker.Occupancy, listed bool) {
-	p.do(func(pool *worker.Pool) { occupancy, listed = pool.OccupancyOf(time.Now(), id) })
+	p.withLock(func(pool *worker.Pool) { occupancy, listed = pool.OccupancyOf(time.Now(), id) })
 	return occupancy, listed
 }
 
-// Generation counts changes of the list of workers.
+// Generation returns a number that grows with each change of the worker list.
 func (p *Pool) Generation() uint64 { return p.generation.Load() }
 
-// SetGroups divides the workers into groups.
+// SetGroups assigns each worker to the group that groupOf returns.
 func (p *Pool) SetGroups(groupOf func(id string) int) {
-	p.do(func(pool *worker.Pool) { pool.SetGroups(groupOf) })
+	p.withLock(func(pool *worker.Pool) { pool.SetGroups(groupOf) })
 }
 
-// Read notes that a worker will have read the parts of a prompt.
+// Read records that a worker will have the parts of a prompt in its cache.
 func (p *Pool) Read(id string, parts []worker.Part) {
-	p.do(func(pool *worker.Pool) { pool.Sent(id, parts) })
+	p.withLock(func(pool *worker.Pool) { pool.Sent(id, parts) })
 }
 
-// Prefer chooses a worker and notes nothing.
+// Prefer chooses a worker without counting a request there.
 func (p *Pool) Prefer(query worker.Query) (choice worker.Choice, ok bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.pool.Choose(time.Now(), query, p.random)
 }
 
-// Held is how many requests of this process a worker has.
+// Held returns the number of this process's requests in flight at a worker.
 func (p *Pool) Held(id string) (n int) {
-	p.do(func(pool *worker.Pool) { n = pool.Held(id) })
+	p.withLock(func(pool *worker.Pool) { n = pool.Held(id) })
 	return n
 }
 
-func (p *Pool) do(change func(*worker.Pool)) {
+func (p *Pool) withLock(change func(*worker.Pool)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	change(p.pool)
 }
 
-// WorkersChanged takes changes of the list.
+// WorkersChanged applies changes of the worker list.
 func (p *Pool) WorkersChanged(changes []catalog.Change) {
-	p.do(func(pool *worker.Pool) {
+	p.withLock(func(pool *worker.Pool) {
 		for _, change := range changes {
 			if change.Gone {
 				pool.Remove(change.ID)
@@ -265,9 +269,9 @@
 	}
 }
 
-// ConfigurationChanged takes what a configuration says of engines.
+// ConfigurationChanged sets the cache capacity of each service's engines.
 func (p *Pool) ConfigurationChanged(configuration *route.Configuration) {
-	p.do(func(pool *worker.Pool) {
+	p.withLock(func(pool *worker.Pool) {
 		for _, service := range configuration.Services {
 			pool.SetCapacity(service.Name, service.CacheTokens)
 		}
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -7,18 +7,18 @@
 	"github.com/dykewing/dykewing/worker"
 )
 
-// A request of an earlier start ends after its worker has started again: what it tells is
-// not of the new start, whose own request stays counted.
-func TestATicketOfAnEarlierStartChangesNothing(t *testing.T) {
+// A ticket that ends after its worker has restarted must not change the state of the new
+// incarnation, whose own request stays counted.
+func TestTicketOfPreviousIncarnationChangesNothing(t *testing.T) {
 	tests := []struct {
 		name string
 		end  func(ticket *Ticket)
 	}{
 		{"ends", func(ticket *Ticket) { ticket.End() }},
-		{"no connection", func(ticket *Ticket) { ticket.Refused(); ticket.End() }},
-		{"turned away", func(ticket *Ticket) { ticket.Full(); ticket.End() }},
-		{"another has the address", func(ticket *Ticket) { ticket.Moved() }},
-		{"an old load", func(ticket *Ticket) { ticket.Report(worker.Load{Running: 8, Slots: 8}); ticket.End() }},
+		{"connection refused", func(ticket *Ticket) { ticket.Refused(); ticket.End() }},
+		{"rejected", func(ticket *Ticket) { ticket.Full(); ticket.End() }},
+		{"address moved", func(ticket *Ticket) { ticket.Moved() }},
+		{"stale load", func(ticket *Ticket) { ticket.Report(worker.Load{Running: 8, Slots: 8}); ticket.End() }},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -29,12 +29,12 @@
 			listed.Born = time.UnixMilli(2_000)
 			p.Put(listed)
 			if _, ok := p.Take(worker.Query{Service: "s"}); !ok {
-				t.Fatal("no place at the new start")
+				t.Fatal("no slot at the new incarnation")
 			}
 			test.end(old)
 			seen := p.Occupancies("s")
 			if len(seen) != 1 || seen[0].Taken != 1 || seen[0].Others != 0 || !seen[0].Usable {
-				t.Errorf("%+v", seen)
+				t.Errorf("occupancies are %+v, want one usable worker with one request", seen)
 			}
 		})
 	}
