--- a/internal/router/batch.go
+++ b/internal/router/batch.go
@@ -18,38 +18,38 @@
 )
 
 const (
-	storeConnections  = 16                     // a store, for batch only
-	batchTickBusy     = 5 * time.Millisecond   // while items are here
-	batchTickIdle     = 50 * time.Millisecond  // otherwise
-	storeCallTimeout  = 10 * time.Second       // without the wait of a claim
-	stopPollInterval  = 20 * time.Millisecond  // while a planned stop waits
-	reportTimeout     = 5 * time.Second        // of a planned stop, once nothing runs
-	leadersOfViewLate = 100 * time.Millisecond // a view is told at most this often
+	storeConnections = 16                    // per store, for batch only
+	batchTickBusy    = 5 * time.Millisecond  // while items are running
+	batchTickIdle    = 50 * time.Millisecond // otherwise
+	storeCallTimeout = 10 * time.Second      // excludes the long-poll wait of a claim
+	stopPollInterval = 20 * time.Millisecond // during a graceful stop
+	reportTimeout    = 5 * time.Second       // during a graceful stop, once no item runs
+	leaderInterval   = 100 * time.Millisecond
 )
 
-// errItemStopped cancels an item that a leader no longer wants.
-var errItemStopped = errors.New("the batch item was cancelled")
+// errItemCancelled is the cancellation cause of an item that its leader withdrew.
+var errItemCancelled = errors.New("batch item cancelled by its group's leader")
 
-// batch runs the jobs.Runner of this router.
-type batch struct {
+// batchRunner drives the router's jobs.Runner and carries out its actions.
+type batchRunner struct {
 	router *Router
-	ctx    context.Context // until the stores need no more reports
+	ctx    context.Context // ends once all results are reported to the stores
 	client *http.Client
 	runner *jobs.Runner
 	shell  *shell.Shell[jobs.RunnerMessage, jobs.RunnerAction]
 	calls  sync.WaitGroup
-	active atomic.Int64 // items being run
+	active atomic.Int64 // number of running items
 
 	mutex   sync.Mutex // guards cancels
 	cancels map[api.RequestID]context.CancelCauseFunc
 }
 
-func newBatch(ctx context.Context, router *Router) *batch {
+func newBatchRunner(ctx context.Context, router *Router) *batchRunner {
 	settings := jobs.DefaultRunnerSettings()
 	settings.Router = router.node.ID()
 	settings.ClaimWait = router.node.Settings.Router.ClaimWait
 	settings.NewRequestID = func() api.RequestID { return api.RequestID(uuid.NewString()) }
-	b := &batch{
+	b := &batchRunner{
 		router: router, ctx: ctx, client: transport.NewClient(storeConnections),
 		runner: jobs.NewRunner(settings), cancels: map[api.RequestID]context.CancelCauseFunc{},
 	}
@@ -57,29 +57,29 @@
 	return b
 }
 
-// pullBatch fills idle room with items until ctx ends, then lets those that run
-// end and be reported.
+// pullBatch fills idle capacity with batch items until ctx ends, then waits for the
+// running items and their reports.
 func (r *Router) pullBatch(ctx context.Context) {
 	reports, stop := context.WithCancel(context.WithoutCancel(ctx))
-	b := newBatch(reports, r)
+	b := newBatchRunner(reports, r)
 	b.run(ctx)
 	stop()
 	b.calls.Wait()
 	b.shell.Stop()
 }
 
-func (b *batch) run(ctx context.Context) {
-	viewed, stopping := time.Time{}, false
+func (b *batchRunner) run(ctx context.Context) {
+	lastView, stopping := time.Time{}, false
 	for ctx.Err() == nil {
-		if time.Since(viewed) >= leadersOfViewLate {
-			viewed = time.Now()
-			b.shell.Tell(jobs.Leaders{Groups: leaders(b.router.node.Nodes())})
+		if time.Since(lastView) >= leaderInterval {
+			lastView = time.Now()
+			b.shell.Tell(jobs.Leaders{Groups: groupLeaders(b.router.node.Nodes())})
 		}
 		if b.router.node.Leaving() && !stopping {
 			stopping = true
 			b.shell.Tell(jobs.Stopping{})
 		}
-		b.tellRooms()
+		b.reportCapacity()
 		b.shell.Tell(jobs.RunnerTick{})
 		b.pause(ctx)
 	}
@@ -87,7 +87,7 @@
 	b.awaitReports()
 }
 
-func (b *batch) pause(ctx context.Context) {
+func (b *batchRunner) pause(ctx context.Context) {
 	interval := batchTickIdle
 	if b.active.Load() > 0 {
 		interval = batchTickBusy
@@ -98,13 +98,13 @@
 	}
 }
 
-// awaitReports lets what runs end, within the stop timeout, and be reported,
-// within a shorter one: the stores may be stopping too.
-func (b *batch) awaitReports() {
+// awaitReports waits up to the stop timeout for running items, then up to reportTimeout
+// for their reports, since the stores may be stopping as well.
+func (b *batchRunner) awaitReports() {
 	deadline := time.Now().Add(b.router.node.Settings.Node.StopTimeout)
 	reported := time.Now().Add(reportTimeout)
 	for idle := false; !idle && time.Now().Before(deadline); {
-		b.shell.Tell(jobs.Leaders{Groups: leaders(b.router.node.Nodes())})
+		b.shell.Tell(jobs.Leaders{Groups: groupLeaders(b.router.node.Nodes())})
 		b.shell.Tell(jobs.RunnerTick{})
 		running := false
 		if b.shell.Inspect(func() { idle, running = b.runner.Idle(), b.runner.Running() }) != nil {
@@ -113,16 +113,16 @@
 		if running {
 			reported = time.Now().Add(reportTimeout)
 		}
-		if !running && (time.Now().After(reported) || !storeStays(b.router.node.Nodes())) {
-			b.router.log.Warn("No store took the last batch reports; their items run again or end as unknown.")
+		if !running && (time.Now().After(reported) || !storeAvailable(b.router.node.Nodes())) {
+			b.router.log.Warn("No store accepted the last batch reports; their items will be retried or end with outcome unknown.")
 			return
 		}
 		time.Sleep(stopPollInterval)
 	}
 }
 
-// storeStays tells whether a store is there that is not stopping itself.
-func storeStays(nodes []api.Node) bool {
+// storeAvailable reports whether any store is not leaving.
+func storeAvailable(nodes []api.Node) bool {
 	for _, node := range nodes {
 		if node.Role == api.RoleStore && !node.Leaving {
 			return true
@@ -131,8 +131,8 @@
 	return false
 }
 
-// leaders finds each group's leader in a view: the one with the highest term.
-func leaders(nodes []api.Node) []jobs.GroupLeader {
+// groupLeaders returns the leader of each group in a view: the one with the highest term.
+func groupLeaders(nodes []api.Node) []jobs.GroupLeader {
 	found := map[api.GroupID]jobs.GroupLeader{}
 	for _, node := range nodes {
 		for _, group := range node.Summary.Groups {
@@ -149,8 +149,8 @@
 	return list
 }
 
-// tellRooms tells the runner the idle room of each row.
-func (b *batch) tellRooms() {
+// reportCapacity sends the runner the free capacity of each row.
+func (b *batchRunner) reportCapacity() {
 	snapshot := b.router.node.Table()
 	if snapshot == nil {
 		return
@@ -168,8 +168,8 @@
 	b.shell.Tell(jobs.Rooms{Rooms: rooms})
 }
 
-// execute carries out the runner's actions, each beside the others.
-func (b *batch) execute(action jobs.RunnerAction) {
+// execute carries out the runner's actions concurrently.
+func (b *batchRunner) execute(action jobs.RunnerAction) {
 	switch action := action.(type) {
 	case jobs.SendClaim:
 		b.calls.Go(func() { b.claim(action) })
@@ -190,25 +190,25 @@
 	}
 }
 
-func (b *batch) cancel(request api.RequestID) {
+func (b *batchRunner) cancel(request api.RequestID) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if cancel, ok := b.cancels[request]; ok {
-		cancel(errItemStopped)
+		cancel(errItemCancelled)
 	}
 }
 
-// call posts to the leader's store.
-func (b *batch) call(step string, leader api.NodeID, path string, wait time.Duration, request, answer any) error {
+// call posts a request to the store that leads a group. wait extends the timeout.
+func (b *batchRunner) call(step string, leader api.NodeID, path string, wait time.Duration, request, answer any) error {
 	address, ok := addressOf(b.router.node.Nodes(), leader)
 	if !ok {
-		return api.NewError(step, string(leader), api.CodeNotLeader, api.OutcomeNotRun, "the leader is not in the view")
+		return api.NewError(step, string(leader), api.CodeNotLeader, api.OutcomeNotRun, "leader is not in the membership view")
 	}
 	ctx, cancel := context.WithTimeout(b.ctx, storeCallTimeout+wait)
 	defer cancel()
 	err := transport.Call(ctx, b.client, step, address, path, request, answer)
 	if err != nil {
-		b.router.log.WithError(err).Debug("A store did not take a batch message.")
+		b.router.log.WithError(err).Debug("A batch message to a store failed.")
 	}
 	b.router.metrics.batchMessages.WithLabelValues(step).Inc()
 	return err
@@ -223,21 +223,21 @@
 	return "", false
 }
 
-func (b *batch) claim(action jobs.SendClaim) {
+func (b *batchRunner) claim(action jobs.SendClaim) {
 	var grant jobs.Grant
 	wait := time.Duration(action.Claim.WaitMs) * time.Millisecond
 	err := b.call("claim items", action.Leader, storeclient.ClaimsPath(action.Group), wait, action.Claim, &grant)
 	b.shell.Tell(jobs.GrantArrived{Group: action.Group, Serial: action.Serial, Grant: grant, Failed: err != nil})
 }
 
-func (b *batch) settle(action jobs.SendSettle) {
+func (b *batchRunner) settle(action jobs.SendSettle) {
 	var notice jobs.Notice
 	err := b.call("settle items", action.Leader, storeclient.SettlePath(action.Group), 0, action.Settle, &notice)
-	b.shell.Tell(jobs.SettleAnswered{Group: action.Group, Serial: action.Serial, Notice: notice, Failed: err != nil, Refused: refusedForGood(err)})
+	b.shell.Tell(jobs.SettleAnswered{Group: action.Group, Serial: action.Serial, Notice: notice, Failed: err != nil, Refused: isPermanentRefusal(err)})
 }
 
-// refusedForGood tells whether a report would be refused again.
-func refusedForGood(err error) bool {
+// isPermanentRefusal reports whether retrying the same report is pointless.
+func isPermanentRefusal(err error) bool {
 	if err == nil {
 		return false
 	}
@@ -245,13 +245,13 @@
 	return code == api.CodeTooLarge || code == api.CodeBadRequest
 }
 
-func (b *batch) renew(action jobs.SendRenew) {
+func (b *batchRunner) renew(action jobs.SendRenew) {
 	var notice jobs.Notice
 	err := b.call("renew grants", action.Leader, storeclient.RenewPath(action.Group), 0, action.Renew, &notice)
 	b.shell.Tell(jobs.RenewAnswered{Group: action.Group, Notice: notice, Failed: err != nil})
 }
 
-func (b *batch) start(action jobs.SendStart) {
+func (b *batchRunner) start(action jobs.SendStart) {
 	var result jobs.Result
 	err := b.call("commit start", action.Leader, storeclient.CommandsPath(action.Group), 0, jobs.Command{Start: &action.Start}, &result)
 	answer := jobs.StartCommitted
--- a/internal/router/batchitem.go
+++ b/internal/router/batchitem.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// maximumAnswerBytes is what is kept of an answer. Escaped it may be six
-	// times as long, which a store still takes.
-	maximumAnswerBytes = 4 << 20
-	learnTimeout       = 5 * time.Second
+	// maxResponseBytes bounds a stored response. JSON escaping may make it six times
+	// as long, which is within a store's limit.
+	maxResponseBytes = 4 << 20
+	recoverTimeout   = 5 * time.Second
 )
 
-// runItem sends one item to a worker and tells the runner how it ended.
-func (b *batch) runItem(run jobs.RunItem) {
+// runItem sends one item to a worker and reports the result to the runner.
+func (b *batchRunner) runItem(run jobs.RunItem) {
 	ctx, cancel := context.WithTimeout(b.ctx, b.router.node.Settings.Router.EngineTimeout)
 	defer cancel()
 	ctx, stop := context.WithCancelCause(ctx)
@@ -33,10 +33,10 @@
 	b.setCancel(run.Request, stop)
 	result, failure := b.attempt(ctx, run)
 	b.setCancel(run.Request, nil)
-	b.tellRooms()
+	b.reportCapacity()
 	finished := jobs.ItemFinished{Request: run.Request}
-	if failure != nil && errors.Is(context.Cause(ctx), errItemStopped) {
-		failure.Err = errItemStopped
+	if failure != nil && errors.Is(context.Cause(ctx), errItemCancelled) {
+		failure.Err = errItemCancelled
 	}
 	if failure == nil {
 		b.router.metrics.items.WithLabelValues(string(result.Outcome)).Inc()
@@ -44,7 +44,7 @@
 	} else {
 		b.router.metrics.items.WithLabelValues(string(failure.Outcome)).Inc()
 		finished.Outcome = failure.Outcome
-		finished.Returned = returnedOf(failure)
+		finished.Returned = newReturnedItem(failure)
 		if run.Item.LastAttempt && finished.Returned.Reason == jobs.ReturnFailed {
 			finished.Result = lastResult(run, failure)
 		}
@@ -52,7 +52,7 @@
 	b.shell.Tell(finished)
 }
 
-func (b *batch) setCancel(request api.RequestID, cancel context.CancelCauseFunc) {
+func (b *batchRunner) setCancel(request api.RequestID, cancel context.CancelCauseFunc) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if cancel == nil {
@@ -62,11 +62,11 @@
 	b.cancels[request] = cancel
 }
 
-// returnedOf tells the dispatcher why an item came back.
-func returnedOf(failure *api.Error) jobs.ReturnedItem {
+// newReturnedItem tells the dispatcher why an item is returned.
+func newReturnedItem(failure *api.Error) jobs.ReturnedItem {
 	returned := jobs.ReturnedItem{Reason: jobs.ReturnFailed, Error: failure.Error(), RetryAfterMs: failure.RetryAfter.Milliseconds()}
 	switch {
-	case failure.Code == api.CodePreempted, errors.Is(failure.Err, errItemStopped), errors.Is(failure.Err, errPreempted):
+	case failure.Code == api.CodePreempted, errors.Is(failure.Err, errItemCancelled), errors.Is(failure.Err, errPreempted):
 		returned.Reason = jobs.ReturnPreempted
 	case failure.Outcome == api.OutcomeNotRun && failure.Code != api.CodeBadRequest && failure.Code != api.CodeInternal:
 		returned.Reason = jobs.ReturnNoRoom
@@ -74,7 +74,7 @@
 	return returned
 }
 
-// lastResult ends an item whose attempts are used up.
+// lastResult returns the final result of an item that has no attempts left.
 func lastResult(run jobs.RunItem, failure *api.Error) *jobs.ItemResult {
 	return &jobs.ItemResult{
 		Item: run.Item.Item, CustomID: run.Item.CustomID, Outcome: failure.Outcome, Request: run.Request, Code: failure.Code,
@@ -82,16 +82,16 @@
 	}
 }
 
-// attempt admits an item and sends it, again and again while admission
-// suspends and resumes it.
-func (b *batch) attempt(ctx context.Context, run jobs.RunItem) (jobs.ItemResult, *api.Error) {
+// attempt admits an item and sends it, and sends it again after each suspension that
+// admission resumes.
+func (b *batchRunner) attempt(ctx context.Context, run jobs.RunItem) (jobs.ItemResult, *api.Error) {
 	item := run.Item
 	routed := routing.Request{
 		ID: run.Request, Tenant: item.Tenant, Service: item.Service, Place: item.Place,
 		Class: api.ClassBatch, Repeatable: item.Repeatable, Prefix: engine.PromptPrefix(item.Body),
 	}
-	flight := b.router.flights.add(run.Request)
-	defer b.router.flights.remove(run.Request)
+	flight := b.router.inFlight.add(run.Request)
+	defer b.router.inFlight.remove(run.Request)
 	dispatched, failure := b.router.admit(routed)
 	if failure != nil {
 		return jobs.ItemResult{}, failure
@@ -102,9 +102,9 @@
 	for {
 		result, suspended, failure := b.sendOnce(ctx, flight, run, routed, dispatched, header)
 		if !suspended {
-			return b.learn(run, dispatched, result, failure)
+			return b.recoverResult(run, dispatched, result, failure)
 		}
-		resumed, ok := flight.await(ctx)
+		resumed, ok := flight.awaitResume(ctx)
 		if !ok {
 			failure.Code = api.CodePreempted
 			return jobs.ItemResult{}, failure
@@ -114,11 +114,11 @@
 	}
 }
 
-// sendOnce sends an item; it also tells whether a suspension broke it off.
-func (b *batch) sendOnce(ctx context.Context, flight *flight, run jobs.RunItem, routed routing.Request, dispatched admission.Dispatch, header http.Header) (jobs.ItemResult, bool, *api.Error) {
+// sendOnce sends an item. The second result reports whether a suspension interrupted it.
+func (b *batchRunner) sendOnce(ctx context.Context, flight *inFlightRequest, run jobs.RunItem, routed routing.Request, dispatched admission.Dispatch, header http.Header) (jobs.ItemResult, bool, *api.Error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	flight.begin(cancel)
+	flight.setCancel(cancel)
 	response, failure := b.router.send(ctx, routed, dispatched, run.Item.Path, run.Item.Body, header)
 	if failure != nil {
 		return jobs.ItemResult{}, errors.Is(context.Cause(ctx), errSuspended), failure
@@ -130,7 +130,7 @@
 
 func readResult(ctx context.Context, run jobs.RunItem, response *http.Response) (jobs.ItemResult, *api.Error) {
 	const step = "read answer of worker"
-	body, err := io.ReadAll(io.LimitReader(response.Body, maximumAnswerBytes+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
 	if cause := context.Cause(ctx); err != nil && cause != nil {
 		err = cause
 	}
@@ -145,25 +145,25 @@
 	switch {
 	case retriable && response.StatusCode >= http.StatusInternalServerError:
 		return jobs.ItemResult{}, api.NewError(step, "", api.CodeUpstream, api.OutcomeRan, "status %d", response.StatusCode)
-	case len(body) > maximumAnswerBytes:
+	case len(body) > maxResponseBytes:
 		result.Status, result.Body = 0, nil
-		result.Outcome, result.Code, result.Error = api.OutcomeUnknown, api.CodeTooLarge, fmt.Sprintf("the answer is over %d bytes and was not kept", maximumAnswerBytes)
+		result.Outcome, result.Code, result.Error = api.OutcomeUnknown, api.CodeTooLarge, fmt.Sprintf("the answer is over %d bytes and was not kept", maxResponseBytes)
 	case !json.Valid(body):
 		result.Body, _ = json.Marshal(string(body))
 	}
 	return result, nil
 }
 
-// learn asks the worker for the answer of a non-repeatable item whose outcome
-// was lost, by its request id: nothing is sent again.
-func (b *batch) learn(run jobs.RunItem, dispatched admission.Dispatch, result jobs.ItemResult, failure *api.Error) (jobs.ItemResult, *api.Error) {
+// recoverResult asks the worker, by request id, for the response to a non-repeatable item with
+// an unknown outcome. The item itself is not sent again.
+func (b *batchRunner) recoverResult(run jobs.RunItem, dispatched admission.Dispatch, result jobs.ItemResult, failure *api.Error) (jobs.ItemResult, *api.Error) {
 	if failure == nil {
 		return result, nil
 	}
 	if run.Item.Repeatable || failure.Outcome != api.OutcomeUnknown {
 		return jobs.ItemResult{}, failure
 	}
-	ctx, cancel := context.WithTimeout(b.ctx, learnTimeout)
+	ctx, cancel := context.WithTimeout(b.ctx, recoverTimeout)
 	defer cancel()
 	call := engine.Call{Worker: dispatched.Worker, Address: dispatched.Address}
 	response, err := b.router.batchBackend.Resume(ctx, call, run.Request, 0)
@@ -174,9 +174,9 @@
 	if engine.IsEventStream(response.Header) {
 		return jobs.ItemResult{}, failure
 	}
-	learnt, second := readResult(ctx, run, response)
+	recovered, second := readResult(ctx, run, response)
 	if second != nil {
 		return jobs.ItemResult{}, failure
 	}
-	return learnt, nil
+	return recovered, nil
 }
--- a/internal/router/flight.go
+++ b/internal/router/flight.go
@@ -14,88 +14,91 @@
 	errSuspended = errors.New("suspended for online requests")
 )
 
-// flights are the batch requests that this router has sent to workers, so that
-// admission can stop them; online requests are never stopped.
-type flights struct {
+// inFlightRequests indexes the batch requests that this router has admitted, so that admission
+// can preempt or suspend them. Online requests are never stopped.
+type inFlightRequests struct {
 	mutex sync.Mutex
-	byID  map[api.RequestID]*flight
+	byID  map[api.RequestID]*inFlightRequest
 }
 
-// flight is a request between its admission and its end. While it is
-// suspended nothing of it runs.
-type flight struct {
+// inFlightRequest is a batch request from its admission to its end. While suspended, it is not
+// running at any worker.
+type inFlightRequest struct {
 	mutex     sync.Mutex
-	cancel    context.CancelCauseFunc // of the sending that goes on; nil before
-	stopped   error                   // errSuspended or errPreempted; nil while it may run
-	dispatch  admission.Dispatch      // of the last resumption
-	unstopped chan struct{}           // closed when a suspension ends
+	cancel    context.CancelCauseFunc // cancels the current send; nil if there is none
+	stopCause error                   // errSuspended or errPreempted; nil while it may run
+	dispatch  admission.Dispatch      // set by the last resume
+	resumed   chan struct{}           // closed when a suspension ends, by resume or preemption
 }
 
-func newFlights() *flights { return &flights{byID: map[api.RequestID]*flight{}} }
+func newInFlightRequests() *inFlightRequests {
+	return &inFlightRequests{byID: map[api.RequestID]*inFlightRequest{}}
+}
 
-func (f *flights) add(id api.RequestID) *flight {
+func (f *inFlightRequests) add(id api.RequestID) *inFlightRequest {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	added := &flight{}
+	added := &inFlightRequest{}
 	f.byID[id] = added
 	return added
 }
 
-func (f *flights) remove(id api.RequestID) {
+func (f *inFlightRequests) remove(id api.RequestID) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	delete(f.byID, id)
 }
 
-func (f *flights) get(id api.RequestID) (*flight, bool) {
+func (f *inFlightRequests) get(id api.RequestID) (*inFlightRequest, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	found, ok := f.byID[id]
 	return found, ok
 }
 
-// begin makes a sending stoppable; one that is stopped already ends at once.
-func (f *flight) begin(cancel context.CancelCauseFunc) {
+// setCancel sets the function that cancels the current send, and calls it at once if the
+// request has already been stopped.
+func (f *inFlightRequest) setCancel(cancel context.CancelCauseFunc) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.cancel = cancel
-	if f.stopped != nil {
-		cancel(f.stopped)
+	if f.stopCause != nil {
+		cancel(f.stopCause)
 	}
 }
 
-// stop ends the sending that goes on.
-func (f *flight) stop(cause error) {
+// stop cancels the current send.
+func (f *inFlightRequest) stop(cause error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.stopped == nil {
-		f.unstopped = make(chan struct{})
+	if f.stopCause == nil {
+		f.resumed = make(chan struct{})
 	}
-	if errors.Is(cause, errPreempted) && f.stopped != nil {
-		close(f.unstopped) // nothing is to be waited for any more
+	if errors.Is(cause, errPreempted) && f.stopCause != nil {
+		close(f.resumed) // a preempted request will not be resumed
 	}
-	f.stopped = cause
+	f.stopCause = cause
 	if f.cancel != nil {
 		f.cancel(cause)
 	}
 }
 
-// resume lets a suspended flight be sent again.
-func (f *flight) resume(dispatch admission.Dispatch) {
+// resume allows a suspended request to be sent again.
+func (f *inFlightRequest) resume(dispatch admission.Dispatch) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if errors.Is(f.stopped, errSuspended) {
-		f.stopped, f.cancel, f.dispatch = nil, nil, dispatch
-		close(f.unstopped)
+	if errors.Is(f.stopCause, errSuspended) {
+		f.stopCause, f.cancel, f.dispatch = nil, nil, dispatch
+		close(f.resumed)
 	}
 }
 
-// await waits until a suspended flight may be sent again; false when it is
+// awaitResume blocks until a suspended request is resumed. It returns false if the request is
 // preempted or ctx ends.
-func (f *flight) await(ctx context.Context) (admission.Dispatch, bool) {
+func (f *inFlightRequest) awaitResume(ctx context.Context) (admission.Dispatch, bool) {
 	for {
 		f.mutex.Lock()
-		stopped, unstopped, dispatch := f.stopped, f.unstopped, f.dispatch
+		stopped, unstopped, dispatch := f.stopCause, f.resumed, f.dispatch
 		f.mutex.Unlock()
 		switch {
 		case stopped == nil:
@@ -111,7 +114,8 @@
 	}
 }
 
-// execute carries out admission's actions that are not the answer to a step.
+// execute carries out the actions of the admission machine other than the decision on
+// an arriving request.
 func (r *Router) execute(action admission.Action) {
 	switch action := action.(type) {
 	case admission.Preempt:
@@ -121,16 +125,16 @@
 		r.metrics.suspended.Inc()
 		r.stop(action.Request, errSuspended)
 	case admission.Resume:
-		if flight, ok := r.flights.get(action.Request); ok {
+		if flight, ok := r.inFlight.get(action.Request); ok {
 			flight.resume(action.Dispatch)
 		}
 	case admission.ReportShares:
-		go r.sendShares(action.SendReport)
+		go r.sendShareReport(action.SendReport)
 	}
 }
 
 func (r *Router) stop(id api.RequestID, cause error) {
-	if flight, ok := r.flights.get(id); ok {
+	if flight, ok := r.inFlight.get(id); ok {
 		flight.stop(cause)
 	}
 }
--- a/internal/router/flight_test.go
+++ b/internal/router/flight_test.go
@@ -8,59 +8,59 @@
 	"github.com/dykewing/dykewing/admission"
 )
 
-// sending begins a sending of the flight and gives its context.
-func sending(t *testing.T, f *flight) context.Context {
+// startSend starts a send of the request and returns its context.
+func startSend(t *testing.T, f *inFlightRequest) context.Context {
 	ctx, cancel := context.WithCancelCause(t.Context())
 	t.Cleanup(func() { cancel(nil) })
-	f.begin(cancel)
+	f.setCancel(cancel)
 	return ctx
 }
 
-func TestSuspendedFlightIsSentAgainAfterItsResumption(t *testing.T) {
-	f := newFlights().add("r")
-	first := sending(t, f)
+func TestSuspendedRequestIsResentAfterResume(t *testing.T) {
+	f := newInFlightRequests().add("r")
+	first := startSend(t, f)
 	f.stop(errSuspended)
 	if !errors.Is(context.Cause(first), errSuspended) {
-		t.Fatal("the sending went on")
+		t.Fatal("suspension did not cancel the send")
 	}
 	f.resume(admission.Dispatch{Address: "again"})
-	dispatch, ok := f.await(t.Context())
+	dispatch, ok := f.awaitResume(t.Context())
 	if !ok || dispatch.Address != "again" {
-		t.Fatalf("got %v, %v", dispatch, ok)
+		t.Fatalf("awaitResume returned %v, %v", dispatch, ok)
 	}
-	if second := sending(t, f); second.Err() != nil {
-		t.Fatal("the second sending was stopped by the first one's suspension")
+	if second := startSend(t, f); second.Err() != nil {
+		t.Fatal("the suspension of the first send cancelled the second")
 	}
 }
 
-func TestStopBeforeSendingIsKept(t *testing.T) {
-	f := newFlights().add("r")
+func TestStopBeforeSendCancelsTheSend(t *testing.T) {
+	f := newInFlightRequests().add("r")
 	f.stop(errSuspended)
-	if ctx := sending(t, f); !errors.Is(context.Cause(ctx), errSuspended) {
-		t.Fatal("the sending was not stopped")
+	if ctx := startSend(t, f); !errors.Is(context.Cause(ctx), errSuspended) {
+		t.Fatal("a send after the suspension was not cancelled")
 	}
 	f.resume(admission.Dispatch{})
-	f.stop(errSuspended) // before the waiting sender has looked
-	if ctx := sending(t, f); !errors.Is(context.Cause(ctx), errSuspended) {
-		t.Fatal("the second suspension was lost")
+	f.stop(errSuspended) // before the sender calls awaitResume
+	if ctx := startSend(t, f); !errors.Is(context.Cause(ctx), errSuspended) {
+		t.Fatal("a send after the second suspension was not cancelled")
 	}
 }
 
-func TestPreemptionEndsTheWait(t *testing.T) {
-	f := newFlights().add("r")
-	sending(t, f)
+func TestPreemptionEndsAwaitResume(t *testing.T) {
+	f := newInFlightRequests().add("r")
+	startSend(t, f)
 	f.stop(errSuspended)
 	ended := make(chan bool)
 	go func() {
-		_, ok := f.await(t.Context())
+		_, ok := f.awaitResume(t.Context())
 		ended <- ok
 	}()
 	f.stop(errPreempted)
 	if <-ended {
-		t.Fatal("a preempted flight was sent again")
+		t.Fatal("awaitResume returned true for a preempted request")
 	}
 	f.resume(admission.Dispatch{})
-	if _, ok := f.await(t.Context()); ok {
-		t.Fatal("a preempted flight was resumed")
+	if _, ok := f.awaitResume(t.Context()); ok {
+		t.Fatal("a preempted request was resumed")
 	}
 }
--- a/internal/router/forward.go
+++ b/internal/router/forward.go
@@ -16,17 +16,16 @@
 	"github.com/dykewing/dykewing/routing"
 )
 
-// internalHeaderPrefix is of the headers that go between processes.
+// internalHeaderPrefix is the prefix of headers used between processes.
 const internalHeaderPrefix = "Dykewing-"
 
-// forwarder sends requests on to another home of the zone: those that came from
-// another zone, which knows only a few routers of this one, and those whose
-// workers have moved to another home since the sender's view. A request passes
-// two routers at the most.
+// forwarder forwards requests to another home router of the zone: requests from another
+// zone, which knows only a few of this zone's routers, and requests whose workers have
+// moved to another home since the sender's view. A request is forwarded at most once.
 type forwarder struct {
 	router  *Router
 	client  *http.Client
-	homes   atomic.Pointer[map[api.RowKey][]routing.Endpoint] // in the zone, the own among them
+	homes   atomic.Pointer[map[api.RowKey][]routing.Endpoint] // of the zone, including this router
 	profile routing.Profile
 }
 
@@ -41,13 +40,13 @@
 	return f
 }
 
-// globalSource draws from the runtime's generators, which goroutines share.
+// globalSource is a rand.Source over the top-level generator of math/rand/v2, which is
+// safe for concurrent use.
 type globalSource struct{}
 
-// Uint64 draws.
 func (globalSource) Uint64() uint64 { return rand.Uint64() }
 
-// setNodes takes a view.
+// setNodes rebuilds the index of homes from a membership view.
 func (f *forwarder) setNodes(nodes []api.Node) {
 	homes, leaving := map[api.RowKey][]routing.Endpoint{}, 0
 	location := f.router.node.Settings.Node.Location()
@@ -70,17 +69,17 @@
 	}
 	f.homes.Store(&homes)
 	if leaving > 0 {
-		f.client.CloseIdleConnections() // a router that leaves waits for it
+		f.client.CloseIdleConnections() // a leaving router waits for its connections to close
 	}
 }
 
-// fromOtherZone is true for a request that this router got as its zone's
-// gateway and has not passed another.
+// fromOtherZone reports whether this router received the request as a gateway of its
+// zone, so that the request has not been forwarded yet.
 func fromOtherZone(header http.Header) bool { return header.Get(api.HeaderHops) == "0" }
 
-// before sends a request from another zone to the best home of the zone, and is
-// true when it has answered. This router itself is one of the choices.
-func (f *forwarder) before(ctx context.Context, w http.ResponseWriter, request *http.Request, routed routing.Request, body []byte) bool {
+// forwardFromGateway forwards a request from another zone to the best home of this zone and reports
+// whether it has written a response. It returns false if that home is this router.
+func (f *forwarder) forwardFromGateway(ctx context.Context, w http.ResponseWriter, request *http.Request, routed routing.Request, body []byte) bool {
 	if !fromOtherZone(request.Header) {
 		return false
 	}
@@ -91,11 +90,11 @@
 	return f.send(ctx, w, request, body, chosen)
 }
 
-// after sends a request that was refused here for want of a worker to another
-// home of the row, and is true when it has answered.
-func (f *forwarder) after(ctx context.Context, w http.ResponseWriter, request *http.Request, routed routing.Request, body []byte, failure *api.Error) bool {
-	passed, _ := strconv.Atoi(request.Header.Get(api.HeaderHops))
-	if passed > 0 || failure.Outcome != api.OutcomeNotRun || failure.Code != api.CodeNoCapacity {
+// forwardRefused forwards a request that was refused here for lack of capacity to another home of
+// the row and reports whether it has written a response.
+func (f *forwarder) forwardRefused(ctx context.Context, w http.ResponseWriter, request *http.Request, routed routing.Request, body []byte, failure *api.Error) bool {
+	hops, _ := strconv.Atoi(request.Header.Get(api.HeaderHops))
+	if hops > 0 || failure.Outcome != api.OutcomeNotRun || failure.Code != api.CodeNoCapacity {
 		return false
 	}
 	routed.Excluded = []string{string(f.router.node.ID())}
@@ -107,15 +106,15 @@
 	return f.profile.Choose(routed, (*f.homes.Load())[api.RowKey{Service: routed.Service, Place: routed.Place}])
 }
 
-// send forwards once. It is false, with nothing written, when the request has
-// certainly not run there, so that the caller may still place it itself.
+// send forwards a request without retries. It returns false, with nothing written, if
+// the request certainly did not run there, so that the caller may still run it.
 func (f *forwarder) send(ctx context.Context, w http.ResponseWriter, request *http.Request, body []byte, home routing.Endpoint) bool {
 	const step = "forward to home"
 	outgoing, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+home.Address+request.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
 		return false
 	}
-	outgoing.Header = forwardedHeader(ctx, request.Header)
+	outgoing.Header = newForwardHeader(ctx, request.Header)
 	response, failure := transport.Send(f.client, outgoing, step, home.Name)
 	if failure != nil {
 		f.router.metrics.forwarded.WithLabelValues(string(failure.Outcome)).Inc()
@@ -128,14 +127,14 @@
 	defer response.Body.Close()
 	outcome := response.Header.Get(api.HeaderOutcome)
 	f.router.metrics.forwarded.WithLabelValues(outcome).Inc()
-	f.passOn(w, response)
+	f.relay(w, response)
 	return true
 }
 
-func forwardedHeader(ctx context.Context, received http.Header) http.Header {
+func newForwardHeader(ctx context.Context, received http.Header) http.Header {
 	header := http.Header{}
-	copyInternal(header, received)
-	for _, name := range passedHeaders {
+	copyInternalHeaders(header, received)
+	for _, name := range requestHeaders {
 		if values := received[http.CanonicalHeaderKey(name)]; len(values) > 0 {
 			header[http.CanonicalHeaderKey(name)] = values
 		}
@@ -147,7 +146,7 @@
 	return header
 }
 
-func copyInternal(to, from http.Header) {
+func copyInternalHeaders(to, from http.Header) {
 	for name, values := range from {
 		if strings.HasPrefix(name, internalHeaderPrefix) || name == api.HeaderRequestID {
 			to[name] = values
@@ -155,20 +154,20 @@
 	}
 }
 
-// passOn gives the home's answer, also a refusal, as it is. A broken answer
-// breaks the connection.
-func (f *forwarder) passOn(w http.ResponseWriter, response *http.Response) {
+// relay relays the home's response unchanged, including refusals. It aborts the
+// connection if the response is interrupted.
+func (f *forwarder) relay(w http.ResponseWriter, response *http.Response) {
 	header := w.Header()
-	copyInternal(header, response.Header)
-	for _, name := range answerHeaders {
+	copyInternalHeaders(header, response.Header)
+	for _, name := range responseHeaders {
 		if value := response.Header.Get(name); value != "" {
 			header.Set(name, value)
 		}
 	}
 	w.WriteHeader(response.StatusCode)
 	if err := engine.CopyStream(w, engine.Framed(response)); err != nil {
-		f.router.metrics.broken.Inc()
-		f.router.log.WithError(err).Debug("A forwarded answer broke off.")
+		f.router.metrics.interrupted.Inc()
+		f.router.log.WithError(err).Debug("A forwarded response was interrupted.")
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/router/homing.go
+++ b/internal/router/homing.go
@@ -13,85 +13,81 @@
 )
 
 const (
-	// loadPollers bounds how many reports are asked for at once; a slow worker
-	// holds up one of them for its own timeout only.
-	loadPollers = 16
-	// loadTimeout bounds one report.
+	loadPollers = 16 // maximum concurrent polls
 	loadTimeout = time.Second
 )
 
-// homing knows which workers this router is home of and asks them for their
-// loads.
-type homing struct {
+// homeWorkers tracks the workers that this router is home of and polls their loads.
+type homeWorkers struct {
 	router *Router
 
-	mutex    sync.Mutex // guards all below
-	homes    *placement.Homes
-	takeover *placement.Takeover
-	workers  []api.Worker // the machine list
-	// positions tell admission each worker's place in the list.
-	positions map[api.WorkerID]admission.Position
-	homed     []api.Worker
-	asking    map[api.WorkerID]bool
-	adopted   chan struct{} // asks for a round of reports at once
+	mutex     sync.Mutex // guards the fields below
+	homes     *placement.Homes
+	takeover  *placement.Takeover
+	workers   []api.Worker                        // the machine list
+	positions map[api.WorkerID]admission.Position // in the machine list
+	own       []api.Worker                        // workers that this router is home of
+	polling   map[api.WorkerID]bool
+	pollNow   chan struct{} // triggers a poll before the interval ends
 }
 
-func newHoming(router *Router) *homing {
-	return &homing{
+func newHomeWorkers(router *Router) *homeWorkers {
+	return &homeWorkers{
 		router: router, homes: placement.NewHomes(router.node.ID()), takeover: placement.NewTakeover(),
-		asking: map[api.WorkerID]bool{}, adopted: make(chan struct{}, 1),
+		polling: map[api.WorkerID]bool{}, pollNow: make(chan struct{}, 1),
 	}
 }
 
-// setWorkers takes the machine list.
-func (h *homing) setWorkers(workers []api.Worker) {
+// setWorkers replaces the machine list.
+func (h *homeWorkers) setWorkers(workers []api.Worker) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.workers, h.positions = workers, admission.Positions(workers)
-	h.rehome()
+	h.assign()
 }
 
-// setNodes moves workers only when the routers changed: a view changes with
-// every load report. A router that has not joined yet is home of nothing.
-func (h *homing) setNodes(nodes []api.Node) {
+// setNodes reassigns workers only if the set of routers has changed, since a view changes
+// with every load report. A router that has not joined yet is home of no workers.
+func (h *homeWorkers) setNodes(nodes []api.Node) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.router.node.Settled() && h.homes.SetNodes(nodes) {
-		h.rehome()
+		h.assign()
 	}
 }
 
-// listed is the machine list; do not modify.
-func (h *homing) listed() []api.Worker {
+// machineList returns the machine list. The caller must not modify it.
+func (h *homeWorkers) machineList() []api.Worker {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.workers
 }
 
-// rehome finds the workers that this router is home of; the mutex is held.
-func (h *homing) rehome() {
-	h.homed = h.homes.Mine(h.workers)
-	if len(h.takeover.SetHomed(h.homed)) > 0 {
+// assign recomputes the workers that this router is home of. The caller holds the mutex.
+func (h *homeWorkers) assign() {
+	h.own = h.homes.Mine(h.workers)
+	if len(h.takeover.SetHomed(h.own)) > 0 {
 		select {
-		case h.adopted <- struct{}{}:
+		case h.pollNow <- struct{}{}:
 		default:
 		}
 	}
-	h.tell()
+	h.publish()
 }
 
-// tell gives admission the workers with the slots that it may fill.
-func (h *homing) tell() {
-	adjusted := make([]api.Worker, len(h.homed))
-	for i, worker := range h.homed {
+// publish sends admission the workers with the slots that it may use. The caller holds the
+// mutex.
+func (h *homeWorkers) publish() {
+	adjusted := make([]api.Worker, len(h.own))
+	for i, worker := range h.own {
 		adjusted[i] = h.takeover.Adjust(worker)
 	}
 	h.router.admission.Tell(admission.Workers{Workers: adjusted, Positions: h.positions})
 }
 
-// pollLoads asks each homed worker once an interval, side by side; one that has
-// not answered yet is not asked again.
-func (h *homing) pollLoads(ctx context.Context) {
+// pollLoads polls the workers concurrently once per interval, and at once when workers
+// are taken over, until ctx ends. It skips workers with a poll in progress.
+func (h *homeWorkers) pollLoads(ctx context.Context) {
 	ticker := time.NewTicker(h.router.node.Settings.Router.LoadInterval)
 	defer ticker.Stop()
 	slots := make(chan struct{}, loadPollers)
@@ -100,11 +96,11 @@
 	for {
 		select {
 		case <-ticker.C:
-		case <-h.adopted:
+		case <-h.pollNow:
 		case <-ctx.Done():
 			return
 		}
-		for _, worker := range h.due() {
+		for _, worker := range h.takeDue() {
 			select {
 			case slots <- struct{}{}:
 			case <-ctx.Done():
@@ -118,23 +114,23 @@
 	}
 }
 
-// due gives the workers that are not being asked and marks them as such.
-func (h *homing) due() []api.Worker {
+// due returns the workers without a poll in progress and marks them as being polled.
+func (h *homeWorkers) takeDue() []api.Worker {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	var due []api.Worker
-	for _, worker := range h.homed {
-		if !h.asking[worker.ID] {
-			h.asking[worker.ID] = true
+	for _, worker := range h.own {
+		if !h.polling[worker.ID] {
+			h.polling[worker.ID] = true
 			due = append(due, worker)
 		}
 	}
 	return due
 }
 
-// poll asks one worker for its load and for what changed in its cache.
-func (h *homing) poll(ctx context.Context, worker api.Worker) {
-	defer h.answered(worker.ID)
+// poll reads a worker's load and its prefix cache events.
+func (h *homeWorkers) poll(ctx context.Context, worker api.Worker) {
+	defer h.finishPoll(worker.ID)
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	if h.pollLoad(ctx, worker) {
@@ -142,15 +138,15 @@
 	}
 }
 
-func (h *homing) answered(worker api.WorkerID) {
+func (h *homeWorkers) finishPoll(worker api.WorkerID) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	delete(h.asking, worker)
+	delete(h.polling, worker)
 }
 
-// pollCache reads what has changed in the worker's prefix cache. Applications
-// have none, and an engine that publishes nothing is left alone.
-func (h *homing) pollCache(ctx context.Context, worker api.Worker) {
+// pollCache reads new events of the worker's prefix cache. Errors are ignored, since
+// applications and some engines publish none.
+func (h *homeWorkers) pollCache(ctx context.Context, worker api.Worker) {
 	var after uint64
 	if h.router.admission.Inspect(func() { after = h.router.machine.CacheSequence(worker.ID) }) != nil {
 		return
@@ -162,8 +158,8 @@
 	h.router.admission.Tell(admission.CacheEvents{Worker: worker.ID, Events: events})
 }
 
-// pollLoad is false when the worker gave no report.
-func (h *homing) pollLoad(ctx context.Context, worker api.Worker) bool {
+// pollLoad reads the worker's load and reports whether it succeeded.
+func (h *homeWorkers) pollLoad(ctx context.Context, worker api.Worker) bool {
 	own := 0
 	_ = h.router.admission.Inspect(func() { own = h.router.machine.InFlight(worker.ID) })
 	asked := time.Now()
@@ -171,25 +167,25 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if err != nil {
-		h.failed(worker, err)
+		h.recordFailure(worker, err)
 		return false
 	}
 	h.router.admission.Tell(admission.Load{
 		Worker: worker.ID, Running: load.Running, Waiting: load.Waiting, Leaving: load.Leaving, Asked: asked,
 	})
 	if h.takeover.Report(worker.ID, load.Running+load.Waiting, own) {
-		h.tell()
+		h.publish()
 	}
 	return true
 }
 
-// failed takes a report that could not be had. A refused connection says that
-// the worker's process is gone, whatever the machine list says.
-func (h *homing) failed(worker api.Worker, err error) {
+// recordFailure records a failed poll. A refused connection means that the worker's process is
+// gone, even if the machine list still has it.
+func (h *homeWorkers) recordFailure(worker api.Worker, err error) {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		h.router.admission.Tell(admission.Unreachable{Worker: worker.ID})
 	}
 	if h.takeover.Failed(worker.ID) {
-		h.tell()
+		h.publish()
 	}
 }
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -3,17 +3,15 @@
 import "github.com/prometheus/client_golang/prometheus"
 
 type metrics struct {
-	admitted  *prometheus.CounterVec
-	refused   *prometheus.CounterVec
-	preempted prometheus.Counter
-	suspended prometheus.Counter
-	broken    prometheus.Counter
-	resumed   prometheus.Counter
-	forwarded *prometheus.CounterVec
-	items     *prometheus.CounterVec
-	// shareReports counts the answered reports of shares.
-	shareReports prometheus.Counter
-	// batchMessages counts what batch work costs between router and stores.
+	admitted      *prometheus.CounterVec
+	refused       *prometheus.CounterVec
+	preempted     prometheus.Counter
+	suspended     prometheus.Counter
+	interrupted   prometheus.Counter
+	resumed       prometheus.Counter
+	forwarded     *prometheus.CounterVec
+	items         *prometheus.CounterVec
+	shareReports  prometheus.Counter
 	batchMessages *prometheus.CounterVec
 }
 
@@ -31,7 +29,7 @@
 		suspended: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "dykewing_router_suspended_total", Help: "Batch requests held for online ones, to go on later.",
 		}),
-		broken: prometheus.NewCounter(prometheus.CounterOpts{
+		interrupted: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "dykewing_router_broken_answers_total", Help: "Answers of workers that broke off or were cut.",
 		}),
 		resumed: prometheus.NewCounter(prometheus.CounterOpts{
@@ -50,6 +48,6 @@
 			Name: "dykewing_router_batch_messages_total", Help: "Messages to stores about batch items, by step.",
 		}, []string{"step"}),
 	}
-	registry.MustRegister(m.admitted, m.refused, m.preempted, m.suspended, m.broken, m.resumed, m.forwarded, m.items, m.batchMessages, m.shareReports)
+	registry.MustRegister(m.admitted, m.refused, m.preempted, m.suspended, m.interrupted, m.resumed, m.forwarded, m.items, m.batchMessages, m.shareReports)
 	return m
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -15,13 +15,13 @@
 	"github.com/dykewing/dykewing/routing"
 )
 
-// passedHeaders go from the caller to the back end.
-var passedHeaders = []string{"Content-Type", "Accept", "Authorization", "Traceparent", api.HeaderBackendKey}
+// requestHeaders are forwarded from the caller to the back end.
+var requestHeaders = []string{"Content-Type", "Accept", "Authorization", "Traceparent", api.HeaderBackendKey}
 
-// answerHeaders go from the back end towards the caller.
-var answerHeaders = []string{"Content-Type", "Content-Length", "Retry-After"}
+// responseHeaders are forwarded from the back end to the caller.
+var responseHeaders = []string{"Content-Type", "Content-Length", "Retry-After"}
 
-// serveRequest takes one attempt of an online request from a sidecar.
+// serveRequest serves one attempt of an online request from a sidecar.
 func (r *Router) serveRequest(w http.ResponseWriter, request *http.Request) {
 	body, release, failure := r.bodies.Read(w, request, "read request")
 	defer release()
@@ -46,13 +46,13 @@
 	}
 	ctx, cancel := r.withDeadline(request.Context(), request.Header.Get(api.HeaderDeadline))
 	defer cancel()
-	if r.forwarder.before(ctx, w, request, routed, body) {
+	if r.forwarder.forwardFromGateway(ctx, w, request, routed, body) {
 		return
 	}
 	path := strings.TrimPrefix(request.URL.RequestURI(), api.PathRequests)
-	response, dispatch, finish, failure := r.run(ctx, routed, path, body, request.Header)
+	response, dispatch, finish, failure := r.admitAndSend(ctx, routed, path, body, request.Header)
 	if failure != nil {
-		if r.forwarder.after(ctx, w, request, routed, body, failure) {
+		if r.forwarder.forwardRefused(ctx, w, request, routed, body, failure) {
 			return
 		}
 		if dispatch.Worker != "" {
@@ -75,14 +75,14 @@
 	if err != nil || milliseconds <= 0 {
 		return context.WithTimeout(ctx, r.node.Settings.Router.EngineTimeout)
 	}
-	// No request outlives the engine timeout: ceilings count on that.
+	// Quotas rely on no request running longer than the engine timeout.
 	remainingTime := time.Duration(milliseconds) * time.Millisecond
 	return context.WithTimeout(ctx, min(remainingTime, r.node.Settings.Router.EngineTimeout))
 }
 
-// run admits a request and sends it to its worker. On success finish must be
-// called once the answer is read.
-func (r *Router) run(ctx context.Context, routed routing.Request, path string, body []byte, header http.Header) (*http.Response, admission.Dispatch, func(), *api.Error) {
+// run admits a request and sends it to a worker. On success the caller must call the
+// returned function once it has read the response.
+func (r *Router) admitAndSend(ctx context.Context, routed routing.Request, path string, body []byte, header http.Header) (*http.Response, admission.Dispatch, func(), *api.Error) {
 	dispatch, failure := r.admit(routed)
 	if failure != nil {
 		return nil, dispatch, nil, failure
@@ -100,7 +100,7 @@
 	return response, dispatch, finish, nil
 }
 
-// send sends an admitted request to its worker once.
+// send sends an admitted request to its worker, without retries.
 func (r *Router) send(ctx context.Context, routed routing.Request, dispatch admission.Dispatch, path string, body []byte, header http.Header) (*http.Response, *api.Error) {
 	response, err := r.backendOf(routed.Class).Send(ctx, engine.Call{
 		Worker: dispatch.Worker, Address: dispatch.Address, Path: path, Body: body,
@@ -109,7 +109,7 @@
 	if err != nil {
 		failure := *api.AsError("send to worker", err)
 		if ctx.Err() == nil {
-			r.blame(dispatch.Worker, err)
+			r.recordFailure(dispatch.Worker, err)
 		}
 		if errors.Is(context.Cause(ctx), errPreempted) {
 			failure.Code = api.CodePreempted
@@ -120,8 +120,8 @@
 	return response, nil
 }
 
-// blame tells admission of a worker that gave no answer.
-func (r *Router) blame(worker api.WorkerID, err error) {
+// recordFailure reports to admission that a worker did not respond.
+func (r *Router) recordFailure(worker api.WorkerID, err error) {
 	if transport.NeverConnected(err) {
 		r.admission.Tell(admission.Unreachable{Worker: worker})
 		return
@@ -129,7 +129,7 @@
 	r.admission.Tell(admission.Broken{Worker: worker})
 }
 
-// backendOf keeps the connections of the classes apart.
+// backendOf returns the client for a class. Each class has its own connections.
 func (r *Router) backendOf(class api.Class) engine.Backend {
 	if class == api.ClassBatch {
 		return r.batchBackend
@@ -138,8 +138,8 @@
 }
 
 func backendHeader(header http.Header, id api.RequestID) http.Header {
-	passed := make(http.Header, len(passedHeaders)+1)
-	for _, name := range passedHeaders {
+	passed := make(http.Header, len(requestHeaders)+1)
+	for _, name := range requestHeaders {
 		if values := header[http.CanonicalHeaderKey(name)]; len(values) > 0 {
 			passed[name] = values
 		}
@@ -163,15 +163,15 @@
 			return admission.Dispatch{}, action.Failure
 		}
 	}
-	return admission.Dispatch{}, api.NewError("admit request", "", api.CodeInternal, api.OutcomeNotRun, "no decision")
+	return admission.Dispatch{}, api.NewError("admit request", "", api.CodeInternal, api.OutcomeNotRun, "admission returned no decision")
 }
 
-// relay passes a back end's answer on. A broken answer breaks the connection,
-// so that it is never taken for whole.
+// relay copies a back end's response to w. If the response is interrupted, relay aborts
+// the connection so that the receiver does not take it for complete.
 func (r *Router) relay(w http.ResponseWriter, response *http.Response, id api.RequestID, worker api.WorkerID) {
 	defer response.Body.Close()
 	header := w.Header()
-	for _, name := range answerHeaders {
+	for _, name := range responseHeaders {
 		if value := response.Header.Get(name); value != "" {
 			header.Set(name, value)
 		}
@@ -181,8 +181,8 @@
 	header.Set(api.HeaderWorker, string(worker))
 	w.WriteHeader(response.StatusCode)
 	if err := engine.CopyStream(w, engine.Framed(response)); err != nil {
-		r.metrics.broken.Inc()
-		r.log.WithError(err).WithField("worker", worker).Debug("An answer broke off.")
+		r.metrics.interrupted.Inc()
+		r.log.WithError(err).WithField("worker", worker).Debug("A worker's response was interrupted.")
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/router/resume.go
+++ b/internal/router/resume.go
@@ -9,9 +9,8 @@
 	"github.com/dykewing/dykewing/internal/transport"
 )
 
-// serveResume gives a sidecar the rest of a stream whose router or connection
-// was lost. Any router may: nothing is started, the engine goes on with a
-// request that it has.
+// serveResume sends a sidecar the rest of a stream whose router or connection was lost.
+// Any router can serve it, since the engine still has the request and nothing is started.
 func (r *Router) serveResume(w http.ResponseWriter, request *http.Request) {
 	const step = "resume request"
 	id := api.RequestID(request.PathValue("request"))
@@ -22,7 +21,7 @@
 	}
 	worker, ok := r.workerByID(api.WorkerID(request.Header.Get(api.HeaderWorker)))
 	if !ok {
-		r.refuse(w, api.NewError(step, "", api.CodeNotFound, api.OutcomeUnknown, "worker %q is not listed", request.Header.Get(api.HeaderWorker)))
+		r.refuse(w, api.NewError(step, "", api.CodeNotFound, api.OutcomeUnknown, "worker %q is not in the machine list", request.Header.Get(api.HeaderWorker)))
 		return
 	}
 	ctx, cancel := r.withDeadline(request.Context(), request.Header.Get(api.HeaderDeadline))
@@ -37,7 +36,7 @@
 }
 
 func (r *Router) workerByID(id api.WorkerID) (api.Worker, bool) {
-	for _, worker := range r.homing.listed() {
+	for _, worker := range r.homeWorkers.machineList() {
 		if worker.ID == id {
 			return worker, true
 		}
@@ -46,5 +45,5 @@
 }
 
 func newBodyBudget(each int64) *transport.BodyBudget {
-	return &transport.BodyBudget{Total: maximumHeldBytes, Each: each, Timeout: bodyTimeout}
+	return &transport.BodyBudget{Total: maxHeldBytes, Each: each, Timeout: bodyTimeout}
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,5 +1,5 @@
-// Package router is the role that is home of workers: it admits requests to
-// them, passes answers back, and fills idle room with batch items.
+// Package router implements the router role. A router is the home of a set of workers:
+// it admits requests to them, relays responses, and fills idle capacity with batch items.
 package router
 
 import (
@@ -26,36 +26,35 @@
 const (
 	requestConnections = 256
 	refusalRetryAfter  = time.Second
-	maximumHeldBytes   = 512 << 20 // of request bodies
+	maxHeldBytes       = 512 << 20 // of request bodies
 	bodyTimeout        = 30 * time.Second
 )
 
-// Router is the role's part of a process.
+// Router is the router role of a process.
 type Router struct {
-	node    *node.Node
-	log     *logrus.Entry
-	backend engine.Backend // online requests
-	// batchBackend has connections of its own, so that batch holds none up.
-	batchBackend engine.Backend
+	node         *node.Node
+	log          *logrus.Entry
+	backend      engine.Backend // online requests
+	batchBackend engine.Backend // separate connections for batch requests
 	bodies       *transport.BodyBudget
 	forwarder    *forwarder // online requests to other routers
 	list         discovery.List
 
-	admission *shell.Shell[admission.Message, admission.Action]
-	machine   *admission.Machine
-	flights   *flights
-	metrics   *metrics
-	homing    *homing
+	admission   *shell.Shell[admission.Message, admission.Action]
+	machine     *admission.Machine
+	inFlight    *inFlightRequests
+	metrics     *metrics
+	homeWorkers *homeWorkers
 }
 
-// New adds the role to a node.
+// New adds the router role to a node.
 func New(common *node.Node) (*Router, error) {
 	router := &Router{
 		node: common, log: common.Logger("router"),
 		backend:      &engine.HTTPBackend{Client: transport.NewClient(requestConnections), Control: common.Control},
 		batchBackend: &engine.HTTPBackend{Client: transport.NewClient(requestConnections), Control: common.Control},
 		bodies:       newBodyBudget(common.Settings.Sidecar.MaximumBodyBytes),
-		flights:      newFlights(),
+		inFlight:     newInFlightRequests(),
 		metrics:      newMetrics(common.Registry),
 	}
 	if address := common.Settings.MachineList.URL; address != "" {
@@ -68,14 +67,14 @@
 	router.machine = admission.NewMachine(admission.Settings{
 		Online: routing.OnlineProfile(common.Settings.Node.Location(), newRandom()), Batch: routing.BatchProfile(newRandom()),
 		RetryAfter: refusalRetryAfter, Reserve: common.Settings.Router.BatchReserve,
-		Filling:  filling(common.Settings.Router),
-		Ceilings: newHolder(common),
+		Filling:  batchPolicy(common.Settings.Router),
+		Ceilings: newQuotaHolder(common),
 	})
 	router.admission = shell.Start(common.System, router.machine, router.execute)
-	router.homing = newHoming(router)
-	router.homing.setNodes(common.Nodes())
+	router.homeWorkers = newHomeWorkers(router)
+	router.homeWorkers.setNodes(common.Nodes())
 	router.forwarder = newForwarder(router, transport.NewClient(requestConnections))
-	common.OnView(router.homing.setNodes)
+	common.OnView(router.homeWorkers.setNodes)
 	common.OnView(router.forwarder.setNodes)
 	common.OnTable(router.setRows)
 	common.SetSummary(router.summary)
@@ -84,7 +83,7 @@
 	return router, nil
 }
 
-func filling(settings config.Router) admission.Filling {
+func batchPolicy(settings config.Router) admission.Filling {
 	filling := admission.DefaultFilling()
 	filling.StartPressure = settings.BatchStartPressure
 	return filling
@@ -98,12 +97,12 @@
 	var group sync.WaitGroup
 	if r.list != nil {
 		group.Go(func() {
-			discovery.Poll(ctx, r.list, r.node.Settings.MachineList.Interval, r.homing.setWorkers, func(err error) {
-				r.log.WithError(err).Warn("Machine list is not whole; the last known workers stay.")
+			discovery.Poll(ctx, r.list, r.node.Settings.MachineList.Interval, r.homeWorkers.setWorkers, func(err error) {
+				r.log.WithError(err).Warn("Cannot read the machine list; keeping the last known workers.")
 			})
 		})
 	}
-	group.Go(func() { r.homing.pollLoads(ctx) })
+	group.Go(func() { r.homeWorkers.pollLoads(ctx) })
 	group.Go(func() { r.pullBatch(ctx) })
 	group.Go(func() { r.reportShares(ctx) })
 	group.Wait()
--- a/internal/router/shares.go
+++ b/internal/router/shares.go
@@ -13,12 +13,12 @@
 	"github.com/dykewing/dykewing/quota"
 )
 
-// shareTick is the time between looks at whether a report of shares is due.
+// shareTick is the interval at which the quota holder checks for due reports.
 const shareTick = 50 * time.Millisecond
 
-// newHolder makes the holder of this router's shares of the rows' ceilings.
-// Rows without a ceiling are not touched by it.
-func newHolder(common *node.Node) *quota.Holder {
+// newQuotaHolder returns the holder of this router's shares of the rows' quotas. It does not
+// affect rows without a quota.
+func newQuotaHolder(common *node.Node) *quota.Holder {
 	settings := quota.DefaultSettings()
 	settings.MaximumRun = common.Settings.Router.EngineTimeout
 	groups := common.Settings.Store.Groups
@@ -28,7 +28,7 @@
 	})
 }
 
-// reportShares lets the holder report until ctx ends.
+// reportShares ticks the quota holder until ctx ends.
 func (r *Router) reportShares(ctx context.Context) {
 	ticker := time.NewTicker(shareTick)
 	defer ticker.Stop()
@@ -42,9 +42,9 @@
 	}
 }
 
-// sendShares brings one report to the store that leads the group. What is lost
-// is not repeated: the next report says all.
-func (r *Router) sendShares(report quota.SendReport) {
+// sendShareReport sends a report to the store that leads its group. Failures are not retried,
+// since each report is complete.
+func (r *Router) sendShareReport(report quota.SendReport) {
 	leader, ok := storeclient.Leader(r.node.Nodes(), report.Group)
 	if !ok {
 		return
@@ -54,7 +54,7 @@
 	var grant quota.Grant
 	path := storeclient.SharesPath(report.Group)
 	if err := transport.Call(ctx, r.node.Control, "report shares", leader.Address, path, report.Report, &grant); err != nil {
-		r.log.WithError(err).Debug("A report of shares was not answered.")
+		r.log.WithError(err).Debug("Share report failed.")
 		return
 	}
 	r.metrics.shareReports.Inc()
