--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/answer.go
@@ -16,63 +16,63 @@
 )
 
 const (
-	// maximumHeldAnswer bounds an answer that is read whole before its first
-	// byte goes to the caller, so that one that breaks off can be had again.
-	maximumHeldAnswer = 1 << 20
-	// maximumHeldAnswers bounds such answers of all requests together; past it
-	// they are passed on as they come.
-	maximumHeldAnswers = 256 << 20
+	// maxBufferedResponse bounds a response that is buffered before its first byte goes
+	// to the caller, so that an interrupted one can be retried.
+	maxBufferedResponse = 1 << 20
+	// maxBufferedBytes bounds the buffered responses of all requests. Beyond it,
+	// responses are streamed.
+	maxBufferedBytes = 256 << 20
 )
 
-var errNotJSON = errors.New("the answer is not whole JSON")
+var errInvalidJSON = errors.New("response is not valid JSON")
 
-// answer is a back end's answer whose beginning is sure.
-type answer struct {
+// upstreamResponse is a back end's response that has been checked and begun to be read.
+type upstreamResponse struct {
 	response *http.Response
 	worker   string
 	stream   bool                // server-sent events
-	first    []byte              // held part: the whole answer, or a stream's first event
-	whole    bool                // first is all
+	head     []byte              // buffered part: the body or a stream's first event
+	complete bool                // head is the complete body
 	events   *engine.EventReader // the rest of a stream
 	release  func()
-	resumes  int // how often the stream was gone on with
+	resumes  int // number of times the stream was resumed
 }
 
-// begin checks that the router's answer is the back end's, and for this
-// request; it reads a short answer whole and a stream's first event.
-func (s *Sidecar) begin(ctx context.Context, response *http.Response, request *onlineRequest, home string) (*answer, *api.Error) {
+// openResponse checks that the response is from the back end and for this request. It buffers a
+// short response, or the first event of a stream.
+func (s *Sidecar) openResponse(ctx context.Context, response *http.Response, request *onlineRequest, home string) (*upstreamResponse, *api.Error) {
 	const step = "read answer of router"
 	if response.Header.Get(api.HeaderOutcome) != string(api.OutcomeRan) {
 		defer response.Body.Close()
 		return nil, transport.ReadError(step, home, response)
 	}
-	if echoed := response.Header.Get(api.HeaderRequestID); echoed != string(request.routed.ID) && !s.takeCrossed {
+	if echoed := response.Header.Get(api.HeaderRequestID); echoed != string(request.routed.ID) && !s.faultAcceptMismatched {
 		response.Body.Close()
-		s.metrics.crossed.Inc()
+		s.metrics.mismatched.Inc()
 		return nil, api.NewError(step, home, api.CodeOutcomeUnknown, api.OutcomeUnknown, "the answer is for request %q", echoed)
 	}
-	result := &answer{response: response, worker: response.Header.Get(api.HeaderWorker), release: func() {}}
+	result := &upstreamResponse{response: response, worker: response.Header.Get(api.HeaderWorker), release: func() {}}
 	var err error
 	if result.stream = engine.IsEventStream(response.Header); result.stream {
-		err = s.beginStream(ctx, request, result)
+		err = s.openStream(ctx, request, result)
 	} else {
-		err = s.hold(result)
+		err = s.bufferResponse(result)
 	}
 	if err != nil {
 		result.close()
-		return nil, api.NewError(step, home, api.CodeUpstream, api.OutcomeUnknown, "answer broke off: %w", err)
+		return nil, api.NewError(step, home, api.CodeUpstream, api.OutcomeUnknown, "response interrupted: %w", err)
 	}
 	return result, nil
 }
 
-func (a *answer) close() {
+func (a *upstreamResponse) close() {
 	a.response.Body.Close()
 	a.release()
 }
 
-// beginStream reads the first event. A model's stream without one has broken
-// off: the engine is asked for it before the request is sent anywhere again.
-func (s *Sidecar) beginStream(ctx context.Context, request *onlineRequest, a *answer) error {
+// openStream reads the first event. A model's stream without one was interrupted; it is
+// resumed before the request is retried elsewhere.
+func (s *Sidecar) openStream(ctx context.Context, request *onlineRequest, a *upstreamResponse) error {
 	a.events = engine.NewEventReader(a.response.Body)
 	event, err := a.events.Next()
 	for err != nil {
@@ -84,39 +84,39 @@
 		}
 		event, err = a.events.Next()
 	}
-	a.first = bytes.Clone(event)
+	a.head = bytes.Clone(event)
 	return nil
 }
 
-// hold reads a short answer whole; a longer one is passed on as it comes.
-func (s *Sidecar) hold(a *answer) error {
+// bufferResponse buffers a response of at most maxBufferedResponse bytes; a longer one is streamed.
+func (s *Sidecar) bufferResponse(a *upstreamResponse) error {
 	length := a.response.ContentLength
-	room := int64(maximumHeldAnswer)
+	room := int64(maxBufferedResponse)
 	if length >= 0 {
 		room = length + bytes.MinRead
 	}
-	if length > maximumHeldAnswer || !s.holdBytes(room) {
+	if length > maxBufferedResponse || !s.reserveBuffer(room) {
 		return nil
 	}
-	a.release = func() { s.held.Add(-room) }
+	a.release = func() { s.bufferedBytes.Add(-room) }
 	buffer := bytes.NewBuffer(make([]byte, 0, max(length, 0)+bytes.MinRead))
-	if _, err := io.Copy(buffer, io.LimitReader(a.response.Body, maximumHeldAnswer)); err != nil {
+	if _, err := io.Copy(buffer, io.LimitReader(a.response.Body, maxBufferedResponse)); err != nil {
 		return err
 	}
-	a.first = buffer.Bytes()
-	a.whole = len(a.first) < maximumHeldAnswer || a.response.ContentLength == maximumHeldAnswer
-	if a.whole && isJSON(a.response.Header) && !gjson.ValidBytes(a.first) && !s.takeTruncated {
+	a.head = buffer.Bytes()
+	a.complete = len(a.head) < maxBufferedResponse || a.response.ContentLength == maxBufferedResponse
+	if a.complete && isJSON(a.response.Header) && !gjson.ValidBytes(a.head) && !s.faultAcceptTruncated {
 		s.metrics.truncated.Inc()
-		return errNotJSON
+		return errInvalidJSON
 	}
 	return nil
 }
 
-func (s *Sidecar) holdBytes(bytes int64) bool {
-	if s.held.Add(bytes) <= maximumHeldAnswers {
+func (s *Sidecar) reserveBuffer(bytes int64) bool {
+	if s.bufferedBytes.Add(bytes) <= maxBufferedBytes {
 		return true
 	}
-	s.held.Add(-bytes)
+	s.bufferedBytes.Add(-bytes)
 	return false
 }
 
--- a/internal/sidecar/avoid.go
+++ b/internal/sidecar/avoid.go
@@ -9,53 +9,52 @@
 	"github.com/dykewing/dykewing/routing"
 )
 
-// avoidTime is how long a home that refused a connection is left out, unless
-// no other is left. Membership needs seconds to find a dead node; without this
-// a rack that dies would cost more retries than their budget has.
-const avoidTime = time.Second
+// refusedBackoff is how long a home that refused a connection is avoided, unless no other is
+// available. Without it, the failure of many routers at once would exhaust the retry
+// budget before membership detects it.
+const refusedBackoff = time.Second
 
-// leaveTime is how long a home that said that it stops is left out: far over the heartbeats
-// until the view shows its mark, and less than a planned stop may take.
-const leaveTime = 10 * time.Second
+// leavingBackoff is how long a home that announced its stop is avoided. It is much longer
+// than the view takes to show the node as leaving, and shorter than a graceful stop.
+const leavingBackoff = 10 * time.Second
 
-// avoidance remembers the homes that refused connections or stop. It is a
-// routing.Filter and safe for concurrent use.
-type avoidance struct {
-	any   atomic.Bool // some home was ever avoided
-	homes sync.Map    // endpoint name to the time.Time at which it ends
+// unavailableHomes is a routing.Filter that excludes homes that refused connections or are
+// stopping. It is safe for concurrent use.
+type unavailableHomes struct {
+	used  atomic.Bool // whether homes ever had an entry
+	homes sync.Map    // endpoint name to the time.Time at which its exclusion ends
 }
 
-// Name is the stage's name in logs.
-func (a *avoidance) Name() string { return "not-refusing" }
+// Name returns the filter's name in logs.
+func (a *unavailableHomes) Name() string { return "not-refusing" }
 
-// Keep is false for homes that refused a connection just now.
-func (a *avoidance) Keep(_ *routing.Request, endpoint *routing.Endpoint) bool {
-	if !a.any.Load() {
+// Keep reports whether the endpoint is not excluded.
+func (a *unavailableHomes) Keep(_ *routing.Request, endpoint *routing.Endpoint) bool {
+	if !a.used.Load() {
 		return true
 	}
 	until, ok := a.homes.Load(endpoint.Name)
 	return !ok || !time.Now().Before(until.(time.Time))
 }
 
-// note takes a failed send: one that certainly never connected says that the
-// home's process is gone.
-func (a *avoidance) note(home string, failure *api.Error) {
+// recordFailure excludes a home if the failure shows that no connection could be made.
+func (a *unavailableHomes) recordFailure(home string, failure *api.Error) {
 	if failure.Code != api.CodeUpstream || failure.Outcome != api.OutcomeNotRun {
 		return
 	}
-	a.homes.Store(home, time.Now().Add(avoidTime))
-	a.any.Store(true)
+	a.homes.Store(home, time.Now().Add(refusedBackoff))
+	a.used.Store(true)
 }
 
-// leaves takes the word of a home that it stops. It may come before the view's.
-func (a *avoidance) leaves(home string) {
-	a.homes.Store(home, time.Now().Add(leaveTime))
-	a.any.Store(true)
+// recordLeaving excludes a home that announced its stop, possibly before the view shows it.
+func (a *unavailableHomes) recordLeaving(home string) {
+	a.homes.Store(home, time.Now().Add(leavingBackoff))
+	a.used.Store(true)
 }
 
-// forget drops homes that are no longer in the view.
-func (a *avoidance) forget(nodes []api.Node) {
-	if !a.any.Load() {
+// prune removes homes that are no longer in the view.
+func (a *unavailableHomes) prune(nodes []api.Node) {
+	if !a.used.Load() {
 		return
 	}
 	known := map[string]bool{}
--- a/internal/sidecar/avoid_test.go
+++ b/internal/sidecar/avoid_test.go
@@ -8,10 +8,9 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// TestRackOfDeadRoutersCostsFewRetries has three of four homes refuse
-// connections before membership has noticed.
-func TestRackOfDeadRoutersCostsFewRetries(t *testing.T) {
-	f := newFixture(t, answerJSON)
+// Three of four homes refuse connections before membership detects their failure.
+func TestUnreachableRoutersDoNotExhaustRetryBudget(t *testing.T) {
+	f := newFixture(t, respondJSON)
 	alive := f.nodes[0]
 	for _, id := range []api.NodeID{"dead-1", "dead-2", "dead-3"} {
 		dead := alive
@@ -26,20 +25,19 @@
 	}
 }
 
-// Symptom: requests were cut at a router that stopped. Sequence: a router that stops answers
-// and ends the connection; the caller's view shows its mark only later, and the next request
-// goes there on another connection. Cause: only the view told of the mark.
-func TestARouterThatStopsIsKnownByItsAnswers(t *testing.T) {
+// Requests were aborted at a stopping router, because they were sent there until the view
+// showed it as leaving. A response with Connection: close must exclude it at once.
+func TestRouterIsAvoidedAfterConnectionClose(t *testing.T) {
 	var stopping atomic.Int64
-	f := newFixture(t, answerJSON, func(w http.ResponseWriter, r *http.Request) {
+	f := newFixture(t, respondJSON, func(w http.ResponseWriter, r *http.Request) {
 		stopping.Add(1)
 		w.Header().Set("Connection", "close")
-		answerJSON(w, r)
+		respondJSON(w, r)
 	})
-	for range 40 { // that none goes to one of two by chance is one in 10^12
+	for range 40 { // the chance that a router gets none is 2^-40
 		f.postModel()
 	}
 	if got := stopping.Load(); got != 1 {
-		t.Errorf("%d requests went to the router that stops, want 1", got)
+		t.Errorf("%d requests went to the stopping router, want 1", got)
 	}
 }
--- a/internal/sidecar/batches.go
+++ b/internal/sidecar/batches.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	maximumBatchBody = 1 << 20
-	maximumWindow    = 30 * 24 * time.Hour
-	maximumMetadata  = 16 // pairs, as in the OpenAI API
+	maxBatchBody = 1 << 20
+	maxWindow    = 30 * 24 * time.Hour
+	maxMetadata  = 16 // pairs, as in the OpenAI API
 )
 
 // batchRequest is the body of a batch's creation in the OpenAI API's shape.
@@ -29,8 +29,8 @@
 	Metadata         map[string]string `json:"metadata"`
 }
 
-// batchObject is a batch in the OpenAI API's shape. Times are in seconds; those
-// of what has not happened are left out.
+// batchObject is a batch in the OpenAI API's shape. Times are Unix times in seconds,
+// omitted until the event has happened.
 type batchObject struct {
 	ID               string            `json:"id"`
 	Object           string            `json:"object"`
@@ -97,7 +97,7 @@
 
 func (s *Sidecar) createBatch(w http.ResponseWriter, r *http.Request) {
 	const step = "create batch"
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maximumBatchBody))
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBatchBody))
 	if err != nil {
 		s.refuse(w, transport.BodyError(step, err))
 		return
@@ -125,9 +125,9 @@
 	transport.WriteJSON(w, http.StatusOK, batchObjectOf(*result.Job))
 }
 
-// batchRepeatable tells whether the file's items may be sent again: as the
-// header says, else as the table says of every service of the file. Without a
-// table, or for a service that it does not have, they may not.
+// batchRepeatable reports whether the file's items may be retried. The header takes
+// precedence; otherwise every service of the file must be repeatable in the table.
+// Without a table, or for an unknown service, items may not be retried.
 func (s *Sidecar) batchRepeatable(r *http.Request, file jobs.File) (bool, *api.Error) {
 	byDefault := true
 	snapshot := s.node.Table()
@@ -144,15 +144,15 @@
 		return nil, api.NewError(step, "", api.CodeBadRequest, api.OutcomeNotRun, "%w", err)
 	}
 	window, err := time.ParseDuration(body.CompletionWindow)
-	if err != nil || window <= 0 || window > maximumWindow {
-		return nil, api.NewError(step, "", api.CodeBadRequest, api.OutcomeNotRun, "completion_window %q is not a duration up to %v, such as 24h", body.CompletionWindow, maximumWindow)
+	if err != nil || window <= 0 || window > maxWindow {
+		return nil, api.NewError(step, "", api.CodeBadRequest, api.OutcomeNotRun, "completion_window %q is not a duration up to %v, such as 24h", body.CompletionWindow, maxWindow)
 	}
-	if len(body.Metadata) > maximumMetadata {
-		return nil, api.NewError(step, "", api.CodeBadRequest, api.OutcomeNotRun, "metadata has %d pairs, more than %d", len(body.Metadata), maximumMetadata)
+	if len(body.Metadata) > maxMetadata {
+		return nil, api.NewError(step, "", api.CodeBadRequest, api.OutcomeNotRun, "metadata has %d pairs, more than %d", len(body.Metadata), maxMetadata)
 	}
 	key := r.Header.Get(api.HeaderIdempotencyKey)
-	if len(key) > maximumKeyBytes || strings.ContainsRune(key, 0) {
-		return nil, api.NewError(step, "", api.CodeBadRequest, api.OutcomeNotRun, "header %s is over %d bytes or not text", api.HeaderIdempotencyKey, maximumKeyBytes)
+	if len(key) > maxKeyBytes || strings.ContainsRune(key, 0) {
+		return nil, api.NewError(step, "", api.CodeBadRequest, api.OutcomeNotRun, "header %s is over %d bytes or not text", api.HeaderIdempotencyKey, maxKeyBytes)
 	}
 	hash := sha256.New()
 	hash.Write([]byte(r.Header.Get(api.HeaderRepeatable) + "\n"))
@@ -174,7 +174,7 @@
 	transport.WriteJSON(w, http.StatusOK, newPage(found.Jobs, batchObjectOf, identify, found.More))
 }
 
-// batch reads a job that the caller's tenant owns.
+// batch reads a job owned by the caller's tenant.
 func (s *Sidecar) batch(r *http.Request, id string) (jobs.Job, api.GroupID, *api.Error) {
 	tenant := func(job jobs.Job) api.TenantID { return job.Tenant }
 	return readOwned(s, r, "read batch", id, storeclient.JobPath, tenant)
--- a/internal/sidecar/claim.go
+++ b/internal/sidecar/claim.go
@@ -15,17 +15,16 @@
 )
 
 const (
-	claimTimeout      = 2 * time.Second  // for a claim to be committed before the request is refused
-	recordTimeout     = 30 * time.Second // for a record, while the claim holds the key
-	claimRetryAfter   = time.Second
-	holderTimeout     = time.Second
-	maximumRecordBody = 4 << 20
+	claimTimeout    = 2 * time.Second  // to commit a claim, after which the request is refused
+	recordTimeout   = 30 * time.Second // to commit a record, while the claim holds the key
+	claimRetryAfter = time.Second
+	holderTimeout   = time.Second
+	maxRecordBody   = 4 << 20
 )
 
-// serveClaimed runs a request that may not be repeated under its key: the
-// claim is committed before the request is sent, and what came of it after.
-// The request goes on when its caller goes away, so that a resend finds the
-// answer.
+// serveClaimed runs a non-repeatable request under its idempotency key. It commits the
+// claim before the request is sent and records the response afterwards. The request
+// continues if the caller disconnects, so that a resend gets the response.
 func (s *Sidecar) serveClaimed(w http.ResponseWriter, r *http.Request, request *onlineRequest) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(r.Context()), request.deadline)
 	defer cancel()
@@ -40,7 +39,7 @@
 		s.replay(w, request, recorded)
 		return
 	}
-	answer, failure := s.attempts(ctx, request)
+	answer, failure := s.sendWithRetries(ctx, request)
 	if failure != nil {
 		s.recordFailure(request, failure)
 		s.refuse(w, failure)
@@ -49,8 +48,8 @@
 	s.relayClaimed(ctx, w, request, answer)
 }
 
-// claim commits the claim; it gives the answer that is recorded already, or
-// nil when the request may be sent.
+// claim commits the claim. It returns the response recorded earlier under the key, or nil
+// if the request may be sent.
 func (s *Sidecar) claim(ctx context.Context, request *onlineRequest) (*jobs.RecordRequest, *api.Error) {
 	result, failure := s.commitClaim(ctx, request)
 	if failure == nil {
@@ -59,10 +58,10 @@
 	if failure.Code != api.CodeAlreadySubmitted || result.Claimed == nil {
 		return nil, failure
 	}
-	if s.holderRuns(ctx, *result.Claimed) {
-		return nil, inProgress(failure)
+	if s.isHolderRunning(ctx, *result.Claimed) {
+		return nil, newInProgressError(failure)
 	}
-	// It may have been recorded, or given free, since the claim was read.
+	// The holder may have recorded a response or released the key since then.
 	result, failure = s.commitClaim(ctx, request)
 	if failure == nil {
 		return result.Recorded, nil
@@ -74,7 +73,7 @@
 		"the process that ran the request with idempotency key %q is gone and left no answer; it is not sent again", request.key)
 }
 
-func inProgress(failure *api.Error) *api.Error {
+func newInProgressError(failure *api.Error) *api.Error {
 	failure.Outcome = api.OutcomeUnknown
 	failure.RetryAfter = claimRetryAfter
 	return failure
@@ -90,25 +89,25 @@
 	}
 	result, err := s.stores.Command(ctx, s.groupOf(request), jobs.Command{Claim: &claim})
 	if err == nil && result.Duplicate && result.Recorded == nil {
-		// The group took the command for one that it had applied before, but
-		// the request is new: this is no verdict.
-		err = api.NewError(step, "", api.CodeNoQuorum, api.OutcomeNotRun, "the group gave no verdict on the claim")
+		// The group took the command for a duplicate, but the request is new:
+		// whether the claim holds is undecided.
+		err = api.NewError(step, "", api.CodeNoQuorum, api.OutcomeNotRun, "the store group did not decide the claim")
 	}
 	if err == nil {
 		return result, nil
 	}
 	failure := *api.AsError(step, err)
-	if passing(result.Code) {
-		// Nothing was sent, so this is true; but the claim may yet be committed.
-		s.recordLater(request, jobs.RecordRequest{Outcome: api.OutcomeNotRun})
+	if isUndecided(result.Code) {
+		// The request has not been sent, but the claim may still be committed.
+		s.recordInBackground(request, jobs.RecordRequest{Outcome: api.OutcomeNotRun})
 		failure.Code, failure.Outcome = api.CodeNoQuorum, api.OutcomeNotRun
 		failure.RetryAfter = claimRetryAfter
 	}
 	return result, &failure
 }
 
-// passing tells whether the group gave no verdict on the claim.
-func passing(code api.ErrorCode) bool {
+// isUndecided reports whether the code leaves the claim undecided.
+func isUndecided(code api.ErrorCode) bool {
 	return code == "" || code == api.CodeNotLeader || code == api.CodeNoQuorum
 }
 
@@ -124,9 +123,9 @@
 	return placement.GroupOf(request.routed.Tenant, s.node.Settings.Store.Groups)
 }
 
-// holderRuns asks the sidecar that holds a claim whether it works on it. One
-// that does not answer but is in the view may.
-func (s *Sidecar) holderRuns(ctx context.Context, claim jobs.ClaimRequest) bool {
+// isHolderRunning asks the sidecar that holds a claim whether the request is in progress. If
+// it does not respond but is in the view, the request is assumed to be.
+func (s *Sidecar) isHolderRunning(ctx context.Context, claim jobs.ClaimRequest) bool {
 	ctx, cancel := context.WithTimeout(ctx, holderTimeout)
 	defer cancel()
 	err := transport.Get(ctx, s.node.Control, "ask holder of key", claim.Holder, api.PathClaims+string(claim.Request), nil)
@@ -145,52 +144,52 @@
 	return false
 }
 
-// serveHolder tells other sidecars whether a claimed request is worked on here.
+// serveHolder tells other sidecars whether a claimed request is in progress here.
 func (s *Sidecar) serveHolder(w http.ResponseWriter, r *http.Request) {
 	id := api.RequestID(r.PathValue("request"))
 	_, running := s.running.Load(id)
-	_, unrecorded := s.unrecorded.Load(id)
+	_, unrecorded := s.pendingRecords.Load(id)
 	if !running && !unrecorded {
-		transport.WriteError(w, api.NewError("find claim", "", api.CodeNotFound, api.OutcomeUnknown, "request %q is not worked on here", id))
+		transport.WriteError(w, api.NewError("find claim", "", api.CodeNotFound, api.OutcomeUnknown, "request %q is not in progress here", id))
 		return
 	}
 	transport.WriteJSON(w, http.StatusOK, struct{}{})
 }
 
-// recordFailure records what is known of a request that brought no answer; not
-// run gives the key free.
+// recordFailure records the outcome of a failed request. The outcome not run releases
+// the key.
 func (s *Sidecar) recordFailure(request *onlineRequest, failure *api.Error) {
 	record := jobs.RecordRequest{Outcome: failure.Outcome}
 	if failure.Outcome != api.OutcomeNotRun {
 		record = unknownRecord(failure)
 	}
-	s.recordNow(request, record)
+	s.recordAndWait(request, record)
 }
 
-// recordNow waits a little for the record and goes on with it in the
-// background when it takes longer.
-func (s *Sidecar) recordNow(request *onlineRequest, record jobs.RecordRequest) {
-	done := s.recordLater(request, record)
+// recordAndWait waits up to claimTimeout for the record to be committed, which continues in
+// the background after that.
+func (s *Sidecar) recordAndWait(request *onlineRequest, record jobs.RecordRequest) {
+	done := s.recordInBackground(request, record)
 	select {
 	case <-done:
 	case <-time.After(claimTimeout):
 	}
 }
 
-// recordLater commits a record in the background; the request counts as worked
-// on until then.
-func (s *Sidecar) recordLater(request *onlineRequest, record jobs.RecordRequest) <-chan struct{} {
+// recordInBackground commits a record in the background and closes the returned channel when
+// done. The request counts as in progress until then.
+func (s *Sidecar) recordInBackground(request *onlineRequest, record jobs.RecordRequest) <-chan struct{} {
 	record.Tenant, record.Key, record.Request = request.routed.Tenant, request.key, request.routed.ID
 	done := make(chan struct{})
-	s.unrecorded.Store(record.Request, struct{}{})
-	s.recording.Go(func() {
+	s.pendingRecords.Store(record.Request, struct{}{})
+	s.recorders.Go(func() {
 		defer close(done)
-		defer s.unrecorded.Delete(record.Request)
+		defer s.pendingRecords.Delete(record.Request)
 		ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 		defer cancel()
 		_, err := s.stores.Command(ctx, s.groupOf(request), jobs.Command{Record: &record})
 		if err != nil && record.Outcome != api.OutcomeNotRun {
-			s.log.WithError(err).WithField("request", request.routed.ID).Error("An answer could not be recorded.")
+			s.log.WithError(err).WithField("request", request.routed.ID).Error("Could not record the response of a request with an idempotency key.")
 		}
 	})
 	return done
--- a/internal/sidecar/claim_test.go
+++ b/internal/sidecar/claim_test.go
@@ -11,11 +11,11 @@
 	"github.com/dykewing/dykewing/jobs"
 )
 
-func TestKeyRunsOnce(t *testing.T) {
+func TestIdempotencyKeyRunsOnce(t *testing.T) {
 	for name, handler := range map[string]http.HandlerFunc{
-		"whole": answerJSON,
+		"whole": respondJSON,
 		"stream": func(w http.ResponseWriter, r *http.Request) {
-			answerOf(w, r, stream, eventOne+eventTwo+done)
+			writeResponse(w, r, stream, eventOne+eventTwo+done)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -33,23 +33,22 @@
 				t.Fatalf("another body under the key: %+v", other)
 			}
 			if tenant := f.postModel(api.HeaderIdempotencyKey, "key", api.HeaderTenant, "another"); tenant.header.Get(api.HeaderReplayed) != "" || f.sent.Load() != 2 {
-				t.Fatalf("another tenant's key is not its own: %+v", tenant)
+				t.Fatalf("a key is shared between tenants: %+v", tenant)
 			}
 		})
 	}
 }
 
-// TestKeyedResendsSideBySide: of many at once one is sent; the others learn
-// that it runs, or get its answer.
-func TestKeyedResendsSideBySide(t *testing.T) {
+// A resend while the first request runs is refused; a later one gets its response.
+func TestConcurrentResendsRunOnce(t *testing.T) {
 	begun, release := make(chan struct{}), make(chan struct{})
 	f := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		close(begun)
 		<-release
-		answerJSON(w, r)
+		respondJSON(w, r)
 	})
 	f.addStore(&atomic.Bool{})
-	// The holder's internal address is served as the node does.
+	// Serves the holder's internal address, as the node does.
 	f.sidecar.holder = f.serve(f.sidecar.node.Mux).Listener.Addr().String()
 	var running sync.WaitGroup
 	running.Go(func() {
@@ -72,9 +71,9 @@
 	}
 }
 
-// TestDeadHoldersKeyIsUnknown: the sidecar that ran the request is gone.
-func TestDeadHoldersKeyIsUnknown(t *testing.T) {
-	f := newFixture(t, answerJSON)
+// The sidecar that claimed the key is gone, so the outcome of its request is unknown.
+func TestKeyOfDeadHolderIsUnknown(t *testing.T) {
+	f := newFixture(t, respondJSON)
 	f.addStore(&atomic.Bool{})
 	dead := onlineRequest{key: "key", uri: "/v1/services/calendar/book", body: []byte(`{"slot":1}`)}
 	dead.routed.Tenant, dead.routed.ID = "default", "of the dead"
@@ -87,8 +86,8 @@
 	}
 }
 
-func TestKeyIsFreeAfterNotRun(t *testing.T) {
-	f := newFixture(t, first(refuseWith(api.CodeCeiling, api.OutcomeNotRun), answerJSON))
+func TestKeyIsReleasedAfterNotRun(t *testing.T) {
+	f := newFixture(t, firstThen(refuseWith(api.CodeCeiling, api.OutcomeNotRun), respondJSON))
 	f.addStore(&atomic.Bool{})
 	if got := outcomeOf(t, f.postCalendar(api.HeaderIdempotencyKey, "key")); got != api.OutcomeNotRun {
 		t.Fatalf("outcome %s", got)
@@ -98,8 +97,8 @@
 	}
 }
 
-func TestUnknownIsRecorded(t *testing.T) {
-	f := newFixture(t, first(cutConnection, answerJSON))
+func TestUnknownOutcomeIsRecorded(t *testing.T) {
+	f := newFixture(t, firstThen(abortConnection, respondJSON))
 	f.addStore(&atomic.Bool{})
 	for range 3 {
 		reply := f.postCalendar(api.HeaderIdempotencyKey, "key")
@@ -112,22 +111,22 @@
 	}
 }
 
-func TestKeyNeedsTheStore(t *testing.T) {
+func TestIdempotencyKeyRequiresStore(t *testing.T) {
 	var down atomic.Bool
 	down.Store(true)
-	f := newFixture(t, answerJSON)
+	f := newFixture(t, respondJSON)
 	f.addStore(&down)
 	reply := f.postCalendar(api.HeaderIdempotencyKey, "key")
 	if outcomeOf(t, reply) != api.OutcomeNotRun || reply.header.Get("Retry-After") == "" || f.sent.Load() != 0 {
 		t.Fatalf("sent %d times, %+v", f.sent.Load(), reply)
 	}
 	if reply := f.postCalendar(); reply.status != http.StatusOK {
-		t.Fatalf("a request without a key needs no store: %+v", reply)
+		t.Fatalf("a request without a key failed without a store: %+v", reply)
 	}
 }
 
-// TestCrossedRecordIsRefused: an answer recorded for another key is not given.
-func TestCrossedRecordIsRefused(t *testing.T) {
+// A response recorded under another key must not be replayed.
+func TestRecordOfAnotherKeyIsRejected(t *testing.T) {
 	f := newFixture(t)
 	recorder := &strings.Builder{}
 	writer := &stringWriter{Builder: recorder, header: http.Header{}}
@@ -135,7 +134,7 @@
 	request.routed.Tenant = "tenant"
 	f.sidecar.replay(writer, request, &jobs.RecordRequest{Tenant: "tenant", Key: "another", Status: 200, Body: []byte("theirs")})
 	if strings.Contains(recorder.String(), "theirs") {
-		t.Fatal("the answer of another key was given")
+		t.Fatal("the response of another key was replayed")
 	}
 }
 
--- a/internal/sidecar/files.go
+++ b/internal/sidecar/files.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	filePrefix     = "file-"
-	outputPrefix   = "file-output-"
-	errorPrefix    = "file-errors-"
-	batchPrefix    = "batch_"
-	maximumPurpose = 64
-	maximumName    = 256
-	defaultPage    = 20
-	maximumPage    = 100
+	filePrefix   = "file-"
+	outputPrefix = "file-output-"
+	errorPrefix  = "file-errors-"
+	batchPrefix  = "batch_"
+	maxPurpose   = 64
+	maxName      = 256
+	defaultPage  = 20
+	maxPage      = 100
 )
 
 // fileObject is a file in the OpenAI API's shape.
@@ -51,12 +51,12 @@
 	}
 }
 
-// newID makes an id that names its group.
+// newID returns a new id that contains its group.
 func newID(prefix string, group api.GroupID) string {
 	return fmt.Sprintf("%sg%d-%s", prefix, group, uuid.NewString())
 }
 
-// groupOf reads the group from an id.
+// groupOf parses the group of an id.
 func groupOf(id string) (api.GroupID, *api.Error) {
 	rest := id
 	for _, prefix := range []string{outputPrefix, errorPrefix, filePrefix, batchPrefix} {
@@ -68,16 +68,16 @@
 	number, _, ok := strings.Cut(strings.TrimPrefix(rest, "g"), "-")
 	group, err := strconv.ParseUint(number, 10, 32)
 	if !ok || err != nil {
-		return 0, noObject(id)
+		return 0, newNotFoundError(id)
 	}
 	return api.GroupID(group), nil
 }
 
-func noObject(id string) *api.Error {
+func newNotFoundError(id string) *api.Error {
 	return api.NewError("read id", "", api.CodeNotFound, api.OutcomeNotRun, "no object has the id %q", id)
 }
 
-// batchOfFile gives the batch whose output or error file the id names.
+// batchOfFile returns the batch of an output or error file's id.
 func batchOfFile(id string) (batch string, failures, ok bool) {
 	if rest, ok := strings.CutPrefix(id, outputPrefix); ok {
 		return batchPrefix + rest, false, true
@@ -88,7 +88,7 @@
 	return "", false, false
 }
 
-// createFile streams an upload into its group, a bounded part at a time.
+// createFile streams an upload to its store group in bounded parts.
 func (s *Sidecar) createFile(w http.ResponseWriter, r *http.Request) {
 	const step = "upload file"
 	r.Body = http.MaxBytesReader(w, r.Body, s.node.Settings.Sidecar.MaximumFileBytes)
@@ -107,7 +107,7 @@
 			return
 		}
 		if part.FormName() == "purpose" {
-			raw, _ := io.ReadAll(io.LimitReader(part, maximumPurpose))
+			raw, _ := io.ReadAll(io.LimitReader(part, maxPurpose))
 			purpose = string(raw)
 			continue
 		}
@@ -115,7 +115,7 @@
 			continue
 		}
 		name := part.FileName()
-		file := jobs.CreateFile{File: jobs.FileID(newID(filePrefix, group)), Tenant: tenant, Name: name[:min(len(name), maximumName)], Purpose: purpose}
+		file := jobs.CreateFile{File: jobs.FileID(newID(filePrefix, group)), Tenant: tenant, Name: name[:min(len(name), maxName)], Purpose: purpose}
 		stored, failure := s.storeFile(r.Context(), group, file, part)
 		if failure != nil {
 			s.refuse(w, failure)
@@ -143,7 +143,7 @@
 	transport.WriteJSON(w, http.StatusOK, newPage(found.Files, fileObjectOf, identify, found.More))
 }
 
-// file reads a file that the caller's tenant owns.
+// file reads a file owned by the caller's tenant.
 func (s *Sidecar) file(r *http.Request, id string) (jobs.File, api.GroupID, *api.Error) {
 	tenant := func(file jobs.File) api.TenantID { return file.Tenant }
 	return readOwned(s, r, "read file", id, storeclient.FilePath, tenant)
@@ -168,8 +168,8 @@
 	transport.WriteJSON(w, http.StatusOK, fileObjectOf(file))
 }
 
-// resultFileOf describes a file that is made of results when it is read, so
-// that its size is not known before.
+// resultFileOf describes an output or error file, which is generated from the results
+// when read, so that its size is unknown.
 func resultFileOf(job jobs.Job, id string, failures bool) fileObject {
 	name := string(job.ID()) + "_output.jsonl"
 	if failures {
@@ -178,14 +178,14 @@
 	return fileObject{ID: id, Object: "file", CreatedAt: job.Created.Unix(), Filename: name, Purpose: "batch_output", Status: "processed"}
 }
 
-// deletedObject answers a deletion in the OpenAI API's shape.
+// deletedObject is the response to a deletion in the OpenAI API's shape.
 type deletedObject struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
 	Deleted bool   `json:"deleted"`
 }
 
-// deleteFile hides a file at once. Jobs over it go on; its space is freed with
+// deleteFile hides a file at once. Jobs that use it continue; its space is freed after
 // the last of them.
 func (s *Sidecar) deleteFile(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
@@ -206,7 +206,7 @@
 	transport.WriteJSON(w, http.StatusOK, deletedObject{ID: id, Object: "file", Deleted: true})
 }
 
-// getContent streams a file: an uploaded one, or a job's output or errors.
+// getContent streams an uploaded file, or a job's output or errors.
 func (s *Sidecar) getContent(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	var write func() error
@@ -227,7 +227,7 @@
 	}
 	w.Header().Set("Content-Type", "application/jsonl")
 	if err := write(); err != nil {
-		s.log.WithError(err).Warn("A file could not be read to its end; the caller's connection is cut.")
+		s.log.WithError(err).Warn("Could not read a file to its end; aborting the caller's connection.")
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -31,8 +31,8 @@
 	sent    atomic.Int64 // requests that arrived at routers
 }
 
-// newFixture starts a sidecar before the given routers; rows "model" and
-// "calendar", of which the second may not be repeated.
+// newFixture starts a sidecar in front of the given routers, with the services "model",
+// which is repeatable, and "calendar", which is not.
 func newFixture(t *testing.T, routers ...http.HandlerFunc) *fixture {
 	t.Helper()
 	f := &fixture{t: t}
@@ -88,8 +88,8 @@
 	})
 }
 
-// addStore serves the claims of all groups from one state; fail makes it
-// refuse.
+// addStore adds a store that serves the claims of all groups from one state. It refuses
+// commands while fail is true.
 func (f *fixture) addStore(fail *atomic.Bool) {
 	state, err := jobs.OpenState(jobs.NewMemoryStorage())
 	if err != nil {
@@ -120,12 +120,12 @@
 	f.nodes = append(f.nodes, node)
 }
 
-// reply is a caller's view of an answer.
+// reply is a response as seen by the caller.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	err    error // reading the body: the answer is not whole
+	err    error // of the request or of reading the body
 }
 
 func (f *fixture) post(path, body string, header ...string) reply {
@@ -157,8 +157,8 @@
 	return f.post("/v1/services/calendar/book", `{"slot":1}`, header...)
 }
 
-// answerOf writes a back end's answer as a router does.
-func answerOf(w http.ResponseWriter, r *http.Request, contentType, body string) {
+// writeResponse writes a back end's response as a router does.
+func writeResponse(w http.ResponseWriter, r *http.Request, contentType, body string) {
 	w.Header().Set("Content-Type", contentType)
 	w.Header().Set(api.HeaderOutcome, string(api.OutcomeRan))
 	w.Header().Set(api.HeaderRequestID, r.Header.Get(api.HeaderRequestID))
@@ -166,8 +166,8 @@
 	_, _ = io.WriteString(w, body)
 }
 
-func answerJSON(w http.ResponseWriter, r *http.Request) {
-	answerOf(w, r, "application/json", `{"whole":true}`)
+func respondJSON(w http.ResponseWriter, r *http.Request) {
+	writeResponse(w, r, "application/json", `{"whole":true}`)
 }
 
 func refuseWith(code api.ErrorCode, outcome api.Outcome) http.HandlerFunc {
@@ -178,4 +178,4 @@
 	}
 }
 
-func cutConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+func abortConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
--- a/internal/sidecar/homes.go
+++ b/internal/sidecar/homes.go
@@ -9,31 +9,29 @@
 	"github.com/dykewing/dykewing/routing"
 )
 
-// globalSource draws from the runtime's generators, which goroutines use side
-// by side without a lock.
+// globalSource is a rand.Source over the top-level generator of math/rand/v2, which is
+// safe for concurrent use.
 type globalSource struct{}
 
-// Uint64 draws.
 func (globalSource) Uint64() uint64 { return rand.Uint64() }
 
-// homeIndex is the view of home routers, built once a view so that requests
-// only read it. It is immutable.
+// homeIndex is an immutable index of the home routers in a view.
 type homeIndex struct {
 	byRow   map[api.RowKey][]routing.Endpoint
 	routers []api.Node // not leaving
-	leaving int        // routers that are
+	leaving int        // number of leaving routers
 	reports map[api.NodeID]homeReport
 }
 
-// homeReport is a router's load report with what was sent there since.
+// homeReport identifies a router's load report and counts the requests sent there since.
 type homeReport struct {
 	incarnation uint64
 	sequence    uint64
 	sent        map[api.RowKey]*atomic.Int64
 }
 
-// newHomeIndex goes on with the counts of what was sent for routers whose
-// report has not changed since the previous index.
+// newHomeIndex keeps the counts of sent requests for routers whose report has not changed
+// since the previous index.
 func newHomeIndex(nodes []api.Node, previous *homeIndex) *homeIndex {
 	index := &homeIndex{byRow: map[api.RowKey][]routing.Endpoint{}, reports: map[api.NodeID]homeReport{}}
 	for _, node := range nodes {
@@ -78,18 +76,18 @@
 }
 
 func (s *Sidecar) setHomes(nodes []api.Node) {
-	s.avoided.forget(nodes)
+	s.unavailable.prune(nodes)
 	index := newHomeIndex(nodes, s.homes.Load())
 	s.homes.Store(index)
 	if index.leaving > 0 {
-		s.online.CloseIdleConnections() // a router that leaves waits for it
+		s.online.CloseIdleConnections() // a leaving router waits for its connections to close
 	}
 }
 
-// homeProfile chooses a home router by the summaries, which are old: two
-// choices keep many sidecars from all taking the same. The endpoints given to
-// it are of one row and stay.
-func homeProfile(self api.Location, random *rand.Rand, avoided *avoidance) routing.Profile {
+// homeProfile returns the profile for choosing a home router of a row. Since the load
+// summaries are stale, it picks the better of two random choices, so that sidecars do not
+// all choose the same router.
+func homeProfile(self api.Location, random *rand.Rand, avoided *unavailableHomes) routing.Profile {
 	return routing.Profile{
 		Name:    "home",
 		Filters: []routing.Filter{routing.NotTriedFilter{}, avoided},
@@ -101,17 +99,16 @@
 	}
 }
 
-// chooseHome draws a place by weight and a home router in it; places without
-// one are left out. When all homes have failed or are avoided, all are tried
-// again.
+// chooseHome picks a place by weight and a home router in it, skipping places without
+// one. If all homes have failed or are excluded, it considers all of them again.
 func (s *Sidecar) chooseHome(routed *routing.Request) (routing.Endpoint, *api.Error) {
 	const step = "choose router"
-	endpoint, ok := s.drawHome(routed, s.profile)
+	endpoint, ok := s.pickHome(routed, s.profile)
 	if !ok {
 		everyHome := s.profile
 		everyHome.Filters = nil
 		routed.Excluded = nil
-		endpoint, ok = s.drawHome(routed, everyHome)
+		endpoint, ok = s.pickHome(routed, everyHome)
 	}
 	if ok {
 		return endpoint, nil
@@ -121,7 +118,7 @@
 	return routing.Endpoint{}, failure
 }
 
-func (s *Sidecar) drawHome(routed *routing.Request, profile routing.Profile) (routing.Endpoint, bool) {
+func (s *Sidecar) pickHome(routed *routing.Request, profile routing.Profile) (routing.Endpoint, bool) {
 	rows := s.table.Load().Service(routed.Service)
 	homes := s.homes.Load()
 	for len(rows) > 0 {
--- a/internal/sidecar/incoming.go
+++ b/internal/sidecar/incoming.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	maximumKeyBytes       = 256
-	maximumRequestIDBytes = 128
-	maximumDeadline       = 24 * time.Hour
-	uniqueSuffixBytes     = 12
+	maxKeyBytes       = 256
+	maxRequestIDBytes = 128
+	maxDeadline       = 24 * time.Hour
+	uniqueSuffixBytes = 12
 )
 
-// onlineRequest is a caller's request while the sidecar works on it.
+// onlineRequest is a caller's request in progress.
 type onlineRequest struct {
 	routed   routing.Request
 	callerID string // the caller's own X-Request-Id; may be empty
@@ -29,24 +29,24 @@
 	uri      string
 	body     []byte
 	deadline time.Time
-	// failedWorkers are those that earlier attempts failed at; routed.Excluded
-	// are the homes that did.
+	// failedWorkers are the workers at which earlier attempts failed; routed.Excluded
+	// lists the homes.
 	failedWorkers []string
 }
 
-// modelPath tells whether the answer is of the model API, whose streams end
-// with a last event.
+// modelPath reports whether the path is of the model API, whose streams end with a
+// [DONE] event.
 func (q *onlineRequest) modelPath() bool {
 	return q.path == "/v1/chat/completions" || q.path == "/v1/completions"
 }
 
-// read takes the caller's request whole, so that it can be sent again. release
-// must be called when the body is no longer used.
+// read reads the caller's request with its body, so that it can be retried. The caller
+// must call release when the body is no longer used, also after a failure.
 func (s *Sidecar) read(w http.ResponseWriter, r *http.Request) (request *onlineRequest, release func(), failure *api.Error) {
 	const step = "read request"
 	snapshot := s.table.Load()
 	if snapshot == nil {
-		return nil, func() {}, noTable(step)
+		return nil, func() {}, newNoTableError(step)
 	}
 	request, failure = readHeaders(r, time.Now(), s.node.Settings.Sidecar.DefaultDeadline)
 	if failure != nil {
@@ -65,7 +65,7 @@
 		return nil, release, api.NewError(step, "", api.CodeUnknownService, api.OutcomeNotRun, "the model or service %q is not in the table", service)
 	}
 	request.routed.Service = service
-	// A key marks what may not be repeated, unless the caller says otherwise.
+	// A request with a key is non-repeatable unless a header says otherwise.
 	request.routed.Repeatable, failure = repeatableOf(r, request.key == "" && allRepeatable(rows))
 	if request.routed.Repeatable {
 		request.key = ""
@@ -73,7 +73,8 @@
 	return request, release, failure
 }
 
-// allRepeatable is the service's default: a request may go to any of the rows.
+// allRepeatable reports whether all rows of a service are repeatable, which is the default
+// for its requests.
 func allRepeatable(rows []api.Row) bool {
 	for _, row := range rows {
 		if !row.Repeatable {
@@ -83,23 +84,23 @@
 	return true
 }
 
-// readHeaders checks what the caller's headers say.
+// readHeaders parses and validates the caller's headers.
 func readHeaders(r *http.Request, now time.Time, defaultDeadline time.Duration) (*onlineRequest, *api.Error) {
 	request := &onlineRequest{
 		callerID: r.Header.Get(api.HeaderRequestID), key: r.Header.Get(api.HeaderIdempotencyKey),
 		header: r.Header, path: r.URL.Path, uri: r.URL.RequestURI(),
 	}
-	if len(request.callerID) > maximumRequestIDBytes || !printable(request.callerID) {
-		return nil, badHeader(api.HeaderRequestID, "at most 128 printable ASCII characters")
+	if len(request.callerID) > maxRequestIDBytes || !printable(request.callerID) {
+		return nil, newHeaderError(api.HeaderRequestID, "at most 128 printable ASCII characters")
 	}
-	if len(request.key) > maximumKeyBytes || !printable(request.key) {
-		return nil, badHeader(api.HeaderIdempotencyKey, "at most 256 printable ASCII characters")
+	if len(request.key) > maxKeyBytes || !printable(request.key) {
+		return nil, newHeaderError(api.HeaderIdempotencyKey, "at most 256 printable ASCII characters")
 	}
 	remaining := defaultDeadline
 	if text := r.Header.Get(api.HeaderDeadline); text != "" {
 		milliseconds, err := strconv.ParseInt(text, 10, 64)
-		if err != nil || milliseconds < 1 || milliseconds > maximumDeadline.Milliseconds() {
-			return nil, badHeader(api.HeaderDeadline, "a number of milliseconds from 1 to a day's")
+		if err != nil || milliseconds < 1 || milliseconds > maxDeadline.Milliseconds() {
+			return nil, newHeaderError(api.HeaderDeadline, "a number of milliseconds from 1 to a day's")
 		}
 		remaining = time.Duration(milliseconds) * time.Millisecond
 	}
@@ -108,7 +109,7 @@
 	return request, nil
 }
 
-func badHeader(name, want string) *api.Error {
+func newHeaderError(name, want string) *api.Error {
 	return api.NewError("read request", "", api.CodeBadRequest, api.OutcomeNotRun, "header %s is not %s", name, want)
 }
 
@@ -121,9 +122,8 @@
 	return true
 }
 
-// uniqueID gives the request an id that no other has, also when a caller uses
-// one id twice: answers are told apart and claims are fenced by it. The
-// caller's id stays readable in it.
+// uniqueID returns a unique request id, prefixed by the caller's id, which need not be
+// unique. Responses are matched and claims are fenced by it.
 func uniqueID(callerID string) api.RequestID {
 	unique := uuid.NewString()
 	if callerID == "" {
@@ -139,7 +139,7 @@
 	}
 	repeatable, err := strconv.ParseBool(text)
 	if err != nil {
-		return false, badHeader(api.HeaderRepeatable, "true or false")
+		return false, newHeaderError(api.HeaderRepeatable, "true or false")
 	}
 	return repeatable, nil
 }
--- a/internal/sidecar/online.go
+++ b/internal/sidecar/online.go
@@ -14,8 +14,8 @@
 	"github.com/dykewing/dykewing/retry"
 )
 
-// passedHeaders go from the caller to the home router.
-var passedHeaders = []string{"Content-Type", "Accept", "Authorization", "Traceparent"}
+// requestHeaders are forwarded from the caller to the home router.
+var requestHeaders = []string{"Content-Type", "Accept", "Authorization", "Traceparent"}
 
 func (s *Sidecar) serveOnline(w http.ResponseWriter, r *http.Request) {
 	request, release, failure := s.read(w, r)
@@ -35,22 +35,22 @@
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), request.deadline)
 	defer cancel()
-	answer, failure := s.attempts(ctx, request)
+	answer, failure := s.sendWithRetries(ctx, request)
 	if failure != nil {
 		s.refuse(w, failure)
 		return
 	}
 	if err := s.relay(ctx, w, request, answer); err != nil {
-		s.broken(request, err)
+		s.abort(request, err)
 	}
 	s.metrics.requests.WithLabelValues(resultOK).Inc()
 }
 
-// broken cuts the caller's connection, so that an answer that broke off is
-// never taken for whole.
-func (s *Sidecar) broken(request *onlineRequest, err error) {
+// interrupted aborts the caller's connection, so that an interrupted response is not taken for
+// complete.
+func (s *Sidecar) abort(request *onlineRequest, err error) {
 	s.metrics.requests.WithLabelValues(resultBroken).Inc()
-	s.log.WithError(err).WithField("request", request.routed.ID).Warn("An answer broke off; the caller's connection is cut.")
+	s.log.WithError(err).WithField("request", request.routed.ID).Warn("Response interrupted; aborting the caller's connection.")
 	panic(http.ErrAbortHandler)
 }
 
@@ -59,49 +59,49 @@
 	transport.WriteError(w, failure)
 }
 
-// attempts sends the request until an answer begins or the policy gives up.
-// The failure given back tells the worst of all attempts: unknown once one was.
-func (s *Sidecar) attempts(ctx context.Context, request *onlineRequest) (*answer, *api.Error) {
+// sendWithRetries sends the request until a response begins or the retry policy gives up. The
+// outcome of the returned failure is unknown if that of any attempt was.
+func (s *Sidecar) sendWithRetries(ctx context.Context, request *onlineRequest) (*upstreamResponse, *api.Error) {
 	s.mutex.Lock()
 	s.policy.FirstAttempt()
 	s.mutex.Unlock()
 	outcome := api.OutcomeNotRun
 	for number := 1; ; number++ {
-		answer, tried, failure := s.attempt(ctx, request, number)
+		answer, target, failure := s.attempt(ctx, request, number)
 		if failure == nil {
 			return answer, nil
 		}
 		if failure.Outcome != api.OutcomeNotRun {
 			outcome = api.OutcomeUnknown
 		}
-		decision := s.decide(request, number, failure)
+		decision := s.decideRetry(request, number, failure)
 		if !decision.Again || !pause.For(ctx, decision.Delay) {
 			final := *failure
 			final.Outcome = outcome
 			return nil, &final
 		}
 		s.metrics.retries.Inc()
-		request.exclude(tried)
+		request.exclude(target)
 	}
 }
 
-// tried is where an attempt went.
-type tried struct {
+// attemptTarget is where an attempt was sent.
+type attemptTarget struct {
 	home   string
-	worker string // empty when the home sent it to none
+	worker string // empty if the home did not send it to a worker
 }
 
-// exclude keeps later attempts from where this one failed: the worker when it
-// was sent to one, since the home may have others, else the home.
-func (q *onlineRequest) exclude(tried tried) {
-	if tried.worker != "" {
-		q.failedWorkers = append(q.failedWorkers, tried.worker)
+// exclude excludes the worker of a failed attempt from later ones, or the home if the
+// attempt was not sent to a worker.
+func (q *onlineRequest) exclude(target attemptTarget) {
+	if target.worker != "" {
+		q.failedWorkers = append(q.failedWorkers, target.worker)
 		return
 	}
-	q.routed.Excluded = append(q.routed.Excluded, tried.home)
+	q.routed.Excluded = append(q.routed.Excluded, target.home)
 }
 
-func (s *Sidecar) decide(request *onlineRequest, number int, failure *api.Error) retry.Decision {
+func (s *Sidecar) decideRetry(request *onlineRequest, number int, failure *api.Error) retry.Decision {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.policy.Decide(retry.Attempt{
@@ -110,39 +110,39 @@
 	})
 }
 
-// attempt sends the request to one home router; the answer is the back end's.
-func (s *Sidecar) attempt(ctx context.Context, request *onlineRequest, number int) (*answer, tried, *api.Error) {
+// attempt sends the request to one home router and returns the back end's response.
+func (s *Sidecar) attempt(ctx context.Context, request *onlineRequest, number int) (*upstreamResponse, attemptTarget, *api.Error) {
 	const step = "send to router"
 	home, failure := s.chooseHome(&request.routed)
 	if failure != nil {
-		return nil, tried{}, failure
+		return nil, attemptTarget{}, failure
 	}
-	at := tried{home: home.Name}
+	at := attemptTarget{home: home.Name}
 	outgoing, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+home.Address+api.PathRequests+request.uri, bytes.NewReader(request.body))
 	if err != nil {
 		return nil, at, api.NewError(step, home.Name, api.CodeInternal, api.OutcomeNotRun, "%w", err)
 	}
 	outgoing.Header = outgoingHeader(request, number)
 	if home.Location != s.node.Settings.Node.Location() {
-		outgoing.Header.Set(api.HeaderHops, "0") // a gateway: it chooses the home
+		outgoing.Header.Set(api.HeaderHops, "0") // the router is a gateway, which chooses the home
 	}
 	response, failure := transport.Send(s.online, outgoing, step, home.Name)
 	if failure != nil {
-		s.avoided.note(home.Name, failure)
+		s.unavailable.recordFailure(home.Name, failure)
 		return nil, at, failure
 	}
-	if response.Close { // a router ends connections with its answers only while it stops
-		s.avoided.leaves(home.Name)
+	if response.Close { // routers send Connection: close only while stopping
+		s.unavailable.recordLeaving(home.Name)
 	}
 	at.worker = response.Header.Get(api.HeaderWorker)
-	answer, failure := s.begin(ctx, response, request, home.Name)
+	answer, failure := s.openResponse(ctx, response, request, home.Name)
 	return answer, at, failure
 }
 
-// outgoingHeader is built anew, so that a caller sets no internal header.
+// outgoingHeader returns a new header, so that callers cannot set internal headers.
 func outgoingHeader(request *onlineRequest, number int) http.Header {
-	header := make(http.Header, len(passedHeaders)+8)
-	for _, name := range passedHeaders {
+	header := make(http.Header, len(requestHeaders)+8)
+	for _, name := range requestHeaders {
 		if values := request.header[name]; len(values) > 0 {
 			header[name] = values
 		}
--- a/internal/sidecar/online_test.go
+++ b/internal/sidecar/online_test.go
@@ -22,8 +22,8 @@
 	return body.Outcome
 }
 
-// first gives the first request one handler and later ones another.
-func first(one, later http.HandlerFunc) http.HandlerFunc {
+// firstThen returns a handler that serves the first request with one and the rest with later.
+func firstThen(one, later http.HandlerFunc) http.HandlerFunc {
 	var count atomic.Int64
 	return func(w http.ResponseWriter, r *http.Request) {
 		if count.Add(1) == 1 {
@@ -37,13 +37,13 @@
 func TestRetries(t *testing.T) {
 	crossed := func(w http.ResponseWriter, r *http.Request) {
 		r.Header.Set(api.HeaderRequestID, "another")
-		answerJSON(w, r)
+		respondJSON(w, r)
 	}
 	short := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "100")
-		answerJSON(w, r)
+		respondJSON(w, r)
 	}
-	lying := func(w http.ResponseWriter, r *http.Request) { answerOf(w, r, "application/json", `{"cut":`) }
+	truncated := func(w http.ResponseWriter, r *http.Request) { writeResponse(w, r, "application/json", `{"cut":`) }
 	for _, c := range []struct {
 		name       string
 		first      http.HandlerFunc
@@ -54,20 +54,20 @@
 		{"refused", refuseWith(api.CodeNoCapacity, api.OutcomeNotRun), 2, 2, api.OutcomeRan},
 		{"refused by a ceiling", refuseWith(api.CodeCeiling, api.OutcomeNotRun), 1, 1, api.OutcomeNotRun},
 		{"upstream unknown", refuseWith(api.CodeUpstream, api.OutcomeUnknown), 2, 1, api.OutcomeUnknown},
-		{"no outcome said", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) }, 2, 1, api.OutcomeUnknown},
-		{"cut", cutConnection, 2, 1, api.OutcomeUnknown},
-		{"crossed", crossed, 2, 1, api.OutcomeUnknown},
+		{"no outcome header", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) }, 2, 1, api.OutcomeUnknown},
+		{"connection aborted", abortConnection, 2, 1, api.OutcomeUnknown},
+		{"another request's id", crossed, 2, 1, api.OutcomeUnknown},
 		{"shorter than its length", short, 2, 1, api.OutcomeUnknown},
-		{"cut JSON of right length", lying, 2, 1, api.OutcomeUnknown},
+		{"truncated JSON of right length", truncated, 2, 1, api.OutcomeUnknown},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			handler := first(c.first, answerJSON)
+			handler := firstThen(c.first, respondJSON)
 			f := newFixture(t, handler, handler)
 			f.postModel()
 			if got := f.sent.Load(); got != c.sent {
 				t.Errorf("a repeatable request was sent %d times, want %d", got, c.sent)
 			}
-			handler = first(c.first, answerJSON)
+			handler = firstThen(c.first, respondJSON)
 			f = newFixture(t, handler, handler)
 			reply := f.postCalendar()
 			if got := f.sent.Load(); got != c.sentOnce {
@@ -84,29 +84,29 @@
 	}
 }
 
-// TestUnknownIsNotForgotten: a refusal after an unknown attempt is unknown.
-func TestUnknownIsNotForgotten(t *testing.T) {
-	handler := first(cutConnection, refuseWith(api.CodeNoCapacity, api.OutcomeNotRun))
+// After an attempt with an unknown outcome, a refusal must not be reported as not run.
+func TestRefusalAfterUnknownAttemptIsUnknown(t *testing.T) {
+	handler := firstThen(abortConnection, refuseWith(api.CodeNoCapacity, api.OutcomeNotRun))
 	f := newFixture(t, handler, handler)
 	if got := outcomeOf(t, f.postModel()); got != api.OutcomeUnknown {
 		t.Fatalf("outcome %s after an attempt that may have run", got)
 	}
 }
 
-// TestPlantedFaultsAreSeen shows that the checks above can fail.
-func TestPlantedFaultsAreSeen(t *testing.T) {
+// Disabling each check lets a bad response through, so the tests above can fail.
+func TestInjectedFaultsAreDetected(t *testing.T) {
 	f := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		r.Header.Set(api.HeaderRequestID, "another")
-		answerJSON(w, r)
+		respondJSON(w, r)
 	})
-	f.sidecar.takeCrossed = true
+	f.sidecar.faultAcceptMismatched = true
 	if f.postCalendar().status != http.StatusOK {
-		t.Error("the crossed answer was not passed on by the planted fault")
+		t.Error("the injected fault did not pass on another request's response")
 	}
-	f = newFixture(t, func(w http.ResponseWriter, r *http.Request) { answerOf(w, r, "application/json", `{"cut":`) })
-	f.sidecar.takeTruncated = true
+	f = newFixture(t, func(w http.ResponseWriter, r *http.Request) { writeResponse(w, r, "application/json", `{"cut":`) })
+	f.sidecar.faultAcceptTruncated = true
 	if f.postCalendar().status != http.StatusOK {
-		t.Error("the truncated answer was not passed on by the planted fault")
+		t.Error("the injected fault did not pass on a truncated response")
 	}
 }
 
@@ -117,15 +117,15 @@
 	stream   = "text/event-stream"
 )
 
-// streamRouter breaks each stream off after its first event, by cut or by a
-// clean end, and resumes with what follows.
+// streamRouter ends each stream after its first event, by aborting the connection if cut
+// is true, and serves resumptions with resumed.
 func streamRouter(cut bool, resumed http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
 			resumed(w, r)
 			return
 		}
-		answerOf(w, r, stream, ": keep-alive\n\n"+eventOne)
+		writeResponse(w, r, stream, ": keep-alive\n\n"+eventOne)
 		if cut {
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
@@ -137,7 +137,7 @@
 	resumed := func(w http.ResponseWriter, r *http.Request) {
 		r.Header.Set(api.HeaderRequestID, strings.TrimPrefix(r.URL.Path, api.PathResumes))
 		rest := map[string]string{"0": eventOne + eventTwo + done, "1": eventTwo + done, "2": done}
-		answerOf(w, r, stream, rest[r.URL.Query().Get("from")])
+		writeResponse(w, r, stream, rest[r.URL.Query().Get("from")])
 	}
 	for _, cut := range []bool{true, false} {
 		f := newFixture(t, streamRouter(cut, resumed))
@@ -151,22 +151,22 @@
 	}
 }
 
-func TestStreamThatCannotResumeIsCut(t *testing.T) {
+func TestUnresumableStreamIsAborted(t *testing.T) {
 	f := newFixture(t, streamRouter(true, refuseWith(api.CodeNotFound, api.OutcomeUnknown)))
 	reply := f.postModel()
 	if reply.err == nil {
-		t.Fatalf("a stream that broke off ended as a whole one: %q", reply.body)
+		t.Fatalf("an interrupted stream ended without an error: %q", reply.body)
 	}
 	if !strings.Contains(reply.body, `"dykewing_outcome":"unknown"`) || strings.Contains(reply.body, done) {
-		t.Fatalf("the stream %q does not say that it broke off", reply.body)
+		t.Fatalf("the stream %q does not end with an error event", reply.body)
 	}
 }
 
-// TestCancelReachesTheRouter: a caller that goes away ends the request.
-func TestCancelReachesTheRouter(t *testing.T) {
+// A caller's disconnect cancels the request at the router.
+func TestClientDisconnectCancelsRequest(t *testing.T) {
 	ended := make(chan struct{})
 	f := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
-		answerOf(w, r, stream, eventOne)
+		writeResponse(w, r, stream, eventOne)
 		_ = http.NewResponseController(w).Flush()
 		<-r.Context().Done()
 		close(ended)
@@ -179,12 +179,12 @@
 	select {
 	case <-ended:
 	case <-time.After(testTimeout):
-		t.Fatal("the router's request goes on")
+		t.Fatal("the request at the router was not cancelled")
 	}
 }
 
 func TestBadRequestsAreNotRun(t *testing.T) {
-	f := newFixture(t, answerJSON)
+	f := newFixture(t, respondJSON)
 	for name, reply := range map[string]reply{
 		"malformed JSON": f.post("/v1/chat/completions", `{"model":`),
 		"no model":       f.post("/v1/chat/completions", `{}`),
@@ -193,8 +193,8 @@
 		"too large":      f.post("/v1/chat/completions", `{"model":"`+strings.Repeat("m", 1<<16)+`"}`),
 		"bad repeatable": f.postModel(api.HeaderRepeatable, "perhaps"),
 		"bad deadline":   f.postModel(api.HeaderDeadline, "-1"),
-		"long key":       f.postModel(api.HeaderIdempotencyKey, strings.Repeat("k", maximumKeyBytes+1)),
-		"long id":        f.postModel(api.HeaderRequestID, strings.Repeat("i", maximumRequestIDBytes+1)),
+		"long key":       f.postModel(api.HeaderIdempotencyKey, strings.Repeat("k", maxKeyBytes+1)),
+		"long id":        f.postModel(api.HeaderRequestID, strings.Repeat("i", maxRequestIDBytes+1)),
 	} {
 		if reply.status < 400 || reply.status >= 500 || outcomeOf(t, reply) != api.OutcomeNotRun {
 			t.Errorf("%s: status %d, %s", name, reply.status, reply.body)
@@ -206,19 +206,19 @@
 	if f.sent.Load() != 0 {
 		t.Errorf("%d refused requests were sent", f.sent.Load())
 	}
-	if f.sidecar.bodies.Held() != 0 || f.sidecar.held.Load() != 0 {
-		t.Error("bytes are held after all requests ended")
+	if f.sidecar.bodies.Held() != 0 || f.sidecar.bufferedBytes.Load() != 0 {
+		t.Error("buffers are still reserved after all requests ended")
 	}
 	if reply := f.postModel(); reply.status != http.StatusOK {
 		t.Errorf("a good request after the bad ones: %d", reply.status)
 	}
 }
 
-func TestCallerSetsNoInternalHeader(t *testing.T) {
+func TestInternalHeadersFromCallerAreDropped(t *testing.T) {
 	var seen http.Header
 	f := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		seen = r.Header.Clone()
-		answerJSON(w, r)
+		respondJSON(w, r)
 	})
 	reply := f.postModel(api.HeaderPlace, "elsewhere", api.HeaderAttempt, "9", api.HeaderBackendKey, "k", api.HeaderRequestID, "mine", api.HeaderDeadline, "60000")
 	if seen.Get(api.HeaderPlace) != "here" || seen.Get(api.HeaderAttempt) != "" || seen.Get(api.HeaderBackendKey) != "" {
@@ -229,7 +229,7 @@
 	}
 }
 
-func TestRetryBudgetStopsStorms(t *testing.T) {
+func TestRetryBudgetLimitsRetries(t *testing.T) {
 	f := newFixture(t, refuseWith(api.CodeNoCapacity, api.OutcomeNotRun), refuseWith(api.CodeNoCapacity, api.OutcomeNotRun))
 	const requests = 200
 	for range requests {
@@ -261,7 +261,7 @@
 			}
 			return
 		}
-		if remaining := read.deadline.Sub(now); remaining <= 0 || remaining > maximumDeadline {
+		if remaining := read.deadline.Sub(now); remaining <= 0 || remaining > maxDeadline {
 			t.Fatalf("deadline in %v", remaining)
 		}
 		if other := uniqueID(id); read.routed.ID == other {
--- a/internal/sidecar/page.go
+++ b/internal/sidecar/page.go
@@ -17,20 +17,20 @@
 	HasMore bool   `json:"has_more"`
 }
 
-// pageLimit reads how many objects a list is to have.
+// pageLimit parses the limit parameter of a list request.
 func pageLimit(r *http.Request) (int, *api.Error) {
 	text := r.URL.Query().Get("limit")
 	if text == "" {
 		return defaultPage, nil
 	}
 	limit, err := strconv.Atoi(text)
-	if err != nil || limit < 1 || limit > maximumPage {
-		return 0, api.NewError("read limit", "", api.CodeBadRequest, api.OutcomeNotRun, "limit %q is not within 1 to %d", text, maximumPage)
+	if err != nil || limit < 1 || limit > maxPage {
+		return 0, api.NewError("read limit", "", api.CodeBadRequest, api.OutcomeNotRun, "limit %q is not within 1 to %d", text, maxPage)
 	}
 	return limit, nil
 }
 
-// newPage shows the objects that a store gave.
+// newPage converts a store's objects to a page of the API.
 func newPage[Stored, Shown any](stored []Stored, show func(Stored) Shown, id func(Shown) string, more bool) page[Shown] {
 	answer := page[Shown]{Object: "list", Data: []Shown{}, HasMore: more}
 	for _, object := range stored {
@@ -45,7 +45,7 @@
 // listPath is the path of a page of a tenant's objects in a group.
 type listPath func(group api.GroupID, tenant api.TenantID, after string, limit int) string
 
-// readPage reads the page of the caller's tenant that the query asks for.
+// readPage reads the page of the tenant's objects that the query selects.
 func (s *Sidecar) readPage(r *http.Request, step string, path listPath, found any) *api.Error {
 	limit, failure := pageLimit(r)
 	if failure != nil {
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// readOwned reads an object that the caller's tenant owns; another tenant's is
-// not found.
+// readOwned reads an object owned by the caller's tenant. Objects of other tenants are
+// reported as not found.
 func readOwned[Stored any](s *Sidecar, r *http.Request, step, id string, path func(api.GroupID, string) string, tenant func(Stored) api.TenantID) (Stored, api.GroupID, *api.Error) {
 	var none, found Stored
 	group, failure := groupOf(id)
@@ -72,7 +72,7 @@
 		return none, 0, api.AsError(step, err)
 	}
 	if tenant(found) != tenantOf(r) {
-		return none, 0, noObject(id)
+		return none, 0, newNotFoundError(id)
 	}
 	return found, group, nil
 }
--- a/internal/sidecar/record.go
+++ b/internal/sidecar/record.go
@@ -11,33 +11,33 @@
 	"github.com/dykewing/dykewing/jobs"
 )
 
-// recorder passes an answer to the caller and keeps a bounded copy. It goes on
-// when the caller is gone.
+// recorder writes a response to the caller and keeps a bounded copy. It continues after
+// the caller has disconnected.
 type recorder struct {
 	http.ResponseWriter
-	status int
-	body   bytes.Buffer
-	large  bool // the copy is left out
-	gone   bool // the caller is
+	status       int
+	body         bytes.Buffer
+	overLimit    bool // the body is too large to be recorded
+	disconnected bool // writing to the caller failed
 }
 
-// WriteHeader notes the status.
+// WriteHeader implements http.ResponseWriter.
 func (w *recorder) WriteHeader(status int) {
 	w.status = status
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Write never fails: the answer is read to its end for the record.
+// Write never fails, so that the response is read to its end.
 func (w *recorder) Write(data []byte) (int, error) {
-	if w.body.Len()+len(data) > maximumRecordBody {
-		w.large = true
+	if w.body.Len()+len(data) > maxRecordBody {
+		w.overLimit = true
 	}
-	if !w.large {
+	if !w.overLimit {
 		w.body.Write(data)
 	}
-	if !w.gone {
+	if !w.disconnected {
 		_, err := w.ResponseWriter.Write(data)
-		w.gone = err != nil
+		w.disconnected = err != nil
 	}
 	return len(data), nil
 }
@@ -45,18 +45,17 @@
 // Unwrap lets http.ResponseController reach the connection.
 func (w *recorder) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// relayClaimed passes the answer on and records it. A whole answer is recorded
-// before its first byte goes out: a caller that has it never learns less from a
-// resend.
-func (s *Sidecar) relayClaimed(ctx context.Context, w http.ResponseWriter, request *onlineRequest, answer *answer) {
-	if answer.whole {
+// relayClaimed relays the response and records it. A complete response is recorded before
+// its first byte is sent, so that a resend gets what the caller has already seen.
+func (s *Sidecar) relayClaimed(ctx context.Context, w http.ResponseWriter, request *onlineRequest, answer *upstreamResponse) {
+	if answer.complete {
 		record := jobs.RecordRequest{
 			Outcome: api.OutcomeRan, Status: answer.response.StatusCode,
-			Type: answer.response.Header.Get("Content-Type"), Body: answer.first,
+			Type: answer.response.Header.Get("Content-Type"), Body: answer.head,
 		}
-		s.recordNow(request, record)
+		s.recordAndWait(request, record)
 		if err := s.relay(ctx, w, request, answer); err != nil {
-			s.broken(request, err)
+			s.abort(request, err)
 		}
 		s.metrics.requests.WithLabelValues(resultOK).Inc()
 		return
@@ -64,18 +63,18 @@
 	recorder := &recorder{ResponseWriter: w}
 	contentType := answer.response.Header.Get("Content-Type")
 	if err := s.relay(ctx, recorder, request, answer); err != nil {
-		s.recordNow(request, unknownRecord(api.AsError("relay answer", err)))
-		s.broken(request, err)
+		s.recordAndWait(request, unknownRecord(api.AsError("relay answer", err)))
+		s.abort(request, err)
 	}
 	record := jobs.RecordRequest{Outcome: api.OutcomeRan, Status: recorder.status, Type: contentType, Body: recorder.body.Bytes()}
-	if recorder.large {
+	if recorder.overLimit {
 		record.Body, record.Status = nil, 0
 	}
-	s.recordNow(request, record)
+	s.recordAndWait(request, record)
 	s.metrics.requests.WithLabelValues(resultOK).Inc()
 }
 
-// unknownRecord keeps a failure as the answer that every resend gets.
+// unknownRecord returns a record that replays the failure to every resend.
 func unknownRecord(failure *api.Error) jobs.RecordRequest {
 	kept := *failure
 	kept.Outcome = api.OutcomeUnknown
@@ -83,15 +82,15 @@
 	return jobs.RecordRequest{Outcome: api.OutcomeUnknown, Status: kept.Code.HTTPStatus(), Type: "application/json", Body: body}
 }
 
-// replay answers a resend with what is recorded.
+// replay responds to a resend with the recorded response.
 func (s *Sidecar) replay(w http.ResponseWriter, request *onlineRequest, recorded *jobs.RecordRequest) {
 	if recorded.Tenant != request.routed.Tenant || recorded.Key != request.key {
-		s.metrics.crossed.Inc()
-		s.refuse(w, api.NewError("replay answer", "", api.CodeOutcomeUnknown, api.OutcomeUnknown, "the recorded answer is of another key"))
+		s.metrics.mismatched.Inc()
+		s.refuse(w, api.NewError("replay answer", "", api.CodeOutcomeUnknown, api.OutcomeUnknown, "the recorded response belongs to another key"))
 		return
 	}
 	if recorded.Status == 0 {
-		s.refuse(w, api.NewError("replay answer", "", api.CodeConflict, api.OutcomeRan, "the request ran, but its answer was over %d bytes and is not kept", maximumRecordBody))
+		s.refuse(w, api.NewError("replay answer", "", api.CodeConflict, api.OutcomeRan, "the request ran, but its answer was over %d bytes and is not kept", maxRecordBody))
 		return
 	}
 	header := w.Header()
--- a/internal/sidecar/relay.go
+++ b/internal/sidecar/relay.go
@@ -15,14 +15,13 @@
 )
 
 const (
-	writeTimeout      = 30 * time.Second // for a caller to take a part of an answer
-	writeTimeoutSlack = 5 * time.Second  // how exact it is
+	writeTimeout      = 30 * time.Second // for one write to a caller
+	writeTimeoutSlack = 5 * time.Second  // bounds how often the deadline is set
 )
 
-var errNoDone = errors.New("the stream ended without its last event")
+var errUnterminatedStream = errors.New("stream ended without [DONE] event")
 
-// callerWriter writes to a caller, who may take no longer than writeTimeout for
-// a part.
+// callerWriter writes to a caller with a timeout for each write.
 type callerWriter struct {
 	http.ResponseWriter
 	controller *http.ResponseController
@@ -33,7 +32,7 @@
 	return &callerWriter{ResponseWriter: w, controller: http.NewResponseController(w)}
 }
 
-// Write sets the deadline anew once it has come nearer.
+// Write extends the write deadline when it is near enough.
 func (w *callerWriter) Write(data []byte) (int, error) {
 	now := time.Now()
 	if w.deadline.Sub(now) < writeTimeout-writeTimeoutSlack {
@@ -46,9 +45,9 @@
 // Unwrap lets http.ResponseController reach the connection.
 func (w *callerWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// relay passes the answer to the caller and closes it. After an error the
-// caller has a part of the answer: its connection must be cut.
-func (s *Sidecar) relay(ctx context.Context, w http.ResponseWriter, request *onlineRequest, answer *answer) error {
+// relay writes the response to the caller and closes it. After an error the caller has
+// only part of the response, and its connection must be aborted.
+func (s *Sidecar) relay(ctx context.Context, w http.ResponseWriter, request *onlineRequest, answer *upstreamResponse) error {
 	defer func() { answer.close() }()
 	header := w.Header()
 	for _, name := range []string{"Content-Type", "Content-Length", "Retry-After", api.HeaderOutcome, api.HeaderWorker} {
@@ -57,27 +56,27 @@
 		}
 	}
 	if answer.stream {
-		header.Del("Content-Length") // of the part that came before it broke
+		header.Del("Content-Length") // a resumed stream may have another length
 	}
 	w.WriteHeader(answer.response.StatusCode)
 	writer := newCallerWriter(w)
 	if answer.stream {
 		return s.relayStream(ctx, writer, request, answer)
 	}
-	if _, err := writer.Write(answer.first); err != nil {
+	if _, err := writer.Write(answer.head); err != nil {
 		return fmt.Errorf("write to caller: %w", err)
 	}
-	if answer.whole {
+	if answer.complete {
 		return nil
 	}
 	return engine.CopyStream(writer, answer.response.Body)
 }
 
-// relayStream passes events on, and goes on by request id where the stream
-// breaks, so that the caller misses none and gets none twice.
-func (s *Sidecar) relayStream(ctx context.Context, w *callerWriter, request *onlineRequest, answer *answer) error {
-	event, err := answer.first, error(nil)
-	passed := 0 // events that count
+// relayStream relays events and resumes an interrupted stream by request id, so that the
+// caller gets each event exactly once.
+func (s *Sidecar) relayStream(ctx context.Context, w *callerWriter, request *onlineRequest, answer *upstreamResponse) error {
+	event, err := answer.head, error(nil)
+	passed := 0 // events other than comments
 	for {
 		if err != nil {
 			if err == io.EOF && !request.modelPath() {
@@ -104,7 +103,7 @@
 	}
 }
 
-// writeErrorEvent tells the caller in the stream why it ends here.
+// writeErrorEvent ends the stream with an event that holds the error.
 func writeErrorEvent(w *callerWriter, err error) {
 	body, _ := json.Marshal(transport.BodyOf(api.AsError("relay stream", err)))
 	_, _ = fmt.Fprintf(w, "data: %s\n\n", body)
--- a/internal/sidecar/results.go
+++ b/internal/sidecar/results.go
@@ -30,7 +30,7 @@
 	Outcome api.Outcome   `json:"dykewing_outcome"`
 }
 
-// writeResults writes a job's answers, or its failures, a page at a time.
+// writeResults writes a job's successful results, or its failures, page by page.
 func (s *Sidecar) writeResults(ctx context.Context, w io.Writer, group api.GroupID, job jobs.Job, failures bool) error {
 	encoder := json.NewEncoder(w)
 	for from := 0; from >= 0; {
@@ -51,7 +51,8 @@
 	return nil
 }
 
-// lineOf gives an answer of any status as a response, anything else as an error.
+// lineOf converts a back end's response of any status to a response, anything else to an
+// error.
 func lineOf(result jobs.ItemResult) resultLine {
 	line := resultLine{ID: string(result.Request), CustomID: result.CustomID}
 	if result.Outcome == api.OutcomeRan && result.Status > 0 {
--- a/internal/sidecar/resume.go
+++ b/internal/sidecar/resume.go
@@ -17,28 +17,28 @@
 
 const (
 	resumeAttempts = 4
-	maximumResumes = 8                     // of one stream
-	resumePause    = 50 * time.Millisecond // times the attempt's number
+	maxResumes     = 8                     // per stream
+	resumeBackoff  = 50 * time.Millisecond // multiplied by the attempt number
 )
 
-// resume puts a stream that goes on after the passed events into answer. It
-// asks any router: the engine has the request, and nothing is started again.
-func (s *Sidecar) resume(ctx context.Context, request *onlineRequest, answer *answer, passed int, cause error) error {
+// resume replaces answer's stream by one that continues after the passed events. Any
+// router can serve it, since the engine still has the request and nothing is restarted.
+func (s *Sidecar) resume(ctx context.Context, request *onlineRequest, answer *upstreamResponse, passed int, cause error) error {
 	const step = "resume stream"
 	if cause == io.EOF {
-		cause = errNoDone
+		cause = errUnterminatedStream
 	}
 	failure := api.NewError(step, answer.worker, api.CodeOutcomeUnknown, api.OutcomeUnknown, "%w", cause)
-	s.metrics.broken.Inc()
-	if !request.modelPath() || answer.resumes == maximumResumes {
+	s.metrics.interrupted.Inc()
+	if !request.modelPath() || answer.resumes == maxResumes {
 		return failure
 	}
 	answer.resumes++
 	for number := range resumeAttempts {
-		if !pause.For(ctx, time.Duration(number)*resumePause) {
+		if !pause.For(ctx, time.Duration(number)*resumeBackoff) {
 			break
 		}
-		response, err := s.askResume(ctx, request, answer.worker, passed)
+		response, err := s.requestResume(ctx, request, answer.worker, passed)
 		if err == nil {
 			answer.response.Body.Close()
 			answer.response = response
@@ -51,7 +51,7 @@
 	return failure
 }
 
-func (s *Sidecar) askResume(ctx context.Context, request *onlineRequest, worker string, from int) (*http.Response, error) {
+func (s *Sidecar) requestResume(ctx context.Context, request *onlineRequest, worker string, from int) (*http.Response, error) {
 	const step = "ask router to resume"
 	routers := s.homes.Load().routers
 	if len(routers) == 0 {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,5 +1,5 @@
-// Package sidecar is the role beside a caller: it serves the OpenAI HTTP API,
-// sends each request to a home router, and keeps nothing.
+// Package sidecar implements the sidecar role. A sidecar runs next to a caller, serves the
+// OpenAI HTTP API and sends each request to a home router. It has no durable state.
 package sidecar
 
 import (
@@ -30,47 +30,46 @@
 	readHeaderTimeout  = 10 * time.Second
 	bodyTimeout        = 30 * time.Second
 	idleTimeout        = 2 * time.Minute
-	maximumHeaderBytes = 64 << 10
-	maximumHeldBytes   = 256 << 20 // of request bodies
-	// closeGrace is how long a planned stop tells callers with each answer to
-	// close their connection, before idle ones are closed on them: a request
-	// that meets a closing connection could not be told from one that ran.
-	closeGrace = time.Second
+	maxHeaderBytes     = 64 << 10
+	maxHeldBytes       = 256 << 20 // of request bodies
+	// drainPeriod is how long a graceful stop sends Connection: close with each response
+	// before it closes idle connections. A request sent on a connection that is being
+	// closed could not be told from one that ran.
+	drainPeriod = time.Second
 )
 
-// Sidecar is the role's part of a process.
+// Sidecar is the sidecar role of a process.
 type Sidecar struct {
-	node     *node.Node
-	log      *logrus.Entry
-	listener net.Listener
-	online   *http.Client // online requests only
-	stores   *storeclient.Client
-	metrics  *metrics
-	bodies   *transport.BodyBudget
-	held     atomic.Int64 // bytes of answers held whole
-	homes    atomic.Pointer[homeIndex]
-	random   *rand.Rand      // of globalSource: safe side by side
-	profile  routing.Profile // likewise
-	avoided  *avoidance
+	node          *node.Node
+	log           *logrus.Entry
+	listener      net.Listener
+	online        *http.Client // online requests only
+	stores        *storeclient.Client
+	metrics       *metrics
+	bodies        *transport.BodyBudget
+	bufferedBytes atomic.Int64 // bytes reserved for buffered responses
+	homes         atomic.Pointer[homeIndex]
+	random        *rand.Rand      // over globalSource: safe for concurrent use
+	profile       routing.Profile // safe for concurrent use
+	unavailable   *unavailableHomes
 
 	table atomic.Pointer[table.Snapshot]
 
-	// Claimed requests worked on here, and records not committed yet, by
-	// api.RequestID.
-	unrecorded sync.Map
-	running    sync.Map
-	holder     string // address at which this sidecar is asked about them
-	leaving    atomic.Bool
-	recording  sync.WaitGroup // records in the background
+	// Uncommitted records and claimed requests in progress, by api.RequestID.
+	pendingRecords sync.Map
+	running        sync.Map
+	holder         string // address at which other sidecars ask about them
+	leaving        atomic.Bool
+	recorders      sync.WaitGroup // records in the background
 
 	mutex  sync.Mutex // guards policy
 	policy *retry.Policy
 
-	// Faults that tests plant.
-	takeCrossed, takeTruncated bool
+	// Faults injected by tests.
+	faultAcceptMismatched, faultAcceptTruncated bool
 }
 
-// New binds the callers' address and adds the role to a node.
+// New listens on the callers' address and adds the sidecar role to a node.
 func New(common *node.Node) (*Sidecar, error) {
 	listener, err := net.Listen("tcp", common.Settings.Sidecar.Address)
 	if err != nil {
@@ -79,15 +78,15 @@
 	random := rand.New(globalSource{})
 	sidecar := &Sidecar{
 		node: common, log: common.Logger("sidecar"), listener: listener,
-		online:  transport.NewClient(requestConnections),
-		stores:  &storeclient.Client{HTTP: transport.NewClient(storeConnections), Nodes: common.Nodes},
-		metrics: newMetrics(common.Registry),
-		bodies:  &transport.BodyBudget{Total: maximumHeldBytes, Each: common.Settings.Sidecar.MaximumBodyBytes, Timeout: bodyTimeout},
-		random:  random,
-		policy:  retry.NewPolicy(retry.DefaultSettings(), random),
-		avoided: &avoidance{},
+		online:      transport.NewClient(requestConnections),
+		stores:      &storeclient.Client{HTTP: transport.NewClient(storeConnections), Nodes: common.Nodes},
+		metrics:     newMetrics(common.Registry),
+		bodies:      &transport.BodyBudget{Total: maxHeldBytes, Each: common.Settings.Sidecar.MaximumBodyBytes, Timeout: bodyTimeout},
+		random:      random,
+		policy:      retry.NewPolicy(retry.DefaultSettings(), random),
+		unavailable: &unavailableHomes{},
 	}
-	sidecar.profile = homeProfile(common.Settings.Node.Location(), random, sidecar.avoided)
+	sidecar.profile = homeProfile(common.Settings.Node.Location(), random, sidecar.unavailable)
 	sidecar.holder = common.Address()
 	sidecar.setHomes(common.Nodes())
 	common.OnView(sidecar.setHomes)
@@ -96,14 +95,14 @@
 	return sidecar, nil
 }
 
-// Address is where callers connect.
+// Address returns the address on which callers are served.
 func (s *Sidecar) Address() string { return s.listener.Addr().String() }
 
 // Run serves callers until ctx ends, then lets their requests finish.
 func (s *Sidecar) Run(ctx context.Context) error {
 	server := &http.Server{
-		Handler:           transport.Guard(s.closing(s.routes()), s.reportPanic),
-		ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maximumHeaderBytes,
+		Handler:           transport.Guard(s.closeConnections(s.routes()), s.reportPanic),
+		ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 	failed := make(chan error, 1)
 	go func() { failed <- server.Serve(s.listener) }()
@@ -116,17 +115,16 @@
 	deadline, cancel := context.WithTimeout(context.Background(), s.node.Settings.Node.StopTimeout)
 	defer cancel()
 	s.leaving.Store(true)
-	// New connections are refused first, which is certainly not run; they are
-	// rare while callers hold theirs.
+	// Refuse new connections first: a refused request certainly did not run.
 	_ = s.listener.Close()
-	pause.For(deadline, closeGrace)
+	pause.For(deadline, drainPeriod)
 	err := server.Shutdown(deadline)
 	s.awaitRecords(deadline)
 	return err
 }
 
-// closing tells callers to close their connections once the sidecar leaves.
-func (s *Sidecar) closing(handler http.Handler) http.Handler {
+// closeConnections adds Connection: close to responses while the sidecar is leaving.
+func (s *Sidecar) closeConnections(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.leaving.Load() {
 			w.Header().Set("Connection", "close")
@@ -135,11 +133,11 @@
 	})
 }
 
-// awaitRecords lets records in the background be committed.
+// awaitRecords waits until background records are committed or ctx ends.
 func (s *Sidecar) awaitRecords(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
-		s.recording.Wait()
+		s.recorders.Wait()
 		close(done)
 	}()
 	select {
@@ -150,7 +148,7 @@
 
 func (s *Sidecar) reportPanic(cause any, stack []byte) {
 	s.metrics.panics.Inc()
-	s.log.WithField("stack", string(stack)).Errorf("A request's handler panicked: %v.", cause)
+	s.log.WithField("stack", string(stack)).Errorf("A request handler panicked: %v.", cause)
 }
 
 func (s *Sidecar) routes() http.Handler {
@@ -191,7 +189,7 @@
 func (s *Sidecar) serveModels(w http.ResponseWriter, _ *http.Request) {
 	snapshot := s.table.Load()
 	if snapshot == nil {
-		transport.WriteError(w, noTable("list models"))
+		transport.WriteError(w, newNoTableError("list models"))
 		return
 	}
 	models := []model{}
@@ -201,14 +199,13 @@
 	transport.WriteJSON(w, http.StatusOK, list[model]{Object: "list", Data: models})
 }
 
-func noTable(step string) *api.Error {
+func newNoTableError(step string) *api.Error {
 	failure := api.NewError(step, "", api.CodeNoTable, api.OutcomeNotRun, "this node has no table yet")
 	failure.RetryAfter = time.Second
 	return failure
 }
 
-// tenantOf names the caller's tenant: the header, or the API key's owner as
-// given, or "default".
+// tenantOf returns the tenant named by the header, or "default".
 func tenantOf(r *http.Request) api.TenantID {
 	if tenant := r.Header.Get(api.HeaderTenant); tenant != "" {
 		return api.TenantID(tenant)
