--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon puts a role onto a node and runs both as one life cycle.
+// Package daemon combines a node and a role into one process and runs both.
 package daemon
 
 import (
@@ -26,29 +26,30 @@
 	"github.com/dykewing/dykewing/internal/storeclient"
 )
 
-// Daemon is one process's role, ready to run.
+// Daemon is a node with its role, ready to run.
 type Daemon struct {
 	Node    *node.Node
-	Sidecar *sidecar.Sidecar // only of that role
+	Sidecar *sidecar.Sidecar // nil for other roles
 	run     func(ctx context.Context) error
 }
 
-// Platform is what a process needs of the platform it runs on: its store, its way
-// of speaking, and where configuration and workers stand.
+// Platform holds a process's access to the platform it runs on: its key-value store, its
+// HTTP protocol, and the source of configuration and workers.
 type Platform struct {
 	KeyValue relay.Service
 	Protocol backend.Protocol
 	Source   catalog.Source
-	// Pace keeps KeyValue to this process's part of the store's rates; nil: none.
+	// Pace limits KeyValue to this process's share of the store's rate limits. May be nil.
 	Pace *kv.Pace
-	// Observe lets each call of KeyValue be told of, before the first; nil: none is.
+	// Observe registers a function that is called after each call of KeyValue. It is
+	// called before the first use of KeyValue. May be nil.
 	Observe func(call func(path string, err error))
-	// Decommissions are operators' requests to empty machines; nil: none.
+	// Decommissions holds operators' requests to drain machines. May be nil.
 	Decommissions *store.Decommissions
 }
 
-// New binds addresses and opens disks; a fault is a clear error before
-// anything is served. platform may be nil for roles that run on none.
+// New opens listeners and data folders, so that their errors are returned before anything
+// is served. platform may be nil, except for a frontend.
 func New(role api.Role, settings config.Settings, log *logrus.Logger, platform *Platform) (*Daemon, error) {
 	common, err := newNode(role, settings, log, platform)
 	if err != nil {
@@ -78,7 +79,7 @@
 	case api.RoleStore:
 		daemon.run, err = newStore(common, platform)
 	default:
-		err = fmt.Errorf("role %q is not known", role)
+		err = fmt.Errorf("unknown role %q", role)
 	}
 	if err != nil {
 		return nil, err
@@ -86,8 +87,8 @@
 	return daemon, nil
 }
 
-// newNode builds the common part; on a platform, its processes bring each other what
-// the key-value service tells.
+// newNode creates the node. On a platform, processes relay changes of the key-value
+// service to each other.
 func newNode(role api.Role, settings config.Settings, log *logrus.Logger, platform *Platform) (*node.Node, error) {
 	if platform == nil {
 		return node.New(role, settings, log)
@@ -101,7 +102,7 @@
 		return nil, err
 	}
 	changes.Joined, changes.CheckKey = common.Settled, platform.Source.ConfigurationPrefix
-	changes.Abroad = func() [][]feed.Member { return storesAbroad(common.Nodes(), settings.Node.Location()) }
+	changes.Abroad = func() [][]feed.Member { return remoteStores(common.Nodes(), settings.Node.Location()) }
 	if platform.Observe != nil {
 		platform.Observe(common.ObserveCall)
 	}
@@ -111,8 +112,8 @@
 	return common, nil
 }
 
-// feedMembers are the processes of a zone that can be asked for changes. Stores are
-// watchers first: their links carry a configuration to a whole zone at once.
+// feedMembers returns the processes of a zone that serve changes. Stores are preferred as
+// watchers, since they have the bandwidth to send a configuration to a whole zone.
 func feedMembers(nodes []api.Node, location api.Location) []feed.Member {
 	var members []feed.Member
 	for _, each := range nodes {
@@ -123,8 +124,9 @@
 	return members
 }
 
-// storesAbroad are the stores of other zones, by zone: those of each that watch first.
-func storesAbroad(nodes []api.Node, location api.Location) [][]feed.Member {
+// remoteStores returns the stores of other zones, grouped by zone. They are the preferred
+// watchers of their zones.
+func remoteStores(nodes []api.Node, location api.Location) [][]feed.Member {
 	at := map[api.Location]int{}
 	var zones [][]feed.Member
 	for _, each := range nodes {
@@ -141,7 +143,8 @@
 	return zones
 }
 
-// newStore adds the role; on a platform, leaders run inline jobs.
+// newStore adds the store role and returns its run function. On a platform, group leaders
+// run inline jobs.
 func newStore(common *node.Node, platform *Platform) (func(ctx context.Context) error, error) {
 	if platform == nil {
 		part, err := store.New(common)
@@ -174,18 +177,18 @@
 	}, nil
 }
 
-// drainsItself tells whether a role's callers finish before its node stops.
-func drainsItself(role api.Role) bool { return role == api.RoleSidecar || role == api.RoleFrontend }
+// drainsBeforeNode reports whether a role finishes its callers' requests before its node
+// stops.
+func drainsBeforeNode(role api.Role) bool { return role == api.RoleSidecar || role == api.RoleFrontend }
 
-// killedWait bounds the wait for a role that was killed. It is long beside the close of its
-// files, and short beside what a supervisor waits for a process.
-const killedWait = 2 * time.Second
+// killTimeout bounds the wait for a killed role to end. It must be shorter than the time
+// that a supervisor waits for a process.
+const killTimeout = 2 * time.Second
 
-// awaitFolder waits until a role that was killed has closed what it had open: its data
-// folder is locked until then, and a role that starts in the same process would find it in
-// use.
-func awaitFolder(ended <-chan error) {
-	timer := time.NewTimer(killedWait)
+// awaitRoleEnd waits up to killTimeout until a killed role has ended and so released the
+// lock of its data folder, which the next role in the same process may need.
+func awaitRoleEnd(ended <-chan error) {
+	timer := time.NewTimer(killTimeout)
 	defer timer.Stop()
 	select {
 	case <-ended:
@@ -193,15 +196,15 @@
 	}
 }
 
-// Run serves until ctx ends and then stops as planned; kill ends it at once. A
-// sidecar's callers finish before its node stops; other roles go on until their
-// node has finished its requests.
+// Run serves until ctx ends and then stops gracefully; the end of kill stops it at once,
+// with node.ErrKilled. A sidecar or frontend finishes its callers' requests before its
+// node stops; other roles run until their node has finished its requests.
 func (d *Daemon) Run(ctx, kill context.Context) error {
 	roleContext, stopRole := context.WithCancel(kill)
 	defer stopRole()
 	nodeContext, stopNode := context.WithCancel(kill)
 	defer stopNode()
-	if drainsItself(d.Node.Role) {
+	if drainsBeforeNode(d.Node.Role) {
 		defer context.AfterFunc(ctx, stopRole)()
 	} else {
 		defer context.AfterFunc(ctx, stopNode)()
@@ -218,7 +221,7 @@
 	select {
 	case roleError = <-ended:
 	case <-kill.Done():
-		awaitFolder(ended)
+		awaitRoleEnd(ended)
 		return node.ErrKilled
 	}
 	d.Node.System.Shutdown()
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -30,16 +30,16 @@
 )
 
 const (
-	loopback  = "127.0.0.1:0"
-	interval  = 50 * time.Millisecond
-	patience  = 30 * time.Second
-	service   = api.ServiceName("model")
-	place     = api.PlaceName("north")
-	homeZone  = "north"
-	otherZone = "south"
+	loopback    = "127.0.0.1:0"
+	interval    = 50 * time.Millisecond
+	testTimeout = 30 * time.Second
+	service     = api.ServiceName("model")
+	place       = api.PlaceName("north")
+	homeZone    = "north"
+	otherZone   = "south"
 )
 
-// platform is the stand-ins that the daemons of a test use.
+// platform holds the fake services that the daemons of a test use.
 type platform struct {
 	keyValue string
 	list     *machinelist.Server
@@ -124,7 +124,7 @@
 	killed, kill := context.WithCancel(context.Background())
 	result := &process{Daemon: started, stop: stop, kill: kill, ended: make(chan error, 1)}
 	go func() { result.ended <- started.Run(ctx, killed) }()
-	t.Cleanup(kill) // before the stand-ins close, also when the test fails
+	t.Cleanup(kill) // before the fake services close, also if the test fails
 	return result
 }
 
@@ -134,8 +134,8 @@
 	case err := <-p.ended:
 		p.ended <- err
 		return err
-	case <-time.After(patience):
-		t.Fatalf("%s has not ended", p.Node.ID())
+	case <-time.After(testTimeout):
+		t.Fatalf("%s did not stop in time", p.Node.ID())
 		return nil
 	}
 }
@@ -143,13 +143,13 @@
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for begin := time.Now(); !condition(); time.Sleep(interval / 5) {
-		if time.Since(begin) > patience {
-			t.Fatalf("not within %v: %s", patience, what)
+		if time.Since(begin) > testTimeout {
+			t.Fatalf("timeout after %v waiting for %s", testTimeout, what)
 		}
 	}
 }
 
-// ask sends one request that may not be repeated and gives its error.
+// ask sends one non-repeatable request.
 func ask(client *http.Client, address string) error {
 	body := `{"model":"model","max_tokens":8,"messages":[{"role":"user","content":"hello"}]}`
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/chat/completions", bytes.NewBufferString(body))
@@ -172,8 +172,8 @@
 
 func row() api.Row { return api.Row{Service: service, Place: place, Weight: 1, Priority: 1} }
 
-// offers counts the routers that a node takes for homes of the row.
-func offers(process *process) int {
+// homeRouters counts the routers that are homes of the row in a node's view.
+func homeRouters(process *process) int {
 	count := 0
 	for _, other := range process.Node.Nodes() {
 		for _, summary := range other.Summary.Services {
@@ -195,7 +195,7 @@
 	all = append(all, platform.start(t, api.RoleRouter, "south-0", otherZone))
 	caller := platform.start(t, api.RoleSidecar, "caller", otherZone)
 	defer stopAll(t, append(all, caller))
-	eventually(t, "the other zone's gateways", func() bool { return caller.Node.Table() != nil && offers(caller) == 3 })
+	eventually(t, "the other zone's gateways", func() bool { return caller.Node.Table() != nil && homeRouters(caller) == 3 })
 	client := &http.Client{}
 	defer client.CloseIdleConnections()
 	for i := range 30 {
@@ -215,15 +215,15 @@
 	}
 }
 
-// TestLeavingAndDeadWorkersGetNothingNew: one worker leaves by the machine
-// list, another dies while the list still calls it live.
-func TestLeavingAndDeadWorkersGetNothingNew(t *testing.T) {
+// One worker is marked as leaving in the machine list, another dies while still listed as
+// live.
+func TestLeavingAndDeadWorkersGetNoRequests(t *testing.T) {
 	platform := newPlatform(t, row())
 	engines := platform.engines(t, homeZone, 3)
 	router := platform.start(t, api.RoleRouter, "router-0", homeZone)
 	caller := platform.start(t, api.RoleSidecar, "caller", homeZone)
 	defer stopAll(t, []*process{router, caller})
-	eventually(t, "a home", func() bool { return caller.Node.Table() != nil && offers(caller) == 1 })
+	eventually(t, "a home", func() bool { return caller.Node.Table() != nil && homeRouters(caller) == 1 })
 	platform.list.Set([]api.Worker{leavingWorker(platform.workers[0]), platform.workers[1], platform.workers[2]})
 	eventually(t, "two workers offered", func() bool { return workersOffered(caller) == 2 })
 	before := engines[0].Served()
@@ -246,7 +246,7 @@
 	return worker
 }
 
-// workersOffered counts the workers of the row that a node knows of.
+// workersOffered counts the workers that the routers in a node's view offer.
 func workersOffered(process *process) int {
 	count := 0
 	for _, other := range process.Node.Nodes() {
@@ -268,9 +268,8 @@
 	}
 }
 
-// TestPlannedStopsCutNoRequest stops router after router and starts others
-// while callers go on with requests that may not be repeated.
-func TestPlannedStopsCutNoRequest(t *testing.T) {
+// Routers are replaced one after another while callers send non-repeatable requests.
+func TestGracefulStopAbortsNoRequest(t *testing.T) {
 	platform := newPlatform(t, row())
 	platform.engines(t, homeZone, 4)
 	routers := []*process{
@@ -279,7 +278,7 @@
 		platform.start(t, api.RoleRouter, "router-2", homeZone),
 	}
 	caller := platform.start(t, api.RoleSidecar, "caller", homeZone)
-	eventually(t, "three homes", func() bool { return caller.Node.Table() != nil && offers(caller) >= 2 })
+	eventually(t, "three homes", func() bool { return caller.Node.Table() != nil && homeRouters(caller) >= 2 })
 	var sent, failed atomic.Int64
 	var first atomic.Pointer[error]
 	done := make(chan struct{})
@@ -314,7 +313,7 @@
 			t.Logf("router-%d: last new request %v after the signal, ended after %v", i, last.Sub(began), time.Since(began))
 		}
 		routers = append(routers, platform.start(t, api.RoleRouter, fmt.Sprintf("router-%d", 3+i), homeZone))
-		eventually(t, "the next home", func() bool { return offers(caller) >= 2 })
+		eventually(t, "the next home", func() bool { return homeRouters(caller) >= 2 })
 	}
 	finish()
 	callers.Wait()
@@ -325,7 +324,7 @@
 	t.Logf("%d requests", sent.Load())
 }
 
-func TestSecondSignalEndsAtOnce(t *testing.T) {
+func TestKillDuringStopEndsAtOnce(t *testing.T) {
 	platform := newPlatform(t, row())
 	router := platform.start(t, api.RoleRouter, "router-0", homeZone)
 	caller := platform.start(t, api.RoleSidecar, "caller", homeZone)
@@ -338,7 +337,7 @@
 	}
 }
 
-func TestUsedPortIsOneClearError(t *testing.T) {
+func TestAddressInUseIsOneLineError(t *testing.T) {
 	taken, err := net.Listen("tcp", loopback)
 	if err != nil {
 		t.Fatal(err)
@@ -354,9 +353,9 @@
 	}
 }
 
-// TestNothingRunsOnAfterAStop holds that a daemon takes all its goroutines with
-// it, also with peers and a key-value service that do not answer.
-func TestNothingRunsOnAfterAStop(t *testing.T) {
+// A stopped daemon leaves no goroutines, even if its peers and the key-value service are
+// unreachable.
+func TestStopLeaksNoGoroutines(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	for _, role := range []api.Role{api.RoleRouter, api.RoleSidecar} {
 		platform := &platform{keyValue: "http://127.0.0.1:1", listURL: "http://127.0.0.1:1/", peers: []string{"127.0.0.1:1"}}
--- a/internal/daemon/killed_test.go
+++ b/internal/daemon/killed_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A killed role was not waited for, and the next one with its data folder found the folder
-// in use by another process.
-func TestAKilledRoleIsWaitedForABoundedTime(t *testing.T) {
+// Without the wait, the next role with the same data folder fails because it is still
+// locked. A role that hangs must not block the stop.
+func TestWaitForKilledRoleIsBounded(t *testing.T) {
 	tests := []struct {
 		name string
 		ends bool
@@ -16,16 +16,16 @@
 		t.Run(test.name, func(t *testing.T) {
 			ended, waited := make(chan error), make(chan bool)
 			go func() {
-				awaitFolder(ended)
+				awaitRoleEnd(ended)
 				close(waited)
 			}()
 			if test.ends {
-				ended <- nil // taken only by who waits for it
+				ended <- nil // blocks until awaitRoleEnd receives
 			}
 			select {
 			case <-waited:
 			case <-time.After(time.Minute):
-				t.Fatal("it waits without a bound")
+				t.Fatal("awaitRoleEnd did not return within a minute")
 			}
 		})
 	}
