--- a/internal/engine/copy.go
+++ b/internal/engine/copy.go
@@ -11,8 +11,8 @@
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
 
-// CopyStream passes an answer's body on as it comes. Where the header has the
-// answer's length, the server flushes by itself.
+// CopyStream copies a response body to w until io.EOF. Without a Content-Length header it
+// flushes after each read.
 func CopyStream(w http.ResponseWriter, body io.Reader) error {
 	controller := http.NewResponseController(w)
 	flushes := w.Header().Get("Content-Length") == ""
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,5 +1,6 @@
-// Package engine reaches back ends: it passes a caller's request on with its
-// priority and id, and gives the answer's stream back unread.
+// Package engine is the client of back ends, which are inference engines and applications.
+// It forwards a caller's request with its priority and id and returns the response with
+// its body unread.
 package engine
 
 import (
@@ -15,10 +16,10 @@
 	"github.com/dykewing/dykewing/routing"
 )
 
-// PathLoad is where an engine publishes its Load.
+// PathLoad is the path at which an engine serves its Load.
 const PathLoad = "/load"
 
-// Load is an engine's report; it lags.
+// Load is an engine's load report. It may be stale.
 type Load struct {
 	Running int  `json:"running"`
 	Waiting int  `json:"waiting"`
@@ -30,35 +31,35 @@
 type Call struct {
 	Worker   api.WorkerID
 	Address  string
-	Path     string // as the caller sent it, with its query
+	Path     string // as sent by the caller, with the query
 	Body     []byte
-	Header   http.Header // content headers and the request's id
+	Header   http.Header // content headers and the request id
 	Priority int
 }
 
-// Backend is how the rest of dykewing reaches engines and applications.
+// Backend is the interface to engines and applications.
 type Backend interface {
-	// Send sends once and gives the answer when its header is there; closing
-	// its body cancels the request. Errors are *api.Error.
+	// Send sends a request once, without retries, and returns when the response header
+	// has arrived. Closing the body cancels the request. Errors are *api.Error.
 	Send(ctx context.Context, call Call) (*http.Response, error)
-	// Resume gives the stream of a request that was sent before, from the
-	// given event on, counted from 0. It never starts the request. Of the call
-	// only worker and address are read. Errors are *api.Error.
+	// Resume returns the stream of a request that was sent before, starting at the given
+	// event, counted from 0. It never starts the request. Only Worker and Address of the
+	// call are used. Errors are *api.Error.
 	Resume(ctx context.Context, call Call, request api.RequestID, from int) (*http.Response, error)
 	Load(ctx context.Context, address string) (Load, error)
-	// CacheEvents gives what is published of the engine's prefix cache after a
-	// sequence number.
+	// CacheEvents returns the events of the engine's prefix cache after a sequence
+	// number.
 	CacheEvents(ctx context.Context, address string, after uint64) ([]routing.CacheEvent, error)
 }
 
 // HTTPBackend is a Backend over the OpenAI HTTP API.
 type HTTPBackend struct {
-	Client  *http.Client // requests
-	Control *http.Client // load reports
+	Client  *http.Client // for requests
+	Control *http.Client // for load reports and cache events
 }
 
-// Send posts the request. An answer that says that the request was refused, or
-// that leaves its effect open, is an error.
+// Send posts the request. A response that refuses the request, or leaves open whether it
+// ran, is returned as an error.
 func (b *HTTPBackend) Send(ctx context.Context, call Call) (*http.Response, error) {
 	const step = "send to worker"
 	body, err := withPriority(call)
@@ -76,15 +77,15 @@
 	if failure != nil {
 		return nil, failure
 	}
-	if failure := checkAnswer(response, call); failure != nil {
+	if failure := checkResponse(response, call); failure != nil {
 		response.Body.Close()
 		return nil, failure
 	}
 	return response, nil
 }
 
-// checkAnswer refuses answers of another request and those that are no answer.
-func checkAnswer(response *http.Response, call Call) *api.Error {
+// checkResponse rejects responses to another request and those whose outcome is not ran.
+func checkResponse(response *http.Response, call Call) *api.Error {
 	const step = "read answer of worker"
 	sent, echoed := call.Header.Get(api.HeaderRequestID), response.Header.Get(api.HeaderRequestID)
 	if echoed != "" && echoed != sent {
@@ -107,7 +108,7 @@
 	return failure
 }
 
-// Load reads the engine's report.
+// Load reads the engine's load report.
 func (b *HTTPBackend) Load(ctx context.Context, address string) (Load, error) {
 	var load Load
 	err := transport.Get(ctx, b.Control, "read load of worker", address, PathLoad, &load)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -36,7 +36,7 @@
 	}
 	for _, body := range []string{``, `[]`, `{`, `"{}"`, `{"a":1}}`} {
 		if _, err := withPriority(Call{Path: "/v1/completions", Body: []byte(body)}); err == nil {
-			t.Errorf("%q was taken for a JSON object", body)
+			t.Errorf("%q was accepted as a JSON object", body)
 		}
 	}
 }
@@ -91,12 +91,12 @@
 		}
 	}
 	if _, err := readEvents(strings.NewReader(strings.Repeat("x", MaximumEventBytes+1))); err == nil {
-		t.Error("an event without bound was read")
+		t.Error("an event over MaximumEventBytes was read")
 	}
 }
 
-// FuzzEventReader checks that events are the stream's bytes, in order, up to
-// the last whole event, whatever sizes the reads have.
+// FuzzEventReader checks that the events are a prefix of the stream and do not depend on
+// the sizes of reads.
 func FuzzEventReader(f *testing.F) {
 	f.Add([]byte("data: 1\n\ndata: [DONE]\n\n"))
 	f.Add([]byte("\n\n\r\n: c\n\nx"))
@@ -110,7 +110,7 @@
 			t.Fatalf("%q and %q, %v", atOnce, bytewise, err)
 		}
 		if joined := strings.Join(atOnce, ""); !strings.HasPrefix(string(stream), joined) {
-			t.Fatalf("%q is no beginning of %q", joined, stream)
+			t.Fatalf("%q is not a prefix of %q", joined, stream)
 		}
 	})
 }
@@ -130,16 +130,16 @@
 	})
 }
 
-func TestSendReadsTheAnswersEvidence(t *testing.T) {
+func TestSendClassifiesOutcome(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		handler http.HandlerFunc
 		outcome api.Outcome
 	}{
-		{"crossed", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("X-Request-Id", "another") }, api.OutcomeUnknown},
-		{"too many", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(429) }, api.OutcomeNotRun},
-		{"failed", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) }, api.OutcomeUnknown},
-		{"cut before the header", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, api.OutcomeUnknown},
+		{"another request's id", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("X-Request-Id", "another") }, api.OutcomeUnknown},
+		{"too many requests", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(429) }, api.OutcomeNotRun},
+		{"internal server error", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) }, api.OutcomeUnknown},
+		{"aborted before the header", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, api.OutcomeUnknown},
 		{"header flood", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("X-Flood", strings.Repeat("f", 1<<20))
 		}, api.OutcomeUnknown},
@@ -166,7 +166,7 @@
 	response.Body.Close()
 }
 
-func TestUnframedAnswers(t *testing.T) {
+func TestUnframedResponseIsCheckedForTruncation(t *testing.T) {
 	for _, c := range []struct {
 		body, contentType string
 		whole             bool
@@ -174,7 +174,7 @@
 		{`{"a":1}`, "application/json", true},
 		{`{"a":`, "application/json", false},
 		{"text", "text/plain", false},
-		{"data: 1\n\n", "text/event-stream", true}, // its last event is looked for elsewhere
+		{"data: 1\n\n", "text/event-stream", true}, // the reader of events checks for [DONE]
 	} {
 		response := &http.Response{ContentLength: -1, Header: http.Header{"Content-Type": {c.contentType}}, Body: io.NopCloser(strings.NewReader(c.body))}
 		read, err := io.ReadAll(Framed(response))
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -10,16 +10,16 @@
 // MaximumEventBytes bounds one event of a stream.
 const MaximumEventBytes = 1 << 20
 
-// doneData ends a whole stream of the OpenAI API.
-const doneData = "data: [DONE]"
+// doneLine is the last event of a complete stream of the OpenAI API.
+const doneLine = "data: [DONE]"
 
 // EventReader splits a stream of server-sent events at its blank lines.
 type EventReader struct {
-	scanner *bufio.Scanner
-	cut     bool
+	scanner   *bufio.Scanner
+	truncated bool
 }
 
-// NewEventReader reads events of at most MaximumEventBytes.
+// NewEventReader returns a reader of events of at most MaximumEventBytes.
 func NewEventReader(stream io.Reader) *EventReader {
 	scanner := bufio.NewScanner(stream)
 	scanner.Buffer(make([]byte, 0, 4<<10), MaximumEventBytes)
@@ -30,16 +30,15 @@
 
 func (r *EventReader) split(data []byte, atEnd bool) (int, []byte, error) {
 	advance, event, err := splitEvent(data, atEnd)
-	r.cut = atEnd && event == nil && len(data) > 0
+	r.truncated = atEnd && event == nil && len(data) > 0
 	return advance, event, err
 }
 
-// Cut tells, after io.EOF, whether the stream ended within an event.
-func (r *EventReader) Cut() bool { return r.cut }
+// Cut reports, after io.EOF, whether the stream ended within an event.
+func (r *EventReader) Cut() bool { return r.truncated }
 
-// Next gives the next whole event with its blank line. io.EOF is the end of
-// the stream, also where it ends within an event, whose bytes are left out.
-// The bytes hold until the next call.
+// Next returns the next complete event with its blank line. The slice is valid until the
+// next call. At the end of the stream it returns io.EOF and drops an incomplete event.
 func (r *EventReader) Next() ([]byte, error) {
 	if r.scanner.Scan() {
 		return r.scanner.Bytes(), nil
@@ -50,13 +49,13 @@
 	return nil, io.EOF
 }
 
-// IsDone tells whether the event ends a whole stream.
+// IsDone reports whether the event marks the end of a complete stream.
 func IsDone(event []byte) bool {
-	return bytes.Equal(bytes.TrimSpace(event), []byte(doneData))
+	return bytes.Equal(bytes.TrimSpace(event), []byte(doneLine))
 }
 
-// IsComment tells whether the event holds only comments, such as keep-alives,
-// which engines do not count.
+// IsComment reports whether the event holds only comments, such as keep-alives, which do
+// not count as events when a stream is resumed.
 func IsComment(event []byte) bool {
 	for line := range bytes.Lines(event) {
 		line = bytes.TrimSpace(line)
@@ -67,8 +66,8 @@
 	return true
 }
 
-// splitEvent is a bufio.SplitFunc: an event ends with an empty line, of either
-// line end.
+// splitEvent is a bufio.SplitFunc. An event ends with an empty line, terminated by LF or
+// CRLF.
 func splitEvent(data []byte, atEnd bool) (int, []byte, error) {
 	for from := 0; from < len(data); {
 		end := bytes.IndexByte(data[from:], '\n')
--- a/internal/engine/framed.go
+++ b/internal/engine/framed.go
@@ -9,36 +9,37 @@
 	"strings"
 )
 
-// maximumUnframedBytes bounds an answer that must be read whole to be checked.
-const maximumUnframedBytes = 16 << 20
+// maxUnframedBytes bounds a response that is buffered to be checked.
+const maxUnframedBytes = 16 << 20
 
-// ErrTruncated says that an answer is not known to be whole.
-var ErrTruncated = errors.New("answer is not known to be whole")
+// ErrTruncated is the error of a response that may be truncated.
+var ErrTruncated = errors.New("response may be truncated")
 
-// Framed gives an answer's body so that its end is certain. HTTP frames it by
-// length or by chunks, and a broken frame is a read error. An answer that ends
-// with its connection could have lost its tail: a stream has its own last
-// event, JSON is read whole and checked, anything else is ErrTruncated.
+// Framed returns a reader of the response body that detects truncation. With a
+// Content-Length or chunked encoding, net/http reports a truncated body. A body that is
+// delimited by the end of the connection may be truncated without an error: event streams
+// have a last event that their reader checks for, JSON is read completely and validated,
+// and anything else fails with ErrTruncated.
 func Framed(response *http.Response) io.Reader {
 	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 	if framed || IsEventStream(response.Header) {
 		return response.Body
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, maximumUnframedBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxUnframedBytes))
 	if err == nil && !json.Valid(body) {
 		err = ErrTruncated
 	}
 	if err != nil {
-		return failedReader{err}
+		return errorReader{err}
 	}
 	return bytes.NewReader(body)
 }
 
-// IsEventStream tells whether an answer is a stream of server-sent events.
+// IsEventStream reports whether a response is a stream of server-sent events.
 func IsEventStream(header http.Header) bool {
 	return strings.HasPrefix(header.Get("Content-Type"), "text/event-stream")
 }
 
-type failedReader struct{ err error }
+type errorReader struct{ err error }
 
-func (r failedReader) Read([]byte) (int, error) { return 0, r.err }
+func (r errorReader) Read([]byte) (int, error) { return 0, r.err }
--- a/internal/engine/prefix.go
+++ b/internal/engine/prefix.go
@@ -9,12 +9,12 @@
 	"github.com/dykewing/dykewing/routing"
 )
 
-// promptKeys begin the prompt in bodies of the OpenAI API.
+// promptKeys are the keys of the prompt in request bodies of the OpenAI API.
 var promptKeys = [][]byte{[]byte(`"messages"`), []byte(`"prompt"`)}
 
-// PromptPrefix gives the hashes of a request's prompt by which prefix caches
-// are known. The body is not parsed, so that the cost stays small: the prompt is
-// what follows its key. Bodies without one have none.
+// PromptPrefix returns the prefix-cache hashes of a request's prompt, or nil if the body
+// has no prompt key. To keep the cost low, the body is not parsed: everything after the
+// key is taken for the prompt.
 func PromptPrefix(body []byte) []uint64 {
 	for _, key := range promptKeys {
 		if at := bytes.Index(body, key); at >= 0 {
@@ -24,10 +24,10 @@
 	return nil
 }
 
-// PathCacheEvents is where an engine publishes changes of its prefix cache.
+// PathCacheEvents is the path at which an engine serves events of its prefix cache.
 const PathCacheEvents = "/cache/events"
 
-// CacheEvents reads the events after a sequence number.
+// CacheEvents reads the prefix cache events after a sequence number.
 func (b *HTTPBackend) CacheEvents(ctx context.Context, address string, after uint64) ([]routing.CacheEvent, error) {
 	var answer struct {
 		Events []routing.CacheEvent `json:"events"`
--- a/internal/engine/priority.go
+++ b/internal/engine/priority.go
@@ -14,10 +14,9 @@
 
 const priorityField = "priority"
 
-// withPriority sets the engine's priority field in JSON bodies of the model
-// API; application requests stay as they are. Lower numbers go first there. A
-// field that the caller set is replaced, so that no caller goes first by
-// asking for it.
+// withPriority returns the body with the engine's priority field, in which lower values
+// run first. A field set by the caller is replaced, so that callers cannot raise their own
+// priority. Bodies of application requests are returned unchanged.
 func withPriority(call Call) ([]byte, error) {
 	if strings.HasPrefix(call.Path, jobs.ServicesPath) {
 		return call.Body, nil
@@ -27,14 +26,14 @@
 		return nil, fmt.Errorf("set priority: body is not a JSON object")
 	}
 	if gjson.GetBytes(body, priorityField).Exists() {
-		return replacePriority(body, -call.Priority)
+		return replacePriorityField(body, -call.Priority)
 	}
-	return appendPriority(body, -call.Priority), nil
+	return appendPriorityField(body, -call.Priority), nil
 }
 
-// appendPriority adds the field at the end, where it also goes before an
-// earlier one in readers that take the last of equal names.
-func appendPriority(body []byte, priority int) []byte {
+// appendPriorityField adds the field as the last one, which takes precedence in parsers that
+// use the last of duplicate names.
+func appendPriorityField(body []byte, priority int) []byte {
 	open := bytes.TrimRight(body[:len(body)-1], " \t\r\n")
 	result := make([]byte, 0, len(body)+len(priorityField)+8)
 	result = append(result, open...)
@@ -46,7 +45,7 @@
 	return append(result, '}')
 }
 
-func replacePriority(body []byte, priority int) ([]byte, error) {
+func replacePriorityField(body []byte, priority int) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
 		return nil, fmt.Errorf("set priority: %w", err)
--- a/internal/engine/resume.go
+++ b/internal/engine/resume.go
@@ -10,13 +10,14 @@
 	"github.com/dykewing/dykewing/internal/transport"
 )
 
-// ResumePath is where an engine gives the events of a request again, counted
-// from 0. It is this adapter's: the OpenAI API has no such path for chats.
+// ResumePath returns the path at which an engine serves the events of a request again,
+// starting at an event counted from 0. It is an extension: the OpenAI API has no such path
+// for chat completions.
 func ResumePath(request api.RequestID, from int) string {
 	return fmt.Sprintf("/v1/requests/%s/events?from=%d", url.PathEscape(string(request)), from)
 }
 
-// Resume asks for the rest of a stream.
+// Resume requests the rest of a stream.
 func (b *HTTPBackend) Resume(ctx context.Context, call Call, id api.RequestID, from int) (*http.Response, error) {
 	const step = "resume at worker"
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+call.Address+ResumePath(id, from), nil)
@@ -26,7 +27,7 @@
 	request.Header.Set(api.HeaderRequestID, string(id))
 	response, failure := transport.Send(b.Client, request, step, string(call.Worker))
 	if failure != nil {
-		failure.Outcome = api.OutcomeUnknown // of the request, which was sent before
+		failure.Outcome = api.OutcomeUnknown // the request was already sent
 		return nil, failure
 	}
 	if response.StatusCode != http.StatusOK {
