--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -127,16 +127,16 @@
 // remoteStores returns the stores of other zones, grouped by zone. They are the preferred
 // watchers of their zones.
 func remoteStores(nodes []api.Node, location api.Location) [][]feed.Member {
-	at := map[api.Location]int{}
+	index := map[api.Location]int{}
 	var zones [][]feed.Member
 	for _, each := range nodes {
 		if each.Location == location || each.Role != api.RoleStore || each.Leaving || each.Suspected {
 			continue
 		}
-		i, known := at[each.Location]
+		i, known := index[each.Location]
 		if !known {
 			i = len(zones)
-			at[each.Location], zones = i, append(zones, nil)
+			index[each.Location], zones = i, append(zones, nil)
 		}
 		zones[i] = append(zones[i], feed.Member{ID: each.ID, Address: each.Address, Strong: true})
 	}
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -28,9 +28,9 @@
 	return reader
 }
 
-func (r *EventReader) split(data []byte, atEnd bool) (int, []byte, error) {
-	advance, event, err := splitEvent(data, atEnd)
-	r.truncated = atEnd && event == nil && len(data) > 0
+func (r *EventReader) split(data []byte, atEOF bool) (int, []byte, error) {
+	advance, event, err := splitEvent(data, atEOF)
+	r.truncated = atEOF && event == nil && len(data) > 0
 	return advance, event, err
 }
 
@@ -68,7 +68,7 @@
 
 // splitEvent is a bufio.SplitFunc. An event ends with an empty line, terminated by LF or
 // CRLF.
-func splitEvent(data []byte, atEnd bool) (int, []byte, error) {
+func splitEvent(data []byte, atEOF bool) (int, []byte, error) {
 	for from := 0; from < len(data); {
 		end := bytes.IndexByte(data[from:], '\n')
 		if end < 0 {
@@ -80,7 +80,7 @@
 			return from, data[:from], nil
 		}
 	}
-	if atEnd {
+	if atEOF {
 		return len(data), nil, nil
 	}
 	return 0, nil, nil
--- a/internal/router/batch.go
+++ b/internal/router/batch.go
@@ -102,7 +102,7 @@
 // for their reports, since the stores may be stopping as well.
 func (b *batchRunner) awaitReports() {
 	deadline := time.Now().Add(b.router.node.Settings.Node.StopTimeout)
-	reported := time.Now().Add(reportTimeout)
+	reportDeadline := time.Now().Add(reportTimeout)
 	for idle := false; !idle && time.Now().Before(deadline); {
 		b.shell.Tell(jobs.Leaders{Groups: groupLeaders(b.router.node.Nodes())})
 		b.shell.Tell(jobs.RunnerTick{})
@@ -111,9 +111,9 @@
 			return
 		}
 		if running {
-			reported = time.Now().Add(reportTimeout)
+			reportDeadline = time.Now().Add(reportTimeout)
 		}
-		if !running && (time.Now().After(reported) || !storeAvailable(b.router.node.Nodes())) {
+		if !running && (time.Now().After(reportDeadline) || !storeAvailable(b.router.node.Nodes())) {
 			b.router.log.Warn("No store accepted the last batch reports; their items will be retried or end with outcome unknown.")
 			return
 		}
--- a/internal/router/homing.go
+++ b/internal/router/homing.go
@@ -160,9 +160,9 @@
 
 // pollLoad reads the worker's load and reports whether it succeeded.
 func (h *homeWorkers) pollLoad(ctx context.Context, worker api.Worker) bool {
-	own := 0
-	_ = h.router.admission.Inspect(func() { own = h.router.machine.InFlight(worker.ID) })
-	asked := time.Now()
+	inFlight := 0
+	_ = h.router.admission.Inspect(func() { inFlight = h.router.machine.InFlight(worker.ID) })
+	requestedAt := time.Now()
 	load, err := h.router.backend.Load(ctx, worker.Address)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -171,9 +171,9 @@
 		return false
 	}
 	h.router.admission.Tell(admission.Load{
-		Worker: worker.ID, Running: load.Running, Waiting: load.Waiting, Leaving: load.Leaving, Asked: asked,
+		Worker: worker.ID, Running: load.Running, Waiting: load.Waiting, Leaving: load.Leaving, Asked: requestedAt,
 	})
-	if h.takeover.Report(worker.ID, load.Running+load.Waiting, own) {
+	if h.takeover.Report(worker.ID, load.Running+load.Waiting, inFlight) {
 		h.publish()
 	}
 	return true
--- a/internal/sidecar/homes.go
+++ b/internal/sidecar/homes.go
@@ -137,11 +137,11 @@
 }
 
 func without(rows []api.Row, left api.Row) []api.Row {
-	var kept []api.Row
+	var rest []api.Row
 	for _, row := range rows {
 		if row.Place != left.Place {
-			kept = append(kept, row)
+			rest = append(rest, row)
 		}
 	}
-	return kept
+	return rest
 }
--- a/internal/sidecar/online.go
+++ b/internal/sidecar/online.go
@@ -117,10 +117,10 @@
 	if failure != nil {
 		return nil, attemptTarget{}, failure
 	}
-	at := attemptTarget{home: home.Name}
+	target := attemptTarget{home: home.Name}
 	outgoing, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+home.Address+api.PathRequests+request.uri, bytes.NewReader(request.body))
 	if err != nil {
-		return nil, at, api.NewError(step, home.Name, api.CodeInternal, api.OutcomeNotRun, "%w", err)
+		return nil, target, api.NewError(step, home.Name, api.CodeInternal, api.OutcomeNotRun, "%w", err)
 	}
 	outgoing.Header = outgoingHeader(request, number)
 	if home.Location != s.node.Settings.Node.Location() {
@@ -129,14 +129,14 @@
 	response, failure := transport.Send(s.online, outgoing, step, home.Name)
 	if failure != nil {
 		s.unavailable.recordFailure(home.Name, failure)
-		return nil, at, failure
+		return nil, target, failure
 	}
 	if response.Close { // routers send Connection: close only while stopping
 		s.unavailable.recordLeaving(home.Name)
 	}
-	at.worker = response.Header.Get(api.HeaderWorker)
+	target.worker = response.Header.Get(api.HeaderWorker)
 	answer, failure := s.openResponse(ctx, response, request, home.Name)
-	return answer, at, failure
+	return answer, target, failure
 }
 
 // outgoingHeader returns a new header, so that callers cannot set internal headers.
--- a/internal/sidecar/record.go
+++ b/internal/sidecar/record.go
@@ -76,10 +76,10 @@
 
 // unknownRecord returns a record that replays the failure to every resend.
 func unknownRecord(failure *api.Error) jobs.RecordRequest {
-	kept := *failure
-	kept.Outcome = api.OutcomeUnknown
-	body, _ := json.Marshal(transport.BodyOf(&kept))
-	return jobs.RecordRequest{Outcome: api.OutcomeUnknown, Status: kept.Code.HTTPStatus(), Type: "application/json", Body: body}
+	recorded := *failure
+	recorded.Outcome = api.OutcomeUnknown
+	body, _ := json.Marshal(transport.BodyOf(&recorded))
+	return jobs.RecordRequest{Outcome: api.OutcomeUnknown, Status: recorded.Code.HTTPStatus(), Type: "application/json", Body: body}
 }
 
 // replay responds to a resend with the recorded response.
