--- a/internal/experiment/backlog.go
+++ b/internal/experiment/backlog.go
@@ -12,20 +12,20 @@
 
 // item is a batch item.
 type item struct {
-	service api.ServiceName // that it is sent to
+	service api.ServiceName // destination
 	work    Work
 }
 
-// heap is batch items that arrive at once.
-type heap struct {
+// batchJob is a batch job: items submitted at one time.
+type batchJob struct {
 	at    time.Duration
 	items []*item
 }
 
-// backlog is the waiting items of a service, as a job's store holds them.
+// backlog holds the waiting items of a service, as the store does.
 type backlog struct {
 	waiting  []*item
-	returned []*item // go first: they have waited longest
+	returned []*item // requeued items, taken first because they are the oldest
 }
 
 func (b *backlog) take(count int) []*item {
@@ -41,33 +41,33 @@
 
 func (b *backlog) length() int { return len(b.waiting) + len(b.returned) }
 
-// drawHeaps draws all batch heaps of a scenario.
-func drawHeaps(scenario Scenario, strategy Strategy, seed uint64) []heap {
-	var heaps []heap
+// generateBatchJobs generates all batch jobs of a scenario.
+func generateBatchJobs(scenario Scenario, strategy Strategy, seed uint64) []batchJob {
+	var batchJobs []batchJob
 	for _, service := range scenario.Services {
 		if service.Batch.Every <= 0 || service.Batch.Items == 0 {
 			continue
 		}
-		drawer := newDrawer(scenario, service, service.Batch.Shape, newStream(seed, streamBatch, string(service.Name)))
+		generator := newWorkGenerator(scenario, service, service.Batch.Shape, newStream(seed, streamBatch, string(service.Name)))
 		number := 0
 		for at := time.Duration(0); at < scenario.Duration; at += service.Batch.Every {
 			number++
-			heap := heap{at: at}
+			job := batchJob{at: at}
 			for range service.Batch.Items {
-				heap.items = append(heap.items, &item{service: strategy.batchService(service.Name), work: drawer.draw(number)})
+				job.items = append(job.items, &item{service: strategy.batchService(service.Name), work: generator.next(number)})
 			}
-			heaps = append(heaps, heap)
+			batchJobs = append(batchJobs, job)
 		}
 	}
-	return heaps
+	return batchJobs
 }
 
-func (f *fleet) addHeap(heap heap) {
-	for _, item := range heap.items {
+func (f *fleet) addBatchJob(job batchJob) {
+	for _, item := range job.items {
 		backlog := f.backlogOf(item.service)
 		backlog.waiting = append(backlog.waiting, item)
 	}
-	f.measure.offered(f.simulation.Now(), len(heap.items))
+	f.measure.offered(f.simulation.Now(), len(job.items))
 }
 
 func (f *fleet) backlogOf(service api.ServiceName) *backlog {
@@ -81,12 +81,13 @@
 	return added
 }
 
-func (f *fleet) returnItem(item *item) {
+func (f *fleet) requeueItem(item *item) {
 	backlog := f.backlogOf(item.service)
 	backlog.returned = append(backlog.returned, item)
 }
 
-// claim asks the store for items for the idle room, runs them and goes on.
+// claim requests items from the store for the spare capacity, runs them and
+// schedules the next claim.
 func (r *router) claim() {
 	delay := r.fleet.scenario.Network.BetweenZones
 	wants := r.wants()
@@ -163,7 +164,7 @@
 		ID: r.fleet.newID("item"), Service: grant.key.Service, Place: grant.key.Place,
 		Class: api.ClassBatch, Repeatable: true, Prefix: grant.item.work.Blocks,
 	}
-	back := func() { r.giveBack(grant.item) }
+	back := func() { r.requeue(grant.item) }
 	r.admit(request, grant.item.work, grant.item, attempt{
 		onNotRun: back,
 		onBreak:  back,
@@ -175,14 +176,13 @@
 	})
 }
 
-// newItemSource gives an endless run of items for measuring an engine's
-// capacity.
+// newItemSource returns a generator of items for measuring an engine's capacity.
 func newItemSource(scenario Scenario, service Service, seed uint64) func() *item {
 	var random *rand.Rand = newStream(seed, streamBatch, fmt.Sprintf("%s capacity", service.Name))
-	drawer := newDrawer(scenario, service, service.Batch.Shape, random)
+	generator := newWorkGenerator(scenario, service, service.Batch.Shape, random)
 	count := 0
 	return func() *item {
 		count++
-		return &item{service: service.Name, work: drawer.draw(1 + count/max(service.Batch.Items, 1))}
+		return &item{service: service.Name, work: generator.next(1 + count/max(service.Batch.Items, 1))}
 	}
 }
--- a/internal/experiment/capacity.go
+++ b/internal/experiment/capacity.go
@@ -7,24 +7,27 @@
 	"github.com/dykewing/dykewing/sim"
 )
 
-// capacity is how much batch a service's workers could do beside the online
-// trace if everything were known beforehand.
+// capacity is the batch throughput that a service's workers could reach beside
+// the online trace under a clairvoyant scheduler.
 type capacity struct {
-	// alone is what one worker does that runs nothing else, items a second.
-	alone float64
-	// idle is the share of the workers' time left by the online trace, each
-	// online token and prompt counted at what it costs in a full batch.
+	// batchOnly is the throughput of a worker that runs only batch, in items per
+	// second.
+	batchOnly float64
+	// idle is the share of the workers' time not used by the online trace, with
+	// online requests costed as part of a full batch.
 	idle float64
-	// idleItems is idle in items a second over all workers.
+	// idleItems is the throughput of idle over all workers, in items per second.
 	idleItems float64
-	// unused is the same from time without any step in the run without batch.
+	// unusedItems is the throughput, in items per second, of the time in which
+	// no step ran under StrategyNoBatch.
 	unusedItems float64
 }
 
 const capacityRun = 60 * time.Second
 
-// aloneRate runs one engine with nothing but batch at full slots.
-func aloneRate(scenario Scenario, service Service, seed uint64) float64 {
+// batchOnlyRate returns the throughput, in items per second, of one engine whose
+// slots are all filled with batch.
+func batchOnlyRate(scenario Scenario, service Service, seed uint64) float64 {
 	simulation := sim.New(seed)
 	engine := model.New(scenario.Engine, newStream(seed, streamFleet, "capacity"))
 	source := newItemSource(scenario, service, seed)
@@ -66,8 +69,8 @@
 	return float64(done) / capacityRun.Seconds()
 }
 
-// onlineCost is the engine time that a request takes in a full batch: its own
-// share of each step that it is in.
+// onlineCost returns the engine time of a request in a full batch: its share of
+// each step that it takes part in.
 func onlineCost(settings model.Settings, slots int, work Work) time.Duration {
 	context := work.PromptTokens + work.OutputTokens/2
 	tokens := time.Duration(work.OutputTokens)
@@ -75,14 +78,14 @@
 	return tokens * share
 }
 
-// prefillTime is the engine time of prompt tokens.
+// prefillTime returns the engine time for prefilling the given number of tokens.
 func prefillTime(settings model.Settings, tokens int64) time.Duration {
 	return settings.StepTime(0, 0, int(tokens)) - settings.StepBase
 }
 
-// measureCapacity works the capacity out from the run without batch.
+// measureCapacity computes the capacity from the run of StrategyNoBatch.
 func measureCapacity(scenario Scenario, service Service, trace []arrival, run *fleet, seed uint64) capacity {
-	result := capacity{alone: aloneRate(scenario, service, seed)}
+	result := capacity{batchOnly: batchOnlyRate(scenario, service, seed)}
 	window := scenario.Duration - scenario.Warmup
 	var cost, busy time.Duration
 	for _, arrival := range trace {
@@ -102,13 +105,13 @@
 	}
 	total := time.Duration(workers) * window
 	result.idle = max(1-cost.Seconds()/total.Seconds(), 0)
-	result.idleItems = result.idle * float64(workers) * result.alone
-	result.unusedItems = max(1-busy.Seconds()/total.Seconds(), 0) * float64(workers) * result.alone
+	result.idleItems = result.idle * float64(workers) * result.batchOnly
+	result.unusedItems = max(1-busy.Seconds()/total.Seconds(), 0) * float64(workers) * result.batchOnly
 	return result
 }
 
-// beginMeasure notes where the engines stand at the end of the warmup.
-func (f *fleet) beginMeasure() {
+// recordWarmupEnd records the engines' counters at the end of the warmup.
+func (f *fleet) recordWarmupEnd() {
 	for _, process := range f.engines {
 		process.busyAtWarmup = process.busy()
 		process.prefilledAtWarmup = process.engine.Statistics().Prefilled
--- a/internal/experiment/engineprocess.go
+++ b/internal/experiment/engineprocess.go
@@ -7,30 +7,30 @@
 	"github.com/dykewing/dykewing/internal/standin/engine/model"
 )
 
-// engineProcess is a simulated engine: the model with its clock.
+// engineProcess drives an engine model with the simulation's clock.
 type engineProcess struct {
-	fleet      *fleet
-	worker     api.Worker
-	engine     *model.Engine
-	life       int // grows when it dies
-	dead       bool
-	executions map[model.Handle]*execution
-	next       model.Handle
-	busyBefore time.Duration // of earlier lives
+	fleet       *fleet
+	worker      api.Worker
+	engine      *model.Engine
+	incarnation int // incremented on each crash, so that pending steps are dropped
+	dead        bool
+	executions  map[model.Handle]*execution
+	next        model.Handle
+	busyEarlier time.Duration // busy time of earlier incarnations
 
 	busyAtWarmup      time.Duration
 	prefilledAtWarmup int64
 }
 
-// execution is a request at an engine.
+// execution is one run of a request on an engine.
 type execution struct {
 	handle  model.Handle
 	work    Work
 	online  bool
 	request api.RequestID
-	last    time.Time // when the last token came
-	resume  bool      // goes on where an earlier execution was cancelled
-	stopped bool      // cancelled by its router
+	last    time.Time // time of the last token
+	resume  bool      // continues a cancelled execution
+	stopped bool      // cancelled by the router
 	onToken func(index int, last bool)
 	onBreak func()
 }
@@ -41,7 +41,8 @@
 	return process
 }
 
-// engineSettings gives applications an engine that ends a request in one step.
+// engineSettings returns the engine's settings; for applications, those of an
+// engine that completes a request in one step of ApplicationTime.
 func (f *fleet) engineSettings(name api.ServiceName) model.Settings {
 	for _, service := range f.scenario.Services {
 		if service.ApplicationTime > 0 && (service.Name == name || splitService(service.Name) == name) {
@@ -54,7 +55,7 @@
 	return f.scenario.Engine
 }
 
-// submit starts an execution; false when the process can't be connected to.
+// submit starts an execution; it returns false if the process is down.
 func (p *engineProcess) submit(execution *execution, priority int) bool {
 	if p.dead {
 		return false
@@ -80,9 +81,9 @@
 	for _, action := range p.engine.Step(p.fleet.simulation.Now(), message) {
 		switch action := action.(type) {
 		case model.StartStep:
-			life := p.life
+			life := p.incarnation
 			p.fleet.simulation.After(action.Duration, func() {
-				if p.life == life {
+				if p.incarnation == life {
 					p.step(model.StepDone{})
 				}
 			})
@@ -116,10 +117,11 @@
 	}
 }
 
-// die breaks all that is in flight.
-func (p *engineProcess) die() {
+// die crashes the process and fails all executions in flight, in order of
+// submission.
+func (p *engineProcess) crash() {
 	p.dead = true
-	p.life++
+	p.incarnation++
 	broken := p.executions
 	p.executions = map[model.Handle]*execution{}
 	for handle := model.Handle(1); handle <= p.next; handle++ {
@@ -127,7 +129,7 @@
 			execution.onBreak()
 		}
 	}
-	p.busyBefore += p.engine.Statistics().Busy
+	p.busyEarlier += p.engine.Statistics().Busy
 }
 
 func (p *engineProcess) restart() {
@@ -137,10 +139,10 @@
 
 func (p *engineProcess) leave() { p.step(model.Leave{Leaving: true}) }
 
-// busy is the time spent in steps since the start.
+// busy returns the time spent in steps over all incarnations.
 func (p *engineProcess) busy() time.Duration {
 	if p.dead {
-		return p.busyBefore
+		return p.busyEarlier
 	}
-	return p.busyBefore + p.engine.Statistics().Busy
+	return p.busyEarlier + p.engine.Statistics().Busy
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -61,10 +61,10 @@
 	scenario := parseShort(t)
 	first := encode(t, scenario, 3)
 	if !bytes.Equal(first, encode(t, scenario, 3)) {
-		t.Fatal("two runs of one seed gave different reports")
+		t.Fatal("two runs with the same seed gave different reports")
 	}
 	if bytes.Equal(first, encode(t, scenario, 4)) {
-		t.Fatal("two seeds gave one report: the comparison can't fail")
+		t.Fatal("different seeds gave equal reports")
 	}
 }
 
@@ -76,7 +76,7 @@
 	}
 	files, _ := filepath.Glob(filepath.Join(folder, "*"))
 	if len(files) != 4 {
-		t.Fatalf("the folder has %v", files)
+		t.Fatalf("got files %v, want 4", files)
 	}
 }
 
@@ -107,10 +107,11 @@
 	}
 }
 
-// drainedRun plays a scenario, lets all end and gives what broke.
-func drainedRun(scenario Scenario, strategy Strategy, seed uint64, filling admission.Filling) []string {
+// runAndDrain simulates a scenario until all requests have ended and returns the
+// violated invariants.
+func runAndDrain(scenario Scenario, strategy Strategy, seed uint64, filling admission.Filling) []string {
 	f := newFleet(scenario, strategy, seed, admission.Settings{Reserve: admission.DefaultReserve, Filling: filling})
-	f.run([][]arrival{onlineTrace(scenario, scenario.Services[0], seed)}, drawHeaps(scenario, strategy, seed))
+	f.run([][]arrival{onlineTrace(scenario, scenario.Services[0], seed)}, generateBatchJobs(scenario, strategy, seed))
 	for _, backlog := range f.backlogs {
 		backlog.waiting, backlog.returned = nil, nil
 	}
@@ -124,11 +125,11 @@
 }
 
 func TestOnlineNeverWaitsBehindBatch(t *testing.T) {
-	quiet := parseShort(t)
-	quiet.Events = nil
+	healthy := parseShort(t)
+	healthy.Events = nil
 	for seed := range uint64(8) {
-		for name, scenario := range map[string]Scenario{"with faults": parseShort(t), "quiet": quiet} {
-			if violations := drainedRun(scenario, StrategyOurs, seed, admission.Filling{}); len(violations) > 0 {
+		for name, scenario := range map[string]Scenario{"with faults": parseShort(t), "quiet": healthy} {
+			if violations := runAndDrain(scenario, StrategyOurs, seed, admission.Filling{}); len(violations) > 0 {
 				t.Fatalf("%s, seed %d: %v", name, seed, violations)
 			}
 		}
@@ -136,12 +137,12 @@
 }
 
 func TestPlantedFaultsBreakInvariants(t *testing.T) {
-	quiet := parseShort(t)
-	quiet.Events = nil
-	quiet.Services[0].Slots = 64 // more than the engine runs at once
-	quiet.Services[0].Places[0].BatchAllowance = 100
-	quiet.Engine.MaximumSequences = 8
-	ignored := quiet
+	healthy := parseShort(t)
+	healthy.Events = nil
+	healthy.Services[0].Slots = 64 // above the engine's MaximumSequences
+	healthy.Services[0].Places[0].BatchAllowance = 100
+	healthy.Engine.MaximumSequences = 8
+	ignored := healthy
 	ignored.Engine.IgnorePriority = true
 	cases := map[string]struct {
 		scenario Scenario
@@ -149,7 +150,7 @@
 		want     string
 	}{
 		"engine ignores priority": {ignored, admission.NoFault, "wait behind a lower priority"},
-		"priority inverted":       {quiet, admission.FaultInvertPriority, "has priority"},
+		"priority inverted":       {healthy, admission.FaultInvertPriority, "has priority"},
 		"allowance ignored":       {parseShort(t), admission.FaultIgnoreAllowance, "batch requests of"},
 		"slot leaked":             {parseShort(t), admission.FaultLeakSlot, "not in flight"},
 		"suspended forgotten":     {parseShort(t), admission.FaultForgetSuspended, "after all ended"},
@@ -158,9 +159,9 @@
 	for name, test := range cases {
 		filling := admission.DefaultFilling()
 		filling.Fault = test.fault
-		violations := drainedRun(test.scenario, StrategyOurs, 1, filling)
+		violations := runAndDrain(test.scenario, StrategyOurs, 1, filling)
 		if !strings.Contains(strings.Join(violations, "\n"), test.want) || len(violations) == 0 {
-			t.Errorf("%s was not seen: %v", name, violations)
+			t.Errorf("%s: fault not detected, violations %v", name, violations)
 		}
 	}
 }
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -12,27 +12,27 @@
 	"github.com/dykewing/dykewing/sim"
 )
 
-// fleet is one strategy's simulated deployment.
+// fleet is the simulated deployment of one strategy.
 type fleet struct {
 	scenario   Scenario
 	strategy   Strategy
 	simulation *sim.Simulation
 	random     *rand.Rand
-	rows       map[api.RowKey]api.Row // in force
-	listed     []api.Worker           // the machine list
+	rows       map[api.RowKey]api.Row // current table
+	listed     []api.Worker           // current machine list
 	routers    []*router
 	byNode     map[api.NodeID]*router
 	engines    map[api.WorkerID]*engineProcess
-	sidecars   []*sidecar // one a zone
+	sidecars   []*sidecar // one per zone
 	backlogs   map[api.ServiceName]*backlog
-	names      []api.ServiceName // of backlogs, sorted
+	names      []api.ServiceName // keys of backlogs, sorted
 	measure    *measure
 	serial     uint64
-	changed    bool     // the list or the table has changed
-	violations []string // of invariants; tests want none
+	changed    bool     // set once the machine list or the table changes
+	violations []string // invariant violations
 }
 
-// newFleet builds a deployment; nothing happens until it runs.
+// newFleet builds a deployment without scheduling any event.
 func newFleet(scenario Scenario, strategy Strategy, seed uint64, settings admission.Settings) *fleet {
 	f := &fleet{
 		scenario: scenario, strategy: strategy, simulation: sim.New(seed),
@@ -50,7 +50,7 @@
 		}
 		f.sidecars = append(f.sidecars, newSidecar(f, zone))
 	}
-	f.home()
+	f.assignHomes()
 	f.publishRows()
 	return f
 }
@@ -65,8 +65,8 @@
 	f.byNode[node.ID] = router
 }
 
-// home tells each router its workers.
-func (f *fleet) home() {
+// assignHomes assigns each listed worker to its home router.
+func (f *fleet) assignHomes() {
 	nodes := make([]api.Node, 0, len(f.routers))
 	for _, router := range f.routers {
 		nodes = append(nodes, router.node)
@@ -89,18 +89,18 @@
 	}
 }
 
-// run plays the traces, the batch heaps and the scenario's events.
-func (f *fleet) run(traces [][]arrival, heaps []heap) {
+// run simulates the traces, the batch jobs and the scenario's events.
+func (f *fleet) run(traces [][]arrival, batchJobs []batchJob) {
 	for _, trace := range traces {
-		f.playOnline(trace, 0)
+		f.replayOnline(trace, 0)
 	}
 	if f.strategy != StrategyNoBatch {
-		for _, heap := range heaps {
-			f.simulation.After(heap.at, func() { f.addHeap(heap) })
+		for _, job := range batchJobs {
+			f.simulation.After(job.at, func() { f.addBatchJob(job) })
 		}
 	}
 	for _, event := range f.scenario.Events {
-		f.simulation.After(event.At, func() { f.happen(event) })
+		f.simulation.After(event.At, func() { f.applyEvent(event) })
 	}
 	for _, router := range f.routers {
 		router.start()
@@ -108,20 +108,20 @@
 	for _, sidecar := range f.sidecars {
 		sidecar.start()
 	}
-	f.simulation.After(f.scenario.Warmup, f.beginMeasure)
+	f.simulation.After(f.scenario.Warmup, f.recordWarmupEnd)
 	f.simulation.Run(f.scenario.Duration)
 	f.checkPriorities()
 }
 
-// playOnline schedules one arrival at a time, so that the queue stays short.
-func (f *fleet) playOnline(trace []arrival, next int) {
+// replayOnline schedules one arrival at a time to keep the event queue short.
+func (f *fleet) replayOnline(trace []arrival, next int) {
 	if next >= len(trace) {
 		return
 	}
 	arrival := trace[next]
 	f.simulation.After(arrival.at-f.simulation.Elapsed(), func() {
 		f.sidecars[arrival.caller].receive(arrival)
-		f.playOnline(trace, next+1)
+		f.replayOnline(trace, next+1)
 	})
 }
 
@@ -130,7 +130,7 @@
 	return api.RequestID(fmt.Sprintf("%s-%d", kind, f.serial))
 }
 
-// latency is one way between two processes of the system or the platform.
+// latency returns the one-way latency between two zones.
 func (f *fleet) latency(from, to api.ZoneName) time.Duration {
 	if from == to {
 		return f.scenario.Network.WithinZone
@@ -138,38 +138,38 @@
 	return f.scenario.Network.BetweenZones
 }
 
-func (f *fleet) happen(event Event) {
+func (f *fleet) applyEvent(event Event) {
 	id := api.WorkerID(fmt.Sprintf("%s-%s-%d", event.Service, event.Place, event.Worker))
 	f.simulation.Tracef("%s %s", event.Kind, id)
 	f.changed = true
 	switch event.Kind {
 	case EventWorkerDies:
-		f.engines[id].die()
-		f.simulation.After(f.scenario.Fleet.ListLag, func() { f.unlist(id) })
+		f.engines[id].crash()
+		f.simulation.After(f.scenario.Fleet.ListLag, func() { f.removeWorker(id) })
 	case EventWorkerReturns:
 		f.engines[id].restart()
-		f.simulation.After(f.scenario.Fleet.ListLag, func() { f.list(f.engines[id].worker) })
+		f.simulation.After(f.scenario.Fleet.ListLag, func() { f.addWorker(f.engines[id].worker) })
 	case EventWorkerLeaves:
 		f.engines[id].leave()
-		f.simulation.After(f.scenario.Fleet.ListLag, func() { f.unlist(id) })
+		f.simulation.After(f.scenario.Fleet.ListLag, func() { f.removeWorker(id) })
 	case EventEdit:
-		f.edit(event)
+		f.editRow(event)
 	}
 }
 
-func (f *fleet) unlist(id api.WorkerID) {
+func (f *fleet) removeWorker(id api.WorkerID) {
 	f.listed = slices.DeleteFunc(slices.Clone(f.listed), func(worker api.Worker) bool { return worker.ID == id })
-	f.home()
+	f.assignHomes()
 }
 
-func (f *fleet) list(worker api.Worker) {
+func (f *fleet) addWorker(worker api.Worker) {
 	if !slices.ContainsFunc(f.listed, func(other api.Worker) bool { return other.ID == worker.ID }) {
 		f.listed = append(slices.Clone(f.listed), worker)
 	}
-	f.home()
+	f.assignHomes()
 }
 
-func (f *fleet) edit(event Event) {
+func (f *fleet) editRow(event Event) {
 	rows := map[api.RowKey]api.Row{}
 	for key, row := range f.rows {
 		if key == (api.RowKey{Service: event.Service, Place: event.Place}) {
--- a/internal/experiment/folder.go
+++ b/internal/experiment/folder.go
@@ -15,7 +15,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The files of a report folder.
+// Names of the files in a report folder.
 const (
 	fileJSON  = "report.json"
 	fileTable = "report.txt"
@@ -30,7 +30,7 @@
 	folderMode    = 0o755
 )
 
-// WriteFolder writes the report as JSON, as a table and as plots.
+// WriteFolder writes the report to folder as JSON, as a text table and as plots.
 func (r *Report) WriteFolder(folder string) error {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return fmt.Errorf("make report folder: %w", err)
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// plotFirstTokens draws a figure for each service: latency by quantile, a line
-// for each strategy.
+// plotFirstTokens writes one plot per service of time to first token by quantile,
+// with one line per strategy.
 func (r *Report) plotFirstTokens(folder string) error {
 	lines := map[string][]any{}
 	var order []string
@@ -93,16 +93,17 @@
 	return nil
 }
 
-// quantilePoints gives latency in ms by nines of the quantile, 0 to 3.
+// quantilePoints returns the latency in ms over the nines of the quantile, from 0
+// to 3.
 func quantilePoints(encoded string) (plotter.XYs, error) {
-	const most = 3.0
+	const maxNines = 3.0
 	histogram, err := hdrhistogram.Decode([]byte(encoded))
 	if err != nil {
 		return nil, fmt.Errorf("read histogram: %w", err)
 	}
 	points := make(plotter.XYs, plotQuantiles)
 	for i := range points {
-		nines := most * float64(i) / (plotQuantiles - 1)
+		nines := maxNines * float64(i) / (plotQuantiles - 1)
 		points[i].X = nines
 		points[i].Y = float64(histogram.ValueAtQuantile(percent*(1-math.Pow(10, -nines)))) / microsecondsPerMillisecond
 	}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -22,13 +22,13 @@
 	Timelines []Timeline    `json:"timelines"`
 }
 
-// Timeline is the batch items done in each second of a strategy's run.
+// Timeline holds the batch items completed in each second of a strategy's run.
 type Timeline struct {
 	Strategy Strategy `json:"strategy"`
 	Items    []int    `json:"items"`
 }
 
-// Result is one strategy's figures for one service.
+// Result holds the measurements of one strategy for one service.
 type Result struct {
 	Strategy      Strategy        `json:"strategy"`
 	Service       api.ServiceName `json:"service"`
@@ -41,7 +41,8 @@
 	Batch         BatchResult     `json:"batch"`
 }
 
-// Quantiles of a latency in milliseconds, and over those without batch.
+// Quantiles holds latency quantiles in milliseconds and their ratios to those of
+// StrategyNoBatch. A ratio without a baseline is 0.
 type Quantiles struct {
 	P50       float64 `json:"p50_ms"`
 	P99       float64 `json:"p99_ms"`
@@ -49,25 +50,26 @@
 	RatioP50  float64 `json:"p50_ratio"`
 	RatioP99  float64 `json:"p99_ratio"`
 	RatioP999 float64 `json:"p999_ratio"`
-	// Histogram is the compressed HDR histogram (V2, base64) of microseconds.
+	// Histogram is an HDR histogram in microseconds (V2, compressed, base64).
 	Histogram string `json:"histogram"`
 }
 
-// BatchResult is what batch got done within the measured time.
+// BatchResult holds the batch work completed after the warmup.
 type BatchResult struct {
 	Items          int     `json:"items"`
 	ItemsPerSecond float64 `json:"items_per_second"`
-	// IdleItems is what an all-knowing scheduler could have done beside the
-	// online trace, items a second: the workers' time less what the online
-	// requests cost in a full batch, times the rate of a worker alone.
+	// IdleItems is the upper bound, in items per second, of a clairvoyant
+	// scheduler that serves the same online trace: the workers' time minus the
+	// engine time of the online requests in a full batch, multiplied by the
+	// throughput of a worker that runs only batch.
 	IdleItems float64 `json:"idle_items_per_second"`
-	IdleShare float64 `json:"idle_share"` // ItemsPerSecond of IdleItems
-	// UnusedShare is ItemsPerSecond of what fits in the time in which the
-	// engines took no step in the run without batch; it can pass 1.
+	IdleShare float64 `json:"idle_share"` // ItemsPerSecond / IdleItems
+	// UnusedShare is ItemsPerSecond divided by the throughput of the time in
+	// which the engines ran no step under StrategyNoBatch. It can exceed 1.
 	UnusedShare float64 `json:"unused_share"`
-	Preempted   int     `json:"preempted"` // all services
-	Suspended   int     `json:"suspended"` // all services
-	Backlog     int     `json:"backlog"`   // items that wait at the end
+	Preempted   int     `json:"preempted"` // over all services
+	Suspended   int     `json:"suspended"` // over all services
+	Backlog     int     `json:"backlog"`   // items waiting at the end
 }
 
 func summarise(scenario Scenario, run, base *fleet, capacities []capacity) []Result {
@@ -82,8 +84,8 @@
 		}
 		if base != nil {
 			without := base.measure.online[service.Name]
-			result.FirstToken.over(quantiles(without.first))
-			result.BetweenTokens.over(quantiles(without.between))
+			result.FirstToken.setRatios(quantiles(without.first))
+			result.BetweenTokens.setRatios(quantiles(without.between))
 		}
 		results = append(results, result)
 	}
@@ -92,7 +94,7 @@
 
 func batchResult(run *fleet, service Service, capacity capacity) BatchResult {
 	name := run.strategy.batchService(service.Name)
-	result := BatchResult{Items: run.measure.items[name], IdleItems: capacity.idleItems, Preempted: run.measure.preempts, Suspended: run.measure.suspends}
+	result := BatchResult{Items: run.measure.items[name], IdleItems: capacity.idleItems, Preempted: run.measure.preemptions, Suspended: run.measure.suspensions}
 	result.ItemsPerSecond = float64(result.Items) / run.measure.window().Seconds()
 	result.IdleShare = ratio(result.ItemsPerSecond, capacity.idleItems)
 	result.UnusedShare = ratio(result.ItemsPerSecond, capacity.unusedItems)
@@ -112,7 +114,7 @@
 	return Quantiles{P50: at(50), P99: at(99), P999: at(99.9), Histogram: string(encoded)}
 }
 
-func (q *Quantiles) over(base Quantiles) {
+func (q *Quantiles) setRatios(base Quantiles) {
 	q.RatioP50 = ratio(q.P50, base.P50)
 	q.RatioP99 = ratio(q.P99, base.P99)
 	q.RatioP999 = ratio(q.P999, base.P999)
@@ -125,7 +127,7 @@
 	return value / base
 }
 
-// WriteJSON writes the report with its histograms.
+// WriteJSON writes the report, including its histograms, as indented JSON.
 func (r *Report) WriteJSON(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
@@ -135,7 +137,7 @@
 	return nil
 }
 
-// WriteTable writes the report for people; ratios are over no batch.
+// WriteTable writes the report as a text table, with ratios to StrategyNoBatch.
 func (r *Report) WriteTable(w io.Writer) error {
 	_, _ = fmt.Fprintf(w, "%s, seed %d, %v of which %v warmup; latencies in ms, (x) over no batch\n", r.Scenario, r.Seed, r.Duration, r.Warmup)
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
--- a/internal/experiment/router.go
+++ b/internal/experiment/router.go
@@ -10,21 +10,21 @@
 
 const refusalRetryAfter = time.Second
 
-// router is a simulated home router around the real admission machine.
+// router simulates a home router around the production admission machine.
 type router struct {
-	fleet   *fleet
-	node    api.Node
-	machine *admission.Machine
-	flights map[api.RequestID]*routerFlight
+	fleet    *fleet
+	node     api.Node
+	machine  *admission.Machine
+	inFlight map[api.RequestID]*inFlightRequest
 }
 
-// routerFlight is a request that the router has dispatched.
-type routerFlight struct {
+// inFlightRequest is a dispatched request.
+type inFlightRequest struct {
 	request   routing.Request
 	engine    *engineProcess
-	execution *execution // the last one: a suspended item has several
+	execution *execution // the latest; a suspended item has several
 	work      Work
-	item      *item // of batch
+	item      *item // nil for online requests
 	attempt   attempt
 	done      bool
 }
@@ -35,11 +35,11 @@
 	settings.RetryAfter = refusalRetryAfter
 	return &router{
 		fleet: f, node: node, machine: admission.NewMachine(settings),
-		flights: map[api.RequestID]*routerFlight{},
+		inFlight: map[api.RequestID]*inFlightRequest{},
 	}
 }
 
-// start begins the router's polling.
+// start schedules the router's load polling and batch claims.
 func (r *router) start() {
 	r.every(r.fleet.scenario.Fleet.LoadInterval, r.readLoads)
 	if r.fleet.strategy != StrategyNoBatch {
@@ -54,18 +54,18 @@
 	})
 }
 
-// step runs the machine; the answer to an Arrive is given back, all else is
-// carried out.
+// step steps the machine and carries out its actions, except the answer to an
+// Arrive, which it returns.
 func (r *router) step(message admission.Message) admission.Action {
 	var answer admission.Action
 	for _, action := range r.machine.Step(r.fleet.simulation.Now(), message) {
 		switch action := action.(type) {
 		case admission.Preempt:
-			r.onFlight(action.Request, r.preempt)
+			r.withFlight(action.Request, r.preempt)
 		case admission.Suspend:
-			r.onFlight(action.Request, r.suspend)
+			r.withFlight(action.Request, r.suspend)
 		case admission.Resume:
-			r.onFlight(action.Request, func(flight *routerFlight) { r.submit(flight, action.Dispatch, true) })
+			r.withFlight(action.Request, func(flight *inFlightRequest) { r.submit(flight, action.Dispatch, true) })
 		default:
 			answer = action
 		}
@@ -73,11 +73,12 @@
 	return answer
 }
 
-// onFlight carries out an action about a request that is in flight.
-func (r *router) onFlight(id api.RequestID, carryOut func(*routerFlight)) {
-	flight, ok := r.flights[id]
+// withFlight applies carryOut to a request in flight, and records a violation if
+// there is no such request.
+func (r *router) withFlight(id api.RequestID, carryOut func(*inFlightRequest)) {
+	flight, ok := r.inFlight[id]
 	if !ok {
-		r.fleet.violate("router %s acts on request %s, which is not in flight", r.node.ID, id)
+		r.fleet.recordViolation("router %s acts on request %s, which is not in flight", r.node.ID, id)
 		return
 	}
 	carryOut(flight)
@@ -110,14 +111,15 @@
 	r.step(message)
 }
 
-// attempt is what a sidecar or the batch loop wants to know of a request.
+// attempt holds the callbacks for the progress of one dispatch attempt.
 type attempt struct {
-	onToken  func(index int, last bool) // at the router
-	onBreak  func()                     // the answer broke off
-	onNotRun func()                     // refused, or the worker could not be reached
+	onToken  func(index int, last bool) // called when the token reaches the router
+	onBreak  func()                     // the response was cut off
+	onNotRun func()                     // refused, or the worker was unreachable
 }
 
-// admit steps the machine and sends the request to its worker.
+// admit submits the request to the admission machine and dispatches it if
+// admitted.
 func (r *router) admit(request routing.Request, work Work, item *item, attempt attempt) {
 	answer := r.step(admission.Arrive{Request: request})
 	r.fleet.checkAnswered(r, request, answer)
@@ -129,58 +131,59 @@
 	if request.Class == api.ClassBatch {
 		r.fleet.checkAllowance(api.RowKey{Service: request.Service, Place: request.Place})
 	}
-	flight := &routerFlight{request: request, engine: r.fleet.engines[dispatch.Worker], work: work, item: item, attempt: attempt}
-	r.flights[request.ID] = flight
+	flight := &inFlightRequest{request: request, engine: r.fleet.engines[dispatch.Worker], work: work, item: item, attempt: attempt}
+	r.inFlight[request.ID] = flight
 	r.submit(flight, dispatch, false)
 }
 
-// submit sends the flight to its engine, unless it is stopped on the way.
-func (r *router) submit(flight *routerFlight, dispatch admission.Dispatch, resume bool) {
+// submit sends the request to its engine, unless it is cancelled before it
+// arrives.
+func (r *router) submit(flight *inFlightRequest, dispatch admission.Dispatch, resume bool) {
 	delay := r.delay(flight)
 	execution := &execution{
 		work: flight.work, online: flight.request.Class == api.ClassOnline, request: flight.request.ID, resume: resume,
 		onToken: func(index int, last bool) {
-			r.fleet.simulation.After(delay, func() { r.token(flight, index, last) })
+			r.fleet.simulation.After(delay, func() { r.handleToken(flight, index, last) })
 		},
-		onBreak: func() { r.fleet.simulation.After(delay, func() { r.broke(flight) }) },
+		onBreak: func() { r.fleet.simulation.After(delay, func() { r.handleBreak(flight) }) },
 	}
 	flight.execution = execution
 	r.fleet.simulation.After(delay, func() {
 		if execution.stopped || flight.engine.submit(execution, dispatch.Priority) {
 			return
 		}
-		r.fleet.simulation.After(delay, func() { r.unreachable(flight, dispatch.Worker) })
+		r.fleet.simulation.After(delay, func() { r.handleUnreachable(flight, dispatch.Worker) })
 	})
 }
 
-func (r *router) delay(flight *routerFlight) time.Duration {
+func (r *router) delay(flight *inFlightRequest) time.Duration {
 	return r.fleet.latency(r.node.Location.Zone, flight.engine.worker.Location.Zone)
 }
 
-func (r *router) token(flight *routerFlight, index int, last bool) {
+func (r *router) handleToken(flight *inFlightRequest, index int, last bool) {
 	if flight.done {
 		return
 	}
-	// The answer of a batch item is not streamed: its beginning is not seen.
+	// Responses of batch items are not streamed, so their first token is not observed.
 	if index == 0 && flight.request.Class == api.ClassOnline {
 		r.step(admission.FirstToken{Request: flight.request.ID})
 	}
 	if last {
-		// It may have ended while a cancellation was on its way.
+		// The request may have completed while a cancellation was in transit.
 		r.end(flight)
 		r.stop(flight)
 	}
 	flight.attempt.onToken(index, last)
 }
 
-// end takes a flight out of the accounts.
-func (r *router) end(flight *routerFlight) {
+// end removes the request from the router and the admission machine.
+func (r *router) end(flight *inFlightRequest) {
 	flight.done = true
-	delete(r.flights, flight.request.ID)
+	delete(r.inFlight, flight.request.ID)
 	r.step(admission.Finished{Request: flight.request.ID})
 }
 
-func (r *router) broke(flight *routerFlight) {
+func (r *router) handleBreak(flight *inFlightRequest) {
 	if flight.done {
 		return
 	}
@@ -188,7 +191,7 @@
 	flight.attempt.onBreak()
 }
 
-func (r *router) unreachable(flight *routerFlight, worker api.WorkerID) {
+func (r *router) handleUnreachable(flight *inFlightRequest, worker api.WorkerID) {
 	if flight.done {
 		return
 	}
@@ -197,28 +200,28 @@
 	flight.attempt.onNotRun()
 }
 
-// stop cancels the flight's execution at its engine.
-func (r *router) stop(flight *routerFlight) {
+// stop cancels the current execution at its engine.
+func (r *router) stop(flight *inFlightRequest) {
 	execution := flight.execution
 	execution.stopped = true
 	r.fleet.simulation.After(r.delay(flight), func() { flight.engine.cancel(execution) })
 }
 
-// suspend cancels a batch item at its engine for a while.
-func (r *router) suspend(flight *routerFlight) {
+// suspend cancels a batch item at its engine; the router may resume it later.
+func (r *router) suspend(flight *inFlightRequest) {
 	r.fleet.measure.suspended(r.fleet.simulation.Now())
 	r.stop(flight)
 }
 
-// preempt ends a batch item here and gives it back at once.
-func (r *router) preempt(flight *routerFlight) {
+// preempt cancels a batch item and returns it to the backlog.
+func (r *router) preempt(flight *inFlightRequest) {
 	flight.done = true
-	delete(r.flights, flight.request.ID)
+	delete(r.inFlight, flight.request.ID)
 	r.fleet.measure.preempted(r.fleet.simulation.Now())
 	r.stop(flight)
-	r.giveBack(flight.item)
+	r.requeue(flight.item)
 }
 
-func (r *router) giveBack(item *item) {
-	r.fleet.simulation.After(r.fleet.scenario.Network.BetweenZones, func() { r.fleet.returnItem(item) })
+func (r *router) requeue(item *item) {
+	r.fleet.simulation.After(r.fleet.scenario.Network.BetweenZones, func() { r.fleet.requeueItem(item) })
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -7,9 +7,9 @@
 	"github.com/dykewing/dykewing/admission"
 )
 
-// Run plays the scenario with each strategy on the same online trace and the
-// same heaps. The report depends on nothing but the scenario, the seed and the
-// settings: the strategies run side by side, each in its own simulation.
+// Run simulates the scenario once per strategy, with the same online trace and
+// the same batch jobs. The strategies run concurrently in separate simulations,
+// so the report is a deterministic function of the arguments.
 func Run(scenario Scenario, seed uint64, settings admission.Settings, strategies []Strategy) *Report {
 	report := &Report{Scenario: scenario.Name, Seed: seed, Duration: scenario.Duration, Warmup: scenario.Warmup}
 	var traces [][]arrival
@@ -21,20 +21,20 @@
 	for i, strategy := range strategies {
 		running.Go(func() {
 			fleets[i] = newFleet(scenario, strategy, seed, settings)
-			fleets[i].run(traces, drawHeaps(scenario, strategy, seed))
+			fleets[i].run(traces, generateBatchJobs(scenario, strategy, seed))
 		})
 	}
 	running.Wait()
 	base, capacities := baseline(scenario, fleets, traces, seed)
 	for _, fleet := range fleets {
 		report.Results = append(report.Results, summarise(scenario, fleet, base, capacities)...)
-		report.Timelines = append(report.Timelines, Timeline{Strategy: fleet.strategy, Items: fleet.measure.itemsASec})
+		report.Timelines = append(report.Timelines, Timeline{Strategy: fleet.strategy, Items: fleet.measure.itemsPerSecond})
 	}
 	return report
 }
 
-// baseline finds the run without batch and what it left idle; without one
-// there is nothing to compare with.
+// baseline returns the run of StrategyNoBatch and the capacity that it left
+// unused. The run is nil if that strategy was not requested.
 func baseline(scenario Scenario, fleets []*fleet, traces [][]arrival, seed uint64) (*fleet, []capacity) {
 	capacities := make([]capacity, len(scenario.Services))
 	at := slices.IndexFunc(fleets, func(f *fleet) bool { return f.strategy == StrategyNoBatch })
--- a/internal/experiment/sidecar.go
+++ b/internal/experiment/sidecar.go
@@ -9,16 +9,17 @@
 	"github.com/dykewing/dykewing/routing"
 )
 
-// maximumAttempts bounds a caller's attempts, as the sidecar's policy does.
-const maximumAttempts = 4
+// maxAttempts limits the attempts per request, as the sidecar's retry policy
+// does.
+const maxAttempts = 4
 
-// sidecar is the simulated process beside the callers of a zone.
+// sidecar simulates the sidecar of the callers in a zone.
 type sidecar struct {
 	fleet   *fleet
 	zone    api.ZoneName
 	random  *rand.Rand
 	chooser routing.Chooser
-	view    []routing.Endpoint // homes by the last heartbeats
+	view    []routing.Endpoint // homes as of the last heartbeat
 }
 
 func newSidecar(f *fleet, zone int) *sidecar {
@@ -34,7 +35,7 @@
 	s.readHeartbeats()
 }
 
-// readHeartbeats takes the routers' summaries each heartbeat.
+// readHeartbeats reads the routers' summaries once per heartbeat interval.
 func (s *sidecar) readHeartbeats() {
 	view := make([]routing.Endpoint, 0, len(s.view))
 	for _, router := range s.fleet.routers {
@@ -54,7 +55,7 @@
 	work     Work
 	began    time.Time
 	attempts int
-	answered bool // the caller has the first token
+	answered bool // the first token has been received
 }
 
 func (s *sidecar) receive(arrival arrival) {
@@ -70,7 +71,7 @@
 func (s *sidecar) send(request *onlineRequest) {
 	request.attempts++
 	home, ok := s.choose(&request.routed)
-	if !ok || request.attempts > maximumAttempts {
+	if !ok || request.attempts > maxAttempts {
 		s.fleet.measure.failed(request.work.Service, request.began)
 		return
 	}
@@ -90,12 +91,12 @@
 		router.admit(routed, request.work, nil, attempt{
 			onNotRun: again,
 			onBreak:  again,
-			onToken:  func(index int, last bool) { s.token(request, delay, index, last) },
+			onToken:  func(index int, last bool) { s.handleToken(request, delay, index, last) },
 		})
 	})
 }
 
-func (s *sidecar) token(request *onlineRequest, delay time.Duration, index int, last bool) {
+func (s *sidecar) handleToken(request *onlineRequest, delay time.Duration, index int, last bool) {
 	now := s.fleet.simulation.Now()
 	if index == 0 && !request.answered {
 		request.answered = true
@@ -106,7 +107,8 @@
 	}
 }
 
-// choose draws a place by weight and a home of it.
+// choose picks a place at random by weight, then a home within it. When all
+// homes are excluded it clears the exclusions and picks again.
 func (s *sidecar) choose(routed *routing.Request) (routing.Endpoint, bool) {
 	var rows []api.Row
 	for _, service := range s.fleet.scenario.Services {
--- a/internal/experiment/strategy.go
+++ b/internal/experiment/strategy.go
@@ -7,32 +7,33 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Strategy is a way of running batch beside online.
+// Strategy is a policy for running batch work alongside online requests.
 type Strategy string
 
 // The strategies that are compared.
 const (
-	// StrategyNoBatch runs the online trace alone.
+	// StrategyNoBatch runs only the online trace.
 	StrategyNoBatch Strategy = "no batch"
-	// StrategyNoPriority fills free slots with batch like any other request.
+	// StrategyNoPriority fills free slots with batch items at equal priority.
 	StrategyNoPriority Strategy = "no priority"
-	// StrategySplit keeps some workers of each place for batch alone.
+	// StrategySplit dedicates some workers of each place to batch.
 	StrategySplit Strategy = "fixed split"
-	// StrategyOurs is what the routers do.
+	// StrategyOurs is the policy of the routers in production.
 	StrategyOurs Strategy = "dykewing"
 )
 
-// Strategies are all of them, in the order of reports.
+// Strategies returns all strategies in report order.
 func Strategies() []Strategy {
 	return []Strategy{StrategyNoBatch, StrategyNoPriority, StrategySplit, StrategyOurs}
 }
 
 const splitSuffix = "-split"
 
-// splitService names the workers that the fixed split keeps for batch.
+// splitService returns the service name of the workers that StrategySplit
+// dedicates to batch.
 func splitService(service api.ServiceName) api.ServiceName { return service + splitSuffix }
 
-// batchService is the service that batch items of the service are sent to.
+// batchService returns the service to which batch items of service are sent.
 func (s Strategy) batchService(service api.ServiceName) api.ServiceName {
 	if s == StrategySplit {
 		return splitService(service)
@@ -40,7 +41,7 @@
 	return service
 }
 
-// settings are the admission settings of the strategy.
+// settings adapts the admission settings to the strategy.
 func (s Strategy) settings(settings admission.Settings) admission.Settings {
 	if s == StrategyNoPriority || s == StrategySplit {
 		settings.Filling = admission.FillFreeSlots()
@@ -48,7 +49,7 @@
 	return settings
 }
 
-// rows turns the scenario's places into table rows.
+// rows returns the table rows of the scenario's places.
 func (s Strategy) rows(scenario Scenario) map[api.RowKey]api.Row {
 	rows := map[api.RowKey]api.Row{}
 	for _, service := range scenario.Services {
@@ -66,7 +67,8 @@
 	return rows
 }
 
-// workers lays the places' workers out over the zones.
+// workers returns the workers of all places, distributed round-robin over the
+// zones.
 func (s Strategy) workers(scenario Scenario) []api.Worker {
 	var workers []api.Worker
 	for _, service := range scenario.Services {
--- a/internal/experiment/trace.go
+++ b/internal/experiment/trace.go
@@ -11,7 +11,7 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Work is what a request asks of an engine.
+// Work is the engine work of a request.
 type Work struct {
 	Service      api.ServiceName
 	Blocks       []uint64
@@ -19,14 +19,14 @@
 	OutputTokens int
 }
 
-// arrival is an online request of the trace.
+// arrival is an online request in a trace.
 type arrival struct {
 	at     time.Duration
-	caller int // zone of the caller
+	caller int // zone index of the caller
 	work   Work
 }
 
-// Streams of chance that do not depend on one another.
+// Identifiers of independent random streams.
 const (
 	streamOnline = iota + 1
 	streamBatch
@@ -37,14 +37,14 @@
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(part)+uint64(stream)))
 }
 
-// onlineTrace draws a service's online requests; it is the same for all
-// strategies.
+// onlineTrace generates a service's online requests by thinning a Poisson
+// process. The trace is independent of the strategy.
 func onlineTrace(scenario Scenario, service Service, seed uint64) []arrival {
 	if service.Online.Rate <= 0 {
 		return nil
 	}
 	random := newStream(seed, streamOnline, string(service.Name))
-	drawer := newDrawer(scenario, service, service.Online.Shape, random)
+	generator := newWorkGenerator(scenario, service, service.Online.Shape, random)
 	peak := service.Online.Rate * max(service.Online.Bursts.Factor, 1)
 	var trace []arrival
 	for at := time.Duration(0); ; {
@@ -55,11 +55,12 @@
 		if random.Float64()*peak >= service.Online.rateAt(at) {
 			continue
 		}
-		trace = append(trace, arrival{at: at, caller: random.IntN(scenario.Fleet.Zones), work: drawer.draw(0)})
+		trace = append(trace, arrival{at: at, caller: random.IntN(scenario.Fleet.Zones), work: generator.next(0)})
 	}
 }
 
-// rateAt is the rate at a time after the start; a burst ends each interval.
+// rateAt returns the rate at a time after the start; bursts come at the end of
+// each interval.
 func (o Online) rateAt(at time.Duration) float64 {
 	if o.Bursts.Every <= 0 || at%o.Bursts.Every < o.Bursts.Every-o.Bursts.Length {
 		return o.Rate
@@ -67,8 +68,8 @@
 	return o.Rate * o.Bursts.Factor
 }
 
-// drawer draws the work of requests of one shape.
-type drawer struct {
+// workGenerator generates the work of requests of one shape.
+type workGenerator struct {
 	service     Service
 	shape       Shape
 	blockTokens int
@@ -77,15 +78,15 @@
 	serial      uint64
 }
 
-func newDrawer(scenario Scenario, service Service, shape Shape, random *rand.Rand) *drawer {
-	return &drawer{
+func newWorkGenerator(scenario Scenario, service Service, shape Shape, random *rand.Rand) *workGenerator {
+	return &workGenerator{
 		service: service, shape: shape, blockTokens: scenario.Engine.BlockTokens,
 		random: random, salt: random.Uint64(),
 	}
 }
 
-// draw gives a request; heap keeps the shared prefixes of batch jobs apart.
-func (d *drawer) draw(heap int) Work {
+// sample generates a request. Requests with different job numbers share no prefix.
+func (d *workGenerator) next(job int) Work {
 	work := Work{Service: d.service.Name, PromptTokens: 1, OutputTokens: 1}
 	if d.service.ApplicationTime > 0 {
 		return work
@@ -95,17 +96,17 @@
 		prefix = d.random.IntN(d.shape.Prefixes) + 1
 		work.PromptTokens = d.shape.Prefix
 	}
-	work.PromptTokens = max(work.PromptTokens+d.shape.Prompt.draw(d.random), 1)
-	work.OutputTokens = max(d.shape.Output.draw(d.random), 1)
+	work.PromptTokens = max(work.PromptTokens+d.shape.Prompt.sample(d.random), 1)
+	work.OutputTokens = max(d.shape.Output.sample(d.random), 1)
 	d.serial++
-	work.Blocks = d.blocks(work.PromptTokens, heap, prefix)
+	work.Blocks = d.blocks(work.PromptTokens, job, prefix)
 	return work
 }
 
-func (d *drawer) blocks(prompt, heap, prefix int) []uint64 {
+func (d *workGenerator) blocks(prompt, job, prefix int) []uint64 {
 	blocks := make([]uint64, prompt/d.blockTokens)
 	shared := d.shape.Prefix / d.blockTokens
-	hash := mix(d.salt, uint64(heap), uint64(prefix))
+	hash := mix(d.salt, uint64(job), uint64(prefix))
 	for i := range blocks {
 		if i == shared {
 			hash = mix(hash, d.serial, 1)
@@ -124,7 +125,7 @@
 	return xxhash.Sum64(buffer[:])
 }
 
-func (l Length) draw(random *rand.Rand) int {
+func (l Length) sample(random *rand.Rand) int {
 	tokens := int(float64(l.Median) * math.Exp(l.Sigma*random.NormFloat64()))
 	if l.Maximum > 0 {
 		tokens = min(tokens, l.Maximum)
