--- a/cmd/dykewing/main.go
+++ b/cmd/dykewing/main.go
@@ -1,4 +1,5 @@
-// Command dykewing runs one role of the serving system, or a development fleet.
+// Command dykewing runs one role of the serving system, or a development fleet
+// in one process.
 package main
 
 import (
@@ -43,7 +44,7 @@
 	case check.FullCommand():
 		checkSettings(*checkFile)
 	case "dev":
-		exitOn(runDev(development), exitFailure)
+		exitOnError(runDev(development), exitFailure)
 	default:
 		runRole(roles[command])
 	}
@@ -79,21 +80,21 @@
 
 func checkSettings(file string) {
 	_, err := config.Load(file, nil)
-	exitOn(err, exitSettings)
+	exitOnError(err, exitSettings)
 	fmt.Printf("%s: no fault found\n", file)
 }
 
 func runRole(flags *roleFlags) {
 	settings, err := flags.load()
-	exitOn(err, exitSettings)
+	exitOnError(err, exitSettings)
 	logger, lines, err := logging.NewQueued(settings.Log, os.Stdout)
-	exitOn(err, exitSettings)
+	exitOnError(err, exitSettings)
 	err = serveRole(flags.role, settings, logger)
 	if err != nil {
 		logger.WithField("part", "node").WithField("event", "ended").WithError(err).Error("The process ends.")
 	}
 	lines.Close()
-	exitOn(err, exitFailure)
+	exitOnError(err, exitFailure)
 }
 
 func serveRole(role api.Role, settings config.Settings, logger *logrus.Logger) error {
@@ -101,16 +102,16 @@
 		debug.SetMemoryLimit(bytes)
 	}
 	ctx, kill := stopSignals()
-	go ignoreReloads(logger)
-	process, err := daemon.New(role, settings, logger, platformOf(settings))
+	go handleReloadSignal(logger)
+	process, err := daemon.New(role, settings, logger, newPlatform(settings))
 	if err != nil {
 		return err
 	}
 	return process.Run(ctx, kill)
 }
 
-// stopSignals gives a context that the first SIGTERM or interrupt ends, and one
-// that the second ends.
+// stopSignals returns a context that is cancelled by the first SIGTERM or
+// interrupt, for graceful shutdown, and one that is cancelled by the second.
 func stopSignals() (ctx, kill context.Context) {
 	ctx, stop := context.WithCancel(context.Background())
 	kill, end := context.WithCancel(context.Background())
@@ -125,9 +126,9 @@
 	return ctx, kill
 }
 
-// ignoreReloads says on SIGHUP that no setting of a running process changes;
-// unhandled, the signal would end it.
-func ignoreReloads(logger *logrus.Logger) {
+// handleReloadSignal logs on SIGHUP that settings are not reloaded. Without a handler
+// the signal would terminate the process.
+func handleReloadSignal(logger *logrus.Logger) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	for range signals {
@@ -135,8 +136,9 @@
 	}
 }
 
-// platformOf is the platform that the settings name; nil without one.
-func platformOf(settings config.Settings) *daemon.Platform {
+// newPlatform returns the platform client for the settings, or nil if none is
+// configured.
+func newPlatform(settings config.Settings) *daemon.Platform {
 	if settings.Platform.StoreAddress == "" {
 		return nil
 	}
@@ -191,7 +193,7 @@
 	return nil
 }
 
-func exitOn(err error, code int) {
+func exitOnError(err error, code int) {
 	if err == nil {
 		return
 	}
--- a/cmd/dykewing/process_test.go
+++ b/cmd/dykewing/process_test.go
@@ -21,10 +21,10 @@
 	"github.com/dykewing/dykewing/internal/standin/platform"
 )
 
-// patience bounds waits; no verdict depends on how long one takes within it.
-const patience = 60 * time.Second
+// waitTimeout limits each wait; test results do not depend on the time taken.
+const waitTimeout = 60 * time.Second
 
-// binary is built once for all tests of this file.
+// binary builds the command once for all tests and returns its path.
 var binary = sync.OnceValues(func() (string, error) {
 	folder, err := os.MkdirTemp("", "dykewing-process-test-")
 	if err != nil {
@@ -46,10 +46,10 @@
 	os.Exit(code)
 }
 
-// process is a started daemon with what it wrote to standard error.
+// process is a running daemon with its captured output.
 type process struct {
 	command *exec.Cmd
-	lines   *safeBuffer // the log, on standard output
+	output  *safeBuffer // standard output, which has the log
 	errors  *safeBuffer
 	ended   chan struct{}
 }
@@ -59,29 +59,27 @@
 	buffer bytes.Buffer
 }
 
-// Write appends.
 func (b *safeBuffer) Write(p []byte) (int, error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.buffer.Write(p)
 }
 
-// String gives all so far.
 func (b *safeBuffer) String() string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.buffer.String()
 }
 
-// start runs the program and kills it at the end of the test.
+// start runs the command and kills it when the test ends.
 func start(t *testing.T, arguments ...string) *process {
 	t.Helper()
 	file, err := binary()
 	if err != nil {
 		t.Fatal(err)
 	}
-	started := &process{command: exec.Command(file, arguments...), lines: &safeBuffer{}, errors: &safeBuffer{}, ended: make(chan struct{})}
-	started.command.Stdout = started.lines
+	started := &process{command: exec.Command(file, arguments...), output: &safeBuffer{}, errors: &safeBuffer{}, ended: make(chan struct{})}
+	started.command.Stdout = started.output
 	started.command.Stderr = started.errors
 	if err := started.command.Start(); err != nil {
 		t.Fatal(err)
@@ -97,29 +95,29 @@
 	return started
 }
 
-// exitCode waits for the end.
+// exitCode waits for the process to exit.
 func (p *process) exitCode(t *testing.T) int {
 	t.Helper()
 	select {
 	case <-p.ended:
-	case <-time.After(patience):
-		t.Fatalf("%v still runs; it wrote:\n%s%s", p.command.Args, p.lines, p.errors)
+	case <-time.After(waitTimeout):
+		t.Fatalf("%v did not exit; output:\n%s%s", p.command.Args, p.output, p.errors)
 	}
 	return p.command.ProcessState.ExitCode()
 }
 
-// await polls until the condition holds.
+// await polls until condition returns true.
 func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); !condition(); {
+	for deadline := time.Now().Add(waitTimeout); !condition(); {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-func ready(address string) bool {
+func isReady(address string) bool {
 	response, err := http.Get("http://" + address + "/readyz")
 	if err != nil {
 		return false
@@ -143,9 +141,9 @@
 	return running
 }
 
-// TestRolesAsProcesses serves streamed chats and a batch job through roles that
-// run as processes of their own, and stops each as planned.
-func TestRolesAsProcesses(t *testing.T) {
+// TestRolesServeAsSeparateProcesses serves streamed chats and a batch job with each role in
+// its own process, then checks that SIGTERM stops each one cleanly.
+func TestRolesServeAsSeparateProcesses(t *testing.T) {
 	running := startPlatform(t, nil)
 	var processes []*process
 	callers := ""
@@ -156,12 +154,12 @@
 		}
 	}
 	for _, daemon := range running.Daemons {
-		await(t, string(daemon.ID)+" to be ready", func() bool { return ready(daemon.Address) })
+		await(t, string(daemon.ID)+" to be ready", func() bool { return isReady(daemon.Address) })
 	}
 	options := load.DefaultOptions()
 	options.URL, options.Model = "http://"+callers+"/v1", platform.Model
-	options.Rate, options.Duration, options.Timeout = 20, time.Second, patience
-	awaitRight(t, options)
+	options.Rate, options.Duration, options.Timeout = 20, time.Second, waitTimeout
+	awaitCorrectAnswers(t, options)
 	report, err := load.Run(context.Background(), options)
 	if err != nil || report.Right != report.Sent || report.Sent == 0 {
 		t.Errorf("online: right %d of %d, wrong %d, failures %v %v, %v", report.Right, report.Sent, report.Wrong, report.Failures, report.Examples, err)
@@ -176,14 +174,14 @@
 			t.Fatal(err)
 		}
 		if code := processes[i].exitCode(t); code != 0 {
-			t.Errorf("%v ended with %d after SIGTERM:\n%s%s", processes[i].command.Args, code, processes[i].lines, processes[i].errors)
+			t.Errorf("%v ended with %d after SIGTERM:\n%s%s", processes[i].command.Args, code, processes[i].output, processes[i].errors)
 		}
 	}
 }
 
-// awaitRight polls with single requests until one of each class is answered:
-// the routers' homes and the groups' leaders are found after readiness.
-func awaitRight(t *testing.T, options load.Options) {
+// awaitCorrectAnswers polls until one request of each class succeeds, since homes and
+// group leaders may be discovered only after the processes report ready.
+func awaitCorrectAnswers(t *testing.T, options load.Options) {
 	t.Helper()
 	options.Duration, options.Items = 50*time.Millisecond, 1
 	for _, class := range []api.Class{api.ClassOnline, api.ClassBatch} {
@@ -195,8 +193,8 @@
 	}
 }
 
-// oneLine fails unless the text is a single line that names want.
-func oneLine(t *testing.T, text, want string) {
+// checkOneLine checks that text is a single line that contains want.
+func checkOneLine(t *testing.T, text, want string) {
 	t.Helper()
 	text = strings.TrimSpace(text)
 	if strings.Count(text, "\n") != 0 || !strings.Contains(text, want) {
@@ -204,7 +202,7 @@
 	}
 }
 
-func TestBadSettingsExitWithTwoAndOneLine(t *testing.T) {
+func TestInvalidSettingsExitWithCode2AndOneLine(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "bad.yaml")
 	if err := os.WriteFile(file, []byte("node:\n  id: a\n  address: 127.0.0.1:0\n  colour: red\n"), 0o644); err != nil {
 		t.Fatal(err)
@@ -214,11 +212,11 @@
 		if code := failed.exitCode(t); code != exitSettings {
 			t.Errorf("%v ended with %d", arguments, code)
 		}
-		oneLine(t, failed.errors.String(), "line 4: node.colour: unknown key")
+		checkOneLine(t, failed.errors.String(), "line 4: node.colour: unknown key")
 	}
 }
 
-func TestUsedPortExitsWithOneAndOneLine(t *testing.T) {
+func TestPortInUseExitsWithCode1AndOneLine(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -230,11 +228,11 @@
 		if code := failed.exitCode(t); code != exitFailure {
 			t.Errorf("%s ended with %d", daemon.Role, code)
 		}
-		oneLine(t, failed.errors.String(), "address already in use")
+		checkOneLine(t, failed.errors.String(), "address already in use")
 	}
 }
 
-func TestCorruptDataFolderIsOneLine(t *testing.T) {
+func TestCorruptDataFolderExitsWithCode1AndOneLine(t *testing.T) {
 	running := startPlatform(t, func(options *platform.Options) { options.Routers, options.Sidecars = 0, 0 })
 	store := running.Daemons[0]
 	first := start(t, "store", "--settings", store.File)
@@ -256,10 +254,11 @@
 	if code := failed.exitCode(t); code != exitFailure {
 		t.Errorf("ended with %d", code)
 	}
-	oneLine(t, failed.errors.String(), "store")
+	checkOneLine(t, failed.errors.String(), "store")
 }
 
-// overwriteFiles puts noise into every file of the folder.
+// overwriteFiles overwrites every file below folder with invalid data and returns
+// the number of files.
 func overwriteFiles(t *testing.T, folder string) int {
 	t.Helper()
 	count := 0
@@ -280,8 +279,9 @@
 	return count
 }
 
-// TestUnreachableKeyValueServiceIsRetried holds that a daemon without its table
-// says so once, goes on, and is ready when the service is there.
+// TestUnreachableKeyValueServiceIsRetried checks that a daemon that can't load
+// its table logs a warning, keeps running, and becomes ready once the service is
+// reachable.
 func TestUnreachableKeyValueServiceIsRetried(t *testing.T) {
 	running := startPlatform(t, func(options *platform.Options) { options.Stores, options.Sidecars, options.Routers = 0, 0, 1 })
 	router := running.Daemons[0]
@@ -300,17 +300,17 @@
 		t.Fatal(err)
 	}
 	started := start(t, "router", "--settings", router.File)
-	await(t, "the warning", func() bool { return strings.Contains(started.lines.String(), "key-value service") })
-	if ready(router.Address) {
+	await(t, "the warning", func() bool { return strings.Contains(started.output.String(), "key-value service") })
+	if isReady(router.Address) {
 		t.Error("ready without a table")
 	}
-	stop := relay(t, unreachable, address)
+	stop := forward(t, unreachable, address)
 	defer stop()
-	await(t, "the router to be ready", func() bool { return ready(router.Address) })
+	await(t, "the router to be ready", func() bool { return isReady(router.Address) })
 }
 
-// relay passes connections on from one address to another from now on.
-func relay(t *testing.T, from, to string) (stop func()) {
+// forward forwards TCP connections from one address to another until stopped.
+func forward(t *testing.T, from, to string) (stop func()) {
 	t.Helper()
 	listener, err := net.Listen("tcp", from)
 	if err != nil {
@@ -322,13 +322,13 @@
 			if err != nil {
 				return
 			}
-			go join(connection, to)
+			go forwardConnection(connection, to)
 		}
 	}()
 	return func() { _ = listener.Close() }
 }
 
-func join(near net.Conn, address string) {
+func forwardConnection(near net.Conn, address string) {
 	defer near.Close()
 	far, err := net.Dial("tcp", address)
 	if err != nil {
--- a/cmd/dykewingctl/cost.go
+++ b/cmd/dykewingctl/cost.go
@@ -17,9 +17,9 @@
 	"github.com/dykewing/dykewing/internal/transport"
 )
 
-// costSeries are the beginnings of the names of series that say what a process pays
-// because others exist.
-var costSeries = []string{
+// costMetricPrefixes lists the name prefixes of the metrics that show a process's resource
+// usage and its cost of communication with other processes.
+var costMetricPrefixes = []string{
 	"process_cpu_seconds_total", "process_resident_memory_bytes", "go_goroutines", "go_memstats_alloc_bytes_total",
 	transport.TrafficName, transport.ConnectionsName, "dykewing_membership_", "dykewing_feed_", "dykewing_catalog_worker_changes_total",
 	"dykewing_catalog_whole_states_total", "dykewing_key_value_calls_total", "dykewing_frontend_places_total", "dykewing_batch_attempts_total",
@@ -31,16 +31,17 @@
 	command.Action(action(func() error { return s.showCost(*nodes) }))
 }
 
-// costRow is one series over all processes that were asked.
+// costRow aggregates one series over all queried processes.
 type costRow struct {
-	Series string  `json:"series"` // with its labels
+	Series string  `json:"series"` // name with labels
 	Sum    float64 `json:"sum"`
-	Mean   float64 `json:"mean"` // of the processes that answered
-	Most   float64 `json:"most"` // of one
-	Node   string  `json:"node"` // that has the most
+	Mean   float64 `json:"mean"` // over the processes that answered
+	Most   float64 `json:"most"` // highest value of a single process
+	Node   string  `json:"node"` // process with the highest value
 }
 
-// showCost leaves out processes that do not answer, and tells them as an error.
+// showCost prints the aggregate over the processes that answer and returns an
+// error for those that do not.
 func (s *session) showCost(nodes []string) error {
 	rows := map[string]*costRow{}
 	var failures []error
@@ -80,16 +81,16 @@
 func (s *session) readCost(node string) (map[string]float64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.timeout)
 	defer cancel()
-	body, err := s.metricsOf(ctx, node)
+	body, err := s.getMetrics(ctx, node)
 	if err != nil {
 		return nil, err
 	}
 	defer body.Close()
-	return readSeries(io.LimitReader(body, maximumMetricsBytes), node)
+	return readSeries(io.LimitReader(body, maxMetricsBytes), node)
 }
 
-// metricsOf reads a process's metrics; the caller closes them.
-func (s *session) metricsOf(ctx context.Context, node string) (io.ReadCloser, error) {
+// getMetrics requests a process's metrics. The caller must close the reader.
+func (s *session) getMetrics(ctx context.Context, node string) (io.ReadCloser, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+node+"/metrics", nil)
 	if err != nil {
 		return nil, err
@@ -105,14 +106,14 @@
 	return response.Body, nil
 }
 
-// readSeries gives the values of the series that cost.
+// readSeries parses the values of the series that match costMetricPrefixes.
 func readSeries(metrics io.Reader, node string) (map[string]float64, error) {
 	values := map[string]float64{}
 	lines := bufio.NewScanner(metrics)
 	for lines.Scan() {
 		line := lines.Text()
 		at := strings.LastIndexByte(line, ' ')
-		costs := slices.ContainsFunc(costSeries, func(name string) bool { return strings.HasPrefix(line, name) })
+		costs := slices.ContainsFunc(costMetricPrefixes, func(name string) bool { return strings.HasPrefix(line, name) })
 		if at < 0 || !costs {
 			continue
 		}
--- a/cmd/dykewingctl/cost_test.go
+++ b/cmd/dykewingctl/cost_test.go
@@ -12,8 +12,8 @@
 	"github.com/dykewing/dykewing/internal/transport"
 )
 
-// costing is a process with metrics of its own.
-func costing(t *testing.T, metrics string) string {
+// metricsServer starts a server with the given metrics and returns its address.
+func metricsServer(t *testing.T, metrics string) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, metrics) }))
 	t.Cleanup(server.Close)
@@ -21,8 +21,8 @@
 }
 
 func TestCostIsSummedOverProcesses(t *testing.T) {
-	one := costing(t, "# HELP go_goroutines Number.\ngo_goroutines 20\ndykewing_membership_exchanges_total{purpose=\"probe\"} 5\nother 7\n")
-	two := costing(t, "go_goroutines 40\n")
+	one := metricsServer(t, "# HELP go_goroutines Number.\ngo_goroutines 20\ndykewing_membership_exchanges_total{purpose=\"probe\"} 5\nother 7\n")
+	two := metricsServer(t, "go_goroutines 40\n")
 	gone := "127.0.0.1:1"
 	tests := []struct {
 		name  string
@@ -42,7 +42,7 @@
 			}
 			for _, want := range test.want {
 				if !strings.Contains(out.String(), want) {
-					t.Errorf("%q is missing of:\n%s", want, out.String())
+					t.Errorf("%q is missing from:\n%s", want, out.String())
 				}
 			}
 			if strings.Contains(out.String(), "other") {
--- a/cmd/dykewingctl/explain.go
+++ b/cmd/dykewingctl/explain.go
@@ -14,24 +14,24 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// maximumLogLine bounds one line of a log.
-const maximumLogLine = 1 << 20
+// maxLogLineBytes is the maximum length of a log line in bytes.
+const maxLogLineBytes = 1 << 20
 
-// deciding ranks the events of a request that say why it ended as it did; the
-// highest one that a request's lines have is the answer. docs/LOGS.md lists all.
-var deciding = map[string]int{
+// eventRanks ranks events by how conclusively they explain a request's outcome. The
+// highest-ranked event of a request is reported. docs/LOGS.md lists all events.
+var eventRanks = map[string]int{
 	"request_served": 1, "job_accepted": 1, "request_retried": 2, "item_send_ended": 2, "results_not_committed": 2,
 	"item_gives_way": 3, "job_stopped": 3, "job_ended": 4, "job_call_failed": 4, "item_abandoned": 5, "caller_gone": 5,
 	"worker_failed": 6, "request_refused": 7, "answer_cut": 7,
 }
 
-// leftOut are fields that an explanation shows elsewhere or not at all.
-var leftOut = []string{"level", "time", "node", "part", "event", "msg", "request"}
+// omittedFields lists the fields that are not printed among a line's details.
+var omittedFields = []string{"level", "time", "node", "part", "event", "msg", "request"}
 
-// logLine is one line of a log about the request.
+// logLine is a parsed log line about the request.
 type logLine struct {
 	at     time.Time
-	prefix string // what stands before the line in the file, as of a collector
+	prefix string // text before the JSON object, as added by log collectors
 	fields map[string]any
 }
 
@@ -63,10 +63,10 @@
 	return explain(w, id, io.MultiReader(readers...))
 }
 
-// explain prints the lines about a request, in the order of their time, and marks
-// the one that decided.
+// explain prints the log lines about a request in order of time and marks the one
+// that decided its outcome.
 func explain(w io.Writer, id string, logs io.Reader) error {
-	lines, err := linesOf(id, logs)
+	lines, err := readLines(id, logs)
 	if err != nil {
 		return err
 	}
@@ -87,9 +87,9 @@
 	return nil
 }
 
-func linesOf(id string, logs io.Reader) ([]logLine, error) {
+func readLines(id string, logs io.Reader) ([]logLine, error) {
 	scanner := bufio.NewScanner(logs)
-	scanner.Buffer(nil, maximumLogLine)
+	scanner.Buffer(nil, maxLogLineBytes)
 	var lines []logLine
 	for scanner.Scan() {
 		if !strings.Contains(scanner.Text(), id) {
@@ -105,7 +105,8 @@
 	return lines, nil
 }
 
-// parseLine reads a JSON line; what stands before its brace is kept.
+// parseLine parses a JSON log line and keeps any text before its first brace. It
+// returns false if the line is not JSON or has no valid time.
 func parseLine(text string) (logLine, bool) {
 	brace := strings.IndexByte(text, '{')
 	if brace < 0 {
@@ -123,11 +124,11 @@
 	return line, true
 }
 
-// decidingLine is the last of those that rank highest.
+// decidingLine returns the index of the last line with the highest rank.
 func decidingLine(lines []logLine) int {
 	best := 0
 	for i, line := range lines {
-		if deciding[line.text("event")] >= deciding[lines[best].text("event")] {
+		if eventRanks[line.text("event")] >= eventRanks[lines[best].text("event")] {
 			best = i
 		}
 	}
@@ -137,7 +138,7 @@
 func details(line logLine) string {
 	var text strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(line.fields)) {
-		if !slices.Contains(leftOut, name) {
+		if !slices.Contains(omittedFields, name) {
 			_, _ = fmt.Fprintf(&text, " %s=%v", name, line.fields[name])
 		}
 	}
--- a/cmd/dykewingctl/explain_test.go
+++ b/cmd/dykewingctl/explain_test.go
@@ -12,7 +12,7 @@
 {"event":"caller_gone","level":"info","msg":"A caller left.","node":"front-1","request":"9c41","time":"2026-12-02T09:00:01.25Z"}
 `
 
-func TestExplainOrdersLinesAndNamesTheDecidingOne(t *testing.T) {
+func TestExplainOrdersLinesAndMarksDecidingEvent(t *testing.T) {
 	var out strings.Builder
 	if err := explain(&out, "9c41", strings.NewReader(exampleLogs)); err != nil {
 		t.Fatal(err)
--- a/cmd/dykewingctl/jobs.go
+++ b/cmd/dykewingctl/jobs.go
@@ -15,7 +15,7 @@
 
 const jobPollInterval = 500 * time.Millisecond
 
-// batch is what the tool reads of a batch in the OpenAI API's shape.
+// batch holds the fields of an OpenAI batch object that the tool uses.
 type batch struct {
 	ID            string `json:"id"`
 	Endpoint      string `json:"endpoint"`
@@ -44,12 +44,12 @@
 
 func (b batch) row() string {
 	return fmt.Sprintf("%s\t%s\t%d\t%d\t%d\t%s\t%s", b.ID, b.Status, b.RequestCounts.Total, b.RequestCounts.Completed,
-		b.RequestCounts.Failed, moment(b.CreatedAt), moment(b.ExpiresAt))
+		b.RequestCounts.Failed, formatTime(b.CreatedAt), formatTime(b.ExpiresAt))
 }
 
-func moment(seconds int64) string { return time.Unix(seconds, 0).UTC().Format(time.RFC3339) }
+func formatTime(seconds int64) string { return time.Unix(seconds, 0).UTC().Format(time.RFC3339) }
 
-// jobCommands are the flags of the jobs subcommands.
+// jobCommands holds the flags of the jobs subcommands.
 type jobCommands struct {
 	*session
 	tenant     string
@@ -66,7 +66,8 @@
 	target     string
 }
 
-// registerJobs adds the subcommands; act makes a function kingpin's action.
+// registerJobs adds the jobs subcommands; act wraps a function as a kingpin
+// action.
 func registerJobs(application *kingpin.Application, s *session, act func(func() error) kingpin.Action) {
 	c := &jobCommands{session: s}
 	group := application.Command("jobs", "Batch jobs, through a sidecar.")
@@ -111,8 +112,8 @@
 	return c.show(submitted)
 }
 
-// show prints a job, after its end when that is asked for; a job that did not
-// complete is an error then.
+// show prints a job. If waiting was requested it first waits for the job to end
+// and returns an error if the job did not complete.
 func (c *jobCommands) show(shown batch) error {
 	if !c.wait {
 		return c.print(shown, batchHeader, []string{shown.row()})
@@ -208,14 +209,14 @@
 		out = created
 	}
 	if file == "" {
-		return nil // there is no such item
+		return nil // no such item
 	}
 	bar := newProgress(os.Stderr, "results", lines)
 	defer bar.end()
 	return c.download(file, io.MultiWriter(out, lineCounter{bar}))
 }
 
-// lineCounter moves a progress bar by the lines that are written to it.
+// lineCounter advances a progress bar for each line written to it.
 type lineCounter struct{ bar *progress }
 
 func (l lineCounter) Write(written []byte) (int, error) {
@@ -227,7 +228,7 @@
 	return len(written), nil
 }
 
-// answerContext bounds the wait for one answer.
-func (c *jobCommands) answerContext() (context.Context, context.CancelFunc) {
+// newContext returns a context with the timeout for one response.
+func (c *jobCommands) newContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), c.timeout)
 }
--- a/cmd/dykewingctl/jobs_http.go
+++ b/cmd/dykewingctl/jobs_http.go
@@ -17,10 +17,10 @@
 	"github.com/dykewing/dykewing/internal/transport"
 )
 
-// stallTimeout ends an upload or a download in which nothing moves.
+// stallTimeout aborts an upload or download that makes no progress.
 const stallTimeout = time.Minute
 
-// request builds a call to the sidecar for the tenant.
+// request builds an HTTP request to the sidecar on behalf of the tenant.
 func (c *jobCommands) request(ctx context.Context, method, path string, body io.Reader) (*http.Request, error) {
 	if c.sidecar == "" {
 		return nil, errors.New("jobs: --sidecar is missing")
@@ -35,7 +35,7 @@
 	return request, nil
 }
 
-// do sends a request and gives its answer when it is not a refusal.
+// do sends a request and returns its response, or an error for an error status.
 func (c *jobCommands) do(step string, request *http.Request) (*http.Response, error) {
 	response, err := c.client.Do(request)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return response, nil
 }
 
-func (c *jobCommands) answer(step string, request *http.Request, answer any) error {
+func (c *jobCommands) doJSON(step string, request *http.Request, answer any) error {
 	response, err := c.do(step, request)
 	if err != nil {
 		return err
@@ -61,17 +61,17 @@
 }
 
 func (c *jobCommands) get(step, path string, answer any) error {
-	ctx, cancel := c.answerContext()
+	ctx, cancel := c.newContext()
 	defer cancel()
 	request, err := c.request(ctx, http.MethodGet, path, nil)
 	if err != nil {
 		return err
 	}
-	return c.answer(step, request, answer)
+	return c.doJSON(step, request, answer)
 }
 
 func (c *jobCommands) post(step, path string, body any, headers map[string]string, answer any) error {
-	ctx, cancel := c.answerContext()
+	ctx, cancel := c.newContext()
 	defer cancel()
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -87,10 +87,10 @@
 			request.Header.Set(name, value)
 		}
 	}
-	return c.answer(step, request, answer)
+	return c.doJSON(step, request, answer)
 }
 
-// upload streams the file as a form and gives its id.
+// upload streams the file as a multipart form and returns its id.
 func (c *jobCommands) upload() (string, error) {
 	const step = "upload file"
 	file, err := os.Open(c.file)
@@ -102,7 +102,7 @@
 	if err != nil {
 		return "", err
 	}
-	ctx, watch := stalling()
+	ctx, watch := newStallContext()
 	defer watch.Stop()
 	const unit = 1 << 10
 	bar := newProgress(os.Stderr, "KiB uploaded", int(info.Size()/unit))
@@ -120,7 +120,7 @@
 	var uploaded struct {
 		ID string `json:"id"`
 	}
-	err = c.answer(step, request, &uploaded)
+	err = c.doJSON(step, request, &uploaded)
 	return uploaded.ID, err
 }
 
@@ -140,7 +140,7 @@
 
 func (c *jobCommands) download(file string, out io.Writer) error {
 	const step = "read results"
-	ctx, watch := stalling()
+	ctx, watch := newStallContext()
 	defer watch.Stop()
 	request, err := c.request(ctx, http.MethodGet, "/v1/files/"+file+"/content", nil)
 	if err != nil {
@@ -152,21 +152,22 @@
 	}
 	defer response.Body.Close()
 	if _, err := io.Copy(out, &meter{reader: response.Body, watch: watch}); err != nil {
-		return fmt.Errorf("%s of %s: the results are not whole: %w", step, c.sidecar, err)
+		return fmt.Errorf("%s of %s: the results are incomplete: %w", step, c.sidecar, err)
 	}
 	return nil
 }
 
-// stalling gives a context that ends when the timer is not reset in time.
-func stalling() (context.Context, *time.Timer) {
+// newStallContext returns a context that is cancelled unless the timer is reset
+// within each stallTimeout.
+func newStallContext() (context.Context, *time.Timer) {
 	ctx, cancel := context.WithCancelCause(context.Background())
-	return ctx, time.AfterFunc(stallTimeout, func() { cancel(fmt.Errorf("nothing moved for %v", stallTimeout)) })
+	return ctx, time.AfterFunc(stallTimeout, func() { cancel(fmt.Errorf("no data transferred for %v", stallTimeout)) })
 }
 
-// meter moves a bar by what is read and resets the timer.
+// meter advances a progress bar by the bytes read and resets the stall timer.
 type meter struct {
 	reader io.Reader
-	unit   int // bytes of a step; 0: no bar
+	unit   int // bytes per step of the bar; 0 for no bar
 	bar    *progress
 	watch  *time.Timer
 	part   int
--- a/cmd/dykewingctl/jobs_test.go
+++ b/cmd/dykewingctl/jobs_test.go
@@ -14,14 +14,14 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// sidecarOf answers like a sidecar and remembers what it was asked.
-type sidecarOf struct {
+// fakeSidecar is a fake sidecar that records the requests it receives.
+type fakeSidecar struct {
 	uploaded string
 	headers  http.Header
 	paths    []string
 }
 
-func (s *sidecarOf) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *fakeSidecar) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.paths = append(s.paths, r.Method+" "+r.URL.Path)
 	const body = `{"id":"batch_1","status":"completed","output_file_id":"file-out","request_counts":{"total":2,"completed":2,"failed":0}}`
 	switch {
@@ -47,8 +47,8 @@
 	}
 }
 
-// control runs the tool's jobs commands against the server.
-func control(t *testing.T, handler http.Handler, arguments ...string) (string, error) {
+// runJobs runs a jobs subcommand against a server with the handler.
+func runJobs(t *testing.T, handler http.Handler, arguments ...string) (string, error) {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
@@ -68,13 +68,13 @@
 	return out.String(), failed
 }
 
-func TestSubmitUploadsAndSubmits(t *testing.T) {
+func TestSubmitUploadsFileAndCreatesBatch(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "in.jsonl")
 	if err := os.WriteFile(path, []byte("a\nb\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	sidecar := &sidecarOf{}
-	out, err := control(t, sidecar, "--tenant", "clinic", "submit", path, "--key", "k", "--repeatable", "false", "--wait")
+	sidecar := &fakeSidecar{}
+	out, err := runJobs(t, sidecar, "--tenant", "clinic", "submit", path, "--key", "k", "--repeatable", "false", "--wait")
 	if err != nil || sidecar.uploaded != "a\nb\n" {
 		t.Fatalf("uploaded %q, %v", sidecar.uploaded, err)
 	}
@@ -83,13 +83,13 @@
 	}
 	lines := strings.Split(strings.TrimSpace(out), "\n")
 	if len(lines) != 2 || strings.Index(lines[0], "STATUS") != strings.Index(lines[1], "completed") {
-		t.Fatalf("the columns are not aligned:\n%s", out)
+		t.Fatalf("columns are not aligned:\n%s", out)
 	}
 }
 
-func TestResultsAreWrittenWhole(t *testing.T) {
+func TestResultsAreWrittenCompletely(t *testing.T) {
 	target := filepath.Join(t.TempDir(), "out.jsonl")
-	if _, err := control(t, &sidecarOf{}, "results", "batch_1", "--file", target); err != nil {
+	if _, err := runJobs(t, &fakeSidecar{}, "results", "batch_1", "--file", target); err != nil {
 		t.Fatal(err)
 	}
 	if raw, err := os.ReadFile(target); err != nil || string(raw) != "{\"line\":1}\n{\"line\":2}\n" {
@@ -97,9 +97,9 @@
 	}
 }
 
-func TestRefusalsAreErrors(t *testing.T) {
+func TestErrorResponsesAreReturned(t *testing.T) {
 	for _, arguments := range [][]string{{"status", "missing"}, {"cancel", "missing"}, {"results", "missing"}} {
-		if _, err := control(t, &sidecarOf{}, arguments...); err == nil || !strings.Contains(err.Error(), "no such job") {
+		if _, err := runJobs(t, &fakeSidecar{}, arguments...); err == nil || !strings.Contains(err.Error(), "no such job") {
 			t.Errorf("%v gave %v", arguments, err)
 		}
 	}
--- a/cmd/dykewingctl/main.go
+++ b/cmd/dykewingctl/main.go
@@ -1,4 +1,5 @@
-// Command dykewingctl is for operators: the table, jobs and nodes.
+// Command dykewingctl is the operator's tool for the routing table, batch jobs and
+// nodes.
 package main
 
 import (
@@ -17,7 +18,7 @@
 
 const exitFailure = 1
 
-// session is what every subcommand needs.
+// session holds the flags and clients shared by all subcommands.
 type session struct {
 	node    string // internal address of any node
 	sidecar string // callers' address of a sidecar
@@ -65,8 +66,8 @@
 	return writer.Flush()
 }
 
-// action turns a subcommand's function into kingpin's; its error ends the
-// program with a clear line and a non-zero code.
+// action wraps a subcommand as a kingpin action. An error is printed on one line
+// and the program exits with a non-zero code.
 func action(run func() error) kingpin.Action {
 	return func(*kingpin.ParseContext) error {
 		if err := run(); err != nil {
--- a/cmd/dykewingctl/progress.go
+++ b/cmd/dykewingctl/progress.go
@@ -6,7 +6,7 @@
 	"github.com/schollz/progressbar/v3"
 )
 
-// progress is a bar on a terminal, and nothing elsewhere.
+// progress is a progress bar, shown only if the output is a terminal.
 type progress struct{ bar *progressbar.ProgressBar }
 
 func newProgress(output *os.File, unit string, total int) *progress {
--- a/cmd/dykewingctl/quarantine.go
+++ b/cmd/dykewingctl/quarantine.go
@@ -22,10 +22,10 @@
 }
 
 func (s *session) listQuarantine() error {
-	if err := s.needNode(); err != nil {
+	if err := s.requireNode(); err != nil {
 		return err
 	}
-	ctx, cancel := s.call()
+	ctx, cancel := s.newContext()
 	defer cancel()
 	requests := []guard.Request{}
 	if err := transport.Get(ctx, s.client, "list quarantine", s.node, guard.PathRequests, &requests); err != nil {
@@ -39,10 +39,10 @@
 }
 
 func (s *session) release(digest string) error {
-	if err := s.needNode(); err != nil {
+	if err := s.requireNode(); err != nil {
 		return err
 	}
-	ctx, cancel := s.call()
+	ctx, cancel := s.newContext()
 	defer cancel()
 	if err := s.delete(ctx, "release", guard.PathRequests+"/"+digest); err != nil {
 		return err
@@ -51,7 +51,8 @@
 	return err
 }
 
-// delete calls the node and reads no answer but a refusal.
+// delete sends a DELETE request to the node and returns an error for an error
+// status.
 func (s *session) delete(ctx context.Context, step, path string) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+s.node+path, nil)
 	if err != nil {
--- a/cmd/dykewingctl/quarantine_test.go
+++ b/cmd/dykewingctl/quarantine_test.go
@@ -38,7 +38,7 @@
 		t.Errorf("%v, released %q", err, released)
 	}
 	if err := s.release("other"); err == nil || !strings.Contains(err.Error(), "not_found") {
-		t.Errorf("an unknown one: %v", err)
+		t.Errorf("release of an unknown request: %v", err)
 	}
 	s.node = ""
 	if s.listQuarantine() == nil || s.release("ab12") == nil {
--- a/cmd/dykewingctl/table.go
+++ b/cmd/dykewingctl/table.go
@@ -42,25 +42,25 @@
 	status.Action(action(s.showStatus))
 }
 
-func (s *session) needNode() error {
+func (s *session) requireNode() error {
 	if s.node == "" {
 		return errors.New("--node is missing: the internal address of any router")
 	}
 	return nil
 }
 
-// call makes a context that ends with the flag's timeout.
-func (s *session) call() (context.Context, context.CancelFunc) {
+// newContext returns a context with the timeout of the --timeout flag.
+func (s *session) newContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), s.timeout)
 }
 
-// readTable reads the table in force at the node: its revision and the live
+// readTable returns the revision of the table in force at the node and its live
 // rows, sorted.
 func (s *session) readTable() (int64, []api.VersionedRow, error) {
-	if err := s.needNode(); err != nil {
+	if err := s.requireNode(); err != nil {
 		return 0, nil, err
 	}
-	ctx, cancel := s.call()
+	ctx, cancel := s.newContext()
 	defer cancel()
 	var delta api.TableDelta
 	if err := transport.Get(ctx, s.client, "read table", s.node, api.PathTable, &delta); err != nil {
@@ -115,10 +115,10 @@
 }
 
 func (s *session) showHistory(limit int) error {
-	if err := s.needNode(); err != nil {
+	if err := s.requireNode(); err != nil {
 		return err
 	}
-	ctx, cancel := s.call()
+	ctx, cancel := s.newContext()
 	defer cancel()
 	var records []api.EditRecord
 	path := fmt.Sprintf("%s?limit=%d", api.PathHistory, limit)
@@ -143,7 +143,7 @@
 	return describeCells(*record.Before, *record.After)
 }
 
-// describeCells lists the cells that differ, old -> new.
+// describeCells lists the cells that differ as "column old -> new".
 func describeCells(before, after api.Row) string {
 	old, now := table.FormatCells(before), table.FormatCells(after)
 	var changes []string
@@ -159,7 +159,7 @@
 	return strings.Join(changes, ", ")
 }
 
-// operator names who asks, for the history.
+// operator returns the user name to record in the edit history.
 func operator() string {
 	name := "unknown"
 	if current, err := user.Current(); err == nil {
--- a/cmd/dykewingctl/table_import.go
+++ b/cmd/dykewingctl/table_import.go
@@ -17,21 +17,22 @@
 	dryRun bool
 }
 
-// plannedEdit is what an import makes of one line; nothing for equal rows.
+// plannedEdit is the edit for one imported line. Rows that are equal to the
+// table's need none.
 type plannedEdit struct {
 	line  table.Line
 	edit  api.TableEdit
-	text  string // the difference, for people
+	text  string // human-readable difference
 	equal bool
 }
 
-// importOutcome is one line's result, for --output json.
+// importOutcome is the result of one line, for --output json.
 type importOutcome struct {
 	Line   int             `json:"line"`
 	Key    api.RowKey      `json:"key"`
 	Change string          `json:"change"`
 	Equal  bool            `json:"equal,omitempty"`
-	Result *api.EditResult `json:"result,omitempty"` // nil: not sent
+	Result *api.EditResult `json:"result,omitempty"` // nil if not sent
 }
 
 func registerTableImport(command *kingpin.CmdClause, s *session) {
@@ -95,8 +96,8 @@
 	return input, nil
 }
 
-// planImport compares the file with the table. Each edit expects the row as it
-// was read, so that an edit of another operator meanwhile is not overwritten.
+// planImport compares the file with the table. Each edit expects the revision that
+// was read, so that concurrent edits are not overwritten.
 func planImport(lines []table.Line, rows []api.VersionedRow) []plannedEdit {
 	standing := map[api.RowKey]api.VersionedRow{}
 	for _, row := range rows {
--- a/cmd/dykewingctl/table_set.go
+++ b/cmd/dykewingctl/table_set.go
@@ -15,8 +15,9 @@
 	"github.com/dykewing/dykewing/table"
 )
 
-// maximumSends bounds how often an edit whose answer was lost is sent.
-const maximumSends = 4
+// maxSends is the maximum number of attempts for an edit whose outcome is
+// unknown.
+const maxSends = 4
 
 type setFlags struct {
 	service, place string
@@ -90,9 +91,8 @@
 	return nil
 }
 
-// sendEdit sends the edit and, while the outcome is not known, sends it again
-// with the same id: that finds an edit that took effect, and never makes it
-// take effect twice.
+// sendEdit sends the edit and resends it with the same id while its outcome is
+// unknown. The id makes resends idempotent.
 func (s *session) sendEdit(edit api.TableEdit) (api.EditResult, error) {
 	since, _, err := s.readTable()
 	if err != nil {
@@ -100,7 +100,7 @@
 	}
 	var result api.EditResult
 	var failure error
-	for send := range maximumSends {
+	for send := range maxSends {
 		result, failure = s.postEdit(edit)
 		if failure == nil && result.Outcome != api.EditUnknown {
 			return result, nil
@@ -118,7 +118,7 @@
 }
 
 func (s *session) postEdit(edit api.TableEdit) (api.EditResult, error) {
-	ctx, cancel := s.call()
+	ctx, cancel := s.newContext()
 	defer cancel()
 	var result api.EditResult
 	err := transport.Call(ctx, s.client, "edit table", s.node, api.PathEdits, edit, &result)
@@ -146,20 +146,20 @@
 	return s.print(nil, tableHeader, []string{line})
 }
 
-// awaitRevision shows in which zones the revision is in force until it is so
-// everywhere.
+// awaitRevision prints the rollout of the revision by zone until it is in force in
+// all zones or the timeout passes.
 func (s *session) awaitRevision(revision int64, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	last := ""
 	for {
 		nodes, err := s.readNodes()
 		if err == nil {
-			zones := zonesOf(nodes, revision)
+			zones := countByZone(nodes, revision)
 			if text := describeZones(zones); text != last {
 				fmt.Fprintf(os.Stderr, "In force: %s\n", text)
 				last = text
 			}
-			if everywhere(zones) {
+			if inForceEverywhere(zones) {
 				return nil
 			}
 		}
--- a/cmd/dykewingctl/table_status.go
+++ b/cmd/dykewingctl/table_status.go
@@ -12,19 +12,19 @@
 
 const waitInterval = 250 * time.Millisecond
 
-// zoneStatus tells how far a revision has come in one zone.
+// zoneStatus is the rollout status of a revision in one zone.
 type zoneStatus struct {
 	Location api.Location `json:"location"`
 	Nodes    int          `json:"nodes"`
-	InForce  int          `json:"in_force"` // nodes that have the revision
+	InForce  int          `json:"in_force"` // nodes that have at least the revision
 	Oldest   int64        `json:"oldest"`   // oldest revision in force
 }
 
 func (s *session) readNodes() ([]api.Node, error) {
-	if err := s.needNode(); err != nil {
+	if err := s.requireNode(); err != nil {
 		return nil, err
 	}
-	ctx, cancel := s.call()
+	ctx, cancel := s.newContext()
 	defer cancel()
 	var nodes []api.Node
 	err := transport.Get(ctx, s.client, "list nodes", s.node, api.PathNodes, &nodes)
@@ -40,7 +40,7 @@
 	for _, node := range nodes {
 		newest = max(newest, node.TableRevision)
 	}
-	zones := zonesOf(nodes, newest)
+	zones := countByZone(nodes, newest)
 	var lines []string
 	for _, zone := range zones {
 		lines = append(lines, fmt.Sprintf("%s\t%s\t%d\t%d\t%d\t%d", zone.Location.Region, zone.Location.Zone,
@@ -49,8 +49,8 @@
 	return s.print(zones, "REGION\tZONE\tNODES\tAT NEWEST\tNEWEST\tOLDEST", lines)
 }
 
-// zonesOf counts by zone the nodes that have the revision in force, sorted.
-func zonesOf(nodes []api.Node, revision int64) []zoneStatus {
+// countByZone counts the nodes with the revision in force per zone, sorted by zone.
+func countByZone(nodes []api.Node, revision int64) []zoneStatus {
 	byLocation := map[api.Location]*zoneStatus{}
 	for _, node := range nodes {
 		zone, ok := byLocation[node.Location]
@@ -86,6 +86,6 @@
 	return strings.Join(parts, ", ")
 }
 
-func everywhere(zones []zoneStatus) bool {
+func inForceEverywhere(zones []zoneStatus) bool {
 	return len(zones) > 0 && !slices.ContainsFunc(zones, func(zone zoneStatus) bool { return zone.InForce < zone.Nodes })
 }
--- a/cmd/dykewingctl/table_test.go
+++ b/cmd/dykewingctl/table_test.go
@@ -8,7 +8,7 @@
 	"github.com/dykewing/dykewing/table"
 )
 
-func TestImportSkipsEqualRowsAndExpectsTheOthersAsTheyWere(t *testing.T) {
+func TestImportSkipsEqualRowsAndExpectsReadRevisions(t *testing.T) {
 	standing := []api.VersionedRow{
 		{Row: api.Row{Service: "chat", Place: "old", Weight: 95, BatchAllowance: 8}, Revision: 7},
 		{Row: api.Row{Service: "chat", Place: "new", Weight: 5}, Revision: 8},
@@ -33,11 +33,11 @@
 	at := func(zone string, revision int64) api.Node {
 		return api.Node{Location: api.Location{Region: "r", Zone: api.ZoneName(zone)}, TableRevision: revision}
 	}
-	zones := zonesOf([]api.Node{at("b", 5), at("a", 6), at("b", 6)}, 6)
-	if text := describeZones(zones); text != "r/a 1 of 1 nodes, r/b 1 of 2 nodes" || everywhere(zones) {
-		t.Errorf("got %s, everywhere %v", text, everywhere(zones))
+	zones := countByZone([]api.Node{at("b", 5), at("a", 6), at("b", 6)}, 6)
+	if text := describeZones(zones); text != "r/a 1 of 1 nodes, r/b 1 of 2 nodes" || inForceEverywhere(zones) {
+		t.Errorf("got %s, everywhere %v", text, inForceEverywhere(zones))
 	}
-	if zones[1].Oldest != 5 || everywhere(nil) {
+	if zones[1].Oldest != 5 || inForceEverywhere(nil) {
 		t.Errorf("got %+v", zones)
 	}
 }
--- a/cmd/dykewingctl/traffic.go
+++ b/cmd/dykewingctl/traffic.go
@@ -17,14 +17,14 @@
 	"github.com/dykewing/dykewing/internal/transport"
 )
 
-// maximumMetricsBytes of a process's metrics that are read.
-const maximumMetricsBytes = 16 << 20
+// maxMetricsBytes limits the size of a metrics response.
+const maxMetricsBytes = 16 << 20
 
 func registerTraffic(application *kingpin.Application, s *session) {
 	application.Command("traffic", "Bytes of the connections that a node opened, by kind, direction and whether they cross zones.").Action(action(s.showTraffic))
 }
 
-// trafficRow is one series of the counter.
+// trafficRow is one series of the traffic counter.
 type trafficRow struct {
 	Kind      string `json:"kind"`
 	Direction string `json:"direction"`
@@ -38,12 +38,12 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), s.timeout)
 	defer cancel()
-	body, err := s.metricsOf(ctx, s.node)
+	body, err := s.getMetrics(ctx, s.node)
 	if err != nil {
 		return err
 	}
 	defer body.Close()
-	found, err := readTraffic(io.LimitReader(body, maximumMetricsBytes))
+	found, err := readTraffic(io.LimitReader(body, maxMetricsBytes))
 	if err != nil {
 		return fmt.Errorf("read metrics of %s: %w", s.node, err)
 	}
@@ -56,7 +56,8 @@
 
 var labelPattern = regexp.MustCompile(`(\w+)="([^"]*)"`)
 
-// readTraffic finds the counter's series, the largest first.
+// readTraffic parses the series of the traffic counter, sorted by decreasing
+// size.
 func readTraffic(metrics io.Reader) ([]trafficRow, error) {
 	rows := []trafficRow{}
 	lines := bufio.NewScanner(metrics)
--- a/cmd/dykewingctl/traffic_test.go
+++ b/cmd/dykewingctl/traffic_test.go
@@ -14,7 +14,7 @@
 	"github.com/dykewing/dykewing/internal/transport"
 )
 
-func TestTrafficOfANodeIsShown(t *testing.T) {
+func TestTrafficOfNodeIsPrinted(t *testing.T) {
 	registry := prometheus.NewRegistry()
 	traffic := transport.NewTraffic("a", func(string) (string, bool) { return "b", true })
 	registry.MustRegister(traffic)
@@ -33,12 +33,12 @@
 	}
 	for _, want := range []string{"KIND", "jobs  sent       zones", "jobs  received   zones"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("%q is missing of:\n%s", want, out.String())
+			t.Errorf("%q is missing from:\n%s", want, out.String())
 		}
 	}
 }
 
-func TestTrafficThatCannotBeReadIsAnError(t *testing.T) {
+func TestInvalidTrafficMetricsReturnError(t *testing.T) {
 	if _, err := readTraffic(strings.NewReader(transport.TrafficName + `{kind="log"} many` + "\n")); err == nil {
 		t.Error("a value that is no number was passed over")
 	}
--- a/cmd/dykewingsim/engine.go
+++ b/cmd/dykewingsim/engine.go
@@ -21,7 +21,7 @@
 	command.Action(action(func() error { return serveStandIn(*address, engine.New(settings)) }))
 }
 
-// serveStandIn serves a stand-in until the process is ended.
+// serveStandIn serves a stand-in's handler until it fails.
 func serveStandIn(address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/cmd/dykewingsim/keyvalue.go
+++ b/cmd/dykewingsim/keyvalue.go
@@ -39,7 +39,8 @@
 	}))
 }
 
-// serveControl serves a stand-in's control port beside it.
+// serveControl serves a stand-in's control API on a separate port, in the
+// background.
 func serveControl(address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/cmd/dykewingsim/load.go
+++ b/cmd/dykewingsim/load.go
@@ -36,7 +36,8 @@
 	}))
 }
 
-// runLoad fails when an answer was wrong; refusals and failures are reported.
+// runLoad runs the load and prints its report. It returns an error if any answer
+// was wrong or no request was answered.
 func runLoad(options load.Options, output string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -63,7 +64,8 @@
 	return nil
 }
 
-// progressLine rewrites one line of standard error, at most some times a second.
+// progressLine returns a function that rewrites one line of standard error, at a
+// limited rate.
 func progressLine() func(string) {
 	const every = 200 * time.Millisecond
 	var last time.Time
--- a/cmd/dykewingsim/main.go
+++ b/cmd/dykewingsim/main.go
@@ -1,5 +1,5 @@
-// Command dykewingsim has the stand-ins of the platform, the load generator
-// and the experiments.
+// Command dykewingsim runs stand-ins for the platform's services, the load
+// generator and simulated experiments.
 package main
 
 import (
@@ -22,8 +22,8 @@
 	kingpin.MustParse(application.Parse(os.Args[1:]))
 }
 
-// action turns a subcommand's function into kingpin's; its error ends the
-// program with a clear line and a non-zero code.
+// action wraps a subcommand as a kingpin action. An error is printed on one line
+// and the program exits with a non-zero code.
 func action(run func() error) kingpin.Action {
 	return func(*kingpin.ParseContext) error {
 		if err := run(); err != nil {
--- a/cmd/dykewingsim/platform.go
+++ b/cmd/dykewingsim/platform.go
@@ -30,7 +30,7 @@
 	command.Action(action(func() error { return runPlatform(options) }))
 }
 
-// runPlatform serves until it is interrupted.
+// runPlatform serves the stand-ins until interrupted.
 func runPlatform(options platform.Options) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/cmd/dykewingsim/run.go
+++ b/cmd/dykewingsim/run.go
@@ -12,7 +12,7 @@
 	"github.com/dykewing/dykewing/internal/experiment"
 )
 
-// Output formats of run.
+// Output formats of the run subcommand.
 const (
 	outputTable = "table"
 	outputJSON  = "json"
