--- a/internal/load/batch.go
+++ b/internal/load/batch.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-const batchPoll = 200 * time.Millisecond
+const batchPollInterval = 200 * time.Millisecond
 
 type batchLine struct {
 	CustomID string   `json:"custom_id"`
@@ -39,8 +39,8 @@
 	} `json:"response"`
 }
 
-// batchJob uploads a file, submits a job over it, waits for its end and checks
-// that each item has exactly one right answer.
+// batchJob uploads an input file, submits a batch job, waits for it to end and
+// checks that each item has exactly one result with the expected answer.
 func (c *caller) batchJob(ctx context.Context) error {
 	var file, job batchObject
 	form, contentType, err := c.uploadForm()
@@ -61,9 +61,9 @@
 	}
 	for job.Status != "completed" {
 		if job.Status == "failed" || job.Status == "expired" || job.Status == "cancelled" {
-			return fmt.Errorf("%w: job %s ended as %s", errWrong, job.ID, job.Status)
+			return fmt.Errorf("%w: job %s ended as %s", errWrongAnswer, job.ID, job.Status)
 		}
-		if !sleepUntil(ctx, time.Now().Add(batchPoll)) {
+		if !sleepUntil(ctx, time.Now().Add(batchPollInterval)) {
 			return fmt.Errorf("wait for job %s: %w", job.ID, ctx.Err())
 		}
 		if err := c.call(ctx, http.MethodGet, "/batches/"+job.ID, "application/json", nil, &job); err != nil {
@@ -102,7 +102,8 @@
 
 func customID(item int) string { return fmt.Sprintf("item-%d", item) }
 
-// call decodes the answer of one call; answer keeps what it had elsewhere.
+// call sends a request and decodes its JSON response into answer. Fields that the
+// response lacks keep their values.
 func (c *caller) call(ctx context.Context, method, path, contentType string, body []byte, answer any) error {
 	response, err := c.send(ctx, method, path, contentType, body)
 	if err != nil {
@@ -133,7 +134,7 @@
 			return fmt.Errorf("read output: %w", err)
 		}
 		if _, twice := answers[answer.CustomID]; twice {
-			return fmt.Errorf("%w: item %s has two results", errWrong, answer.CustomID)
+			return fmt.Errorf("%w: item %s has two results", errWrongAnswer, answer.CustomID)
 		}
 		answers[answer.CustomID] = ""
 		if choices := answer.Response.Body.Choices; len(choices) > 0 {
@@ -141,7 +142,7 @@
 		}
 	}
 	if len(answers) != c.options.Items {
-		return fmt.Errorf("%w: %d results of %d items", errWrong, len(answers), c.options.Items)
+		return fmt.Errorf("%w: %d results of %d items", errWrongAnswer, len(answers), c.options.Items)
 	}
 	for item := range c.options.Items {
 		if err := checkAnswer(answers[customID(item)], c.messages(item), c.options.Tokens); err != nil {
--- a/internal/load/chat.go
+++ b/internal/load/chat.go
@@ -16,8 +16,8 @@
 	"github.com/dykewing/dykewing/internal/transport"
 )
 
-// chatBody is a request as callers send it; Messages stays raw, since the
-// answer depends on its bytes.
+// chatBody is a chat completion request. Messages is raw because the stand-in
+// engine derives its answer from the exact bytes.
 type chatBody struct {
 	Model     api.ServiceName `json:"model"`
 	Messages  json.RawMessage `json:"messages"`
@@ -35,17 +35,17 @@
 
 const (
 	eventPrefix = "data: "
-	eventEnd    = "[DONE]"
+	doneMarker  = "[DONE]"
 )
 
-// messages gives the prompt of a request, different from every other's.
+// messages returns a prompt that is unique to the request and item.
 func (c *caller) messages(item int) json.RawMessage {
 	text := fmt.Sprintf("request %d item %d seed %d ", c.number, item, c.options.Seed)
 	text += strings.Repeat("x", max(c.options.PromptBytes-len(text), 0))
 	return json.RawMessage(fmt.Sprintf(`[{"role":"user","content":%q}]`, text))
 }
 
-// streamedChat sends one streamed request and checks its answer.
+// streamedChat sends one streaming request and checks its answer.
 func (c *caller) streamedChat(ctx context.Context) error {
 	messages := c.messages(0)
 	body, err := json.Marshal(chatBody{Model: c.options.Model, Messages: messages, MaxTokens: c.options.Tokens, Stream: true})
@@ -68,13 +68,13 @@
 func checkAnswer(answer string, messages json.RawMessage, tokens int) error {
 	want := strings.Join(engine.Tokens(messages, tokens), "")
 	if answer != want {
-		return fmt.Errorf("%w: got %.60q of %d bytes, want %.60q of %d", errWrong, answer, len(answer), want, len(want))
+		return fmt.Errorf("%w: got %.60q of %d bytes, want %.60q of %d", errWrongAnswer, answer, len(answer), want, len(want))
 	}
 	return nil
 }
 
-// readStream gives the text of a whole stream; one without its end mark is an
-// error, never an answer.
+// readStream returns the text of a stream and records its token latencies. A
+// stream without its end marker is an error.
 func (c *caller) readStream(body io.Reader) (string, error) {
 	var answer strings.Builder
 	last := c.intended
@@ -84,12 +84,12 @@
 		if !ok {
 			continue
 		}
-		if event == eventEnd {
+		if event == doneMarker {
 			return answer.String(), nil
 		}
 		var chunk chatChunk
 		if err := json.Unmarshal([]byte(event), &chunk); err != nil {
-			return "", fmt.Errorf("%w: event %.60q: %w", errWrong, event, err)
+			return "", fmt.Errorf("%w: event %.60q: %w", errWrongAnswer, event, err)
 		}
 		if len(chunk.Choices) == 0 || chunk.Choices[0].Delta.Content == "" {
 			continue
@@ -113,7 +113,8 @@
 	*last = now
 }
 
-// send makes one call; an error answer comes back as *api.Error.
+// send sends one HTTP request. A response with an error status is returned as an
+// *api.Error.
 func (c *caller) send(ctx context.Context, method, path, contentType string, body []byte) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.options.URL+path, bytes.NewReader(body))
 	if err != nil {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,7 +1,7 @@
-// Package load is an open-loop load generator: requests start at Poisson
-// arrivals whether earlier ones have ended or not, latencies count from the
-// intended start, and every answer is checked against what the stand-in engine
-// makes of the prompt.
+// Package load is an open-loop load generator. Requests arrive as a Poisson
+// process, independent of the completion of earlier ones. Latencies are measured
+// from the intended start, which avoids coordinated omission, and every answer is
+// compared with the one that the stand-in engine derives from the prompt.
 package load
 
 import (
@@ -18,24 +18,24 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
 	URL         string // base URL of a sidecar, with /v1
 	Class       api.Class
 	Model       api.ServiceName
 	Tenant      api.TenantID
-	Rate        float64 // arrivals a second: online requests, or batch jobs
+	Rate        float64 // arrivals per second, of online requests or batch jobs
 	Duration    time.Duration
-	Tokens      int // of each answer
+	Tokens      int // per answer
 	PromptBytes int
-	Items       int // of a batch job
+	Items       int // per batch job
 	Timeout     time.Duration
-	MaximumOpen int // requests in flight; arrivals beyond it are counted, not sent
+	MaximumOpen int // limit of requests in flight; arrivals above it are dropped and counted
 	Seed        uint64
-	Progress    func(done, wrong int)
+	Progress    func(done, wrong int) // called after each request, one call at a time; must not be nil
 }
 
-// DefaultOptions are a light online load.
+// DefaultOptions returns options for a light online load, without a URL.
 func DefaultOptions() Options {
 	return Options{
 		Class: api.ClassOnline, Model: "demo-model", Tenant: "load", Rate: 20, Duration: 10 * time.Second,
@@ -44,13 +44,13 @@
 	}
 }
 
-// Report is what a run measured. Latencies are in microseconds.
+// Report is the result of a run. Latencies are in microseconds.
 type Report struct {
 	Sent     int            `json:"sent"`
 	Right    int            `json:"right"`
-	Wrong    int            `json:"wrong"`    // answers that are not what was asked for
-	Dropped  int            `json:"dropped"`  // not sent: too many in flight here
-	Failures map[string]int `json:"failures"` // by code and outcome
+	Wrong    int            `json:"wrong"`    // complete answers with unexpected content
+	Dropped  int            `json:"dropped"`  // not sent because the limit of requests in flight was reached
+	Failures map[string]int `json:"failures"` // by error code and outcome, or "transport"
 	Examples []string       `json:"examples,omitempty"`
 
 	FirstToken    Latency `json:"first_token"`
@@ -61,7 +61,7 @@
 	firstToken, betweenTokens, wholes *hdrhistogram.Histogram
 }
 
-// Latency sums up a histogram, in microseconds.
+// Latency summarizes a latency histogram, in microseconds.
 type Latency struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
@@ -72,20 +72,21 @@
 }
 
 const (
-	longestLatency     = int64(time.Hour / time.Microsecond)
+	maxLatency         = int64(time.Hour / time.Microsecond)
 	significantFigures = 3
-	maximumExamples    = 5
+	maxExamples        = 5
 )
 
 func newReport() *Report {
-	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, longestLatency, significantFigures) }
+	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatency, significantFigures) }
 	return &Report{Failures: map[string]int{}, firstToken: histogram(), betweenTokens: histogram(), wholes: histogram()}
 }
 
-// errWrong marks an answer that is not what was asked for.
-var errWrong = errors.New("wrong answer")
+// errWrongAnswer is wrapped by errors for answers with unexpected content.
+var errWrongAnswer = errors.New("wrong answer")
 
-// Run sends until the duration ends and waits for what is in flight.
+// Run generates load for options.Duration or until ctx is done, then waits for the
+// requests in flight. The report is valid also if it returns ctx's error.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	if options.Rate <= 0 {
 		return nil, fmt.Errorf("rate %v is not above 0", options.Rate)
@@ -111,7 +112,7 @@
 		caller := &caller{options: options, client: client, report: report, number: number, intended: begin.Add(due)}
 		running.Go(func() {
 			defer func() { <-open }()
-			report.settle(caller.run(ctx), options)
+			report.recordOutcome(caller.run(ctx), options)
 		})
 	}
 	running.Wait()
@@ -119,7 +120,7 @@
 	return report, ctx.Err()
 }
 
-// sleepUntil waits; false when ctx ended.
+// sleepUntil sleeps until the given time. It returns false if ctx is done first.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
@@ -131,7 +132,7 @@
 	}
 }
 
-// caller makes one arrival's request.
+// caller sends the request of one arrival.
 type caller struct {
 	options  Options
 	client   *http.Client
@@ -161,20 +162,20 @@
 	_ = histogram.RecordValue(max(latency.Microseconds(), 1))
 }
 
-// settle counts a request's end.
-func (r *Report) settle(err error, options Options) {
+// recordOutcome records the outcome of a request.
+func (r *Report) recordOutcome(err error, options Options) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.Sent++
 	switch {
 	case err == nil:
 		r.Right++
-	case errors.Is(err, errWrong):
+	case errors.Is(err, errWrongAnswer):
 		r.Wrong++
 	default:
 		r.Failures[failureName(err)]++
 	}
-	if err != nil && len(r.Examples) < maximumExamples {
+	if err != nil && len(r.Examples) < maxExamples {
 		r.Examples = append(r.Examples, err.Error())
 	}
 	options.Progress(r.Sent, r.Wrong)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -29,15 +29,15 @@
 	return report
 }
 
-func TestRightAnswersAreRight(t *testing.T) {
+func TestCorrectAnswersAreCounted(t *testing.T) {
 	report := runAgainst(t, engine.New(engine.DefaultSettings()))
 	if report.Right != report.Sent || report.FirstToken.Count != int64(report.Sent) || report.BetweenTokens.Count != 3*int64(report.Sent) {
 		t.Fatalf("report %+v", report)
 	}
 }
 
-// altered changes a backend's stream, as a defect on the way would.
-func altered(change func(string) string) http.Handler {
+// alteredEngine returns a handler that modifies the engine's stream.
+func alteredEngine(change func(string) string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		recorder := httptest.NewRecorder()
 		engine.New(engine.DefaultSettings()).ServeHTTP(recorder, r)
@@ -45,11 +45,11 @@
 	})
 }
 
-func TestWrongAndBrokenAnswersAreFound(t *testing.T) {
+func TestWrongAndTruncatedAnswersAreDetected(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(string) string
-		wrong  bool // else it is a failure of the transport
+		wrong  bool // false if counted as a transport failure
 	}{
 		{"a token lost", func(s string) string { return strings.Replace(s, "-2 ", " ", 1) }, true},
 		{"another's answer", func(s string) string { return strings.ReplaceAll(s, `"t`, `"u`) }, true},
@@ -58,7 +58,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			report := runAgainst(t, altered(c.change))
+			report := runAgainst(t, alteredEngine(c.change))
 			if report.Right != 0 || (report.Wrong == report.Sent) != c.wrong {
 				t.Fatalf("right %d, wrong %d of %d: %v", report.Right, report.Wrong, report.Sent, report.Failures)
 			}
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestArrivalsDoNotWaitForAnswers shows the open loop: a server that answers
-// nothing does not hold arrivals back.
+// TestArrivalsDoNotWaitForAnswers checks that a server that does not respond does
+// not delay arrivals.
 func TestArrivalsDoNotWaitForAnswers(t *testing.T) {
 	release := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Print writes the report as a table.
+// Print writes the report as a text table.
 func (r *Report) Print(output io.Writer) {
 	table := tabwriter.NewWriter(output, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "SENT\tRIGHT\tWRONG\tNOT SENT")
@@ -20,7 +20,7 @@
 		latency Latency
 	}{{"first token", r.FirstToken}, {"between tokens", r.BetweenTokens}, {"whole", r.Whole}} {
 		l := row.latency
-		fmt.Fprintf(table, "%s\t%d\t%v\t%v\t%v\t%v\t%v\n", row.name, l.Count, micro(l.P50), micro(l.P95), micro(l.P99), micro(l.P999), micro(l.Most))
+		fmt.Fprintf(table, "%s\t%d\t%v\t%v\t%v\t%v\t%v\n", row.name, l.Count, microseconds(l.P50), microseconds(l.P95), microseconds(l.P99), microseconds(l.P999), microseconds(l.Most))
 	}
 	if len(r.Failures) > 0 {
 		fmt.Fprintln(table, "\nFAILURE\tCOUNT")
@@ -34,4 +34,4 @@
 	}
 }
 
-func micro(value int64) time.Duration { return time.Duration(value) * time.Microsecond }
+func microseconds(value int64) time.Duration { return time.Duration(value) * time.Microsecond }
--- a/internal/verify/verify.go
+++ b/internal/verify/verify.go
@@ -1,6 +1,5 @@
-// Package verify checks answers as a caller gets them, against what the
-// stand-in engines are known to answer. The exercise, the load generator and
-// the proofs on real processes share it.
+// Package verify checks answers received by a caller against the deterministic
+// answers of the stand-in engines.
 package verify
 
 import (
@@ -15,8 +14,9 @@
 	"github.com/dykewing/dykewing/internal/standin/engine"
 )
 
-// Stream asks for a streamed chat of so many tokens and checks that the whole
-// answer is right.
+// Stream requests a streamed chat completion with the given number of tokens and
+// checks its text. A complete answer with incorrect text is reported by a distinct
+// error type, any other failure by a plain error.
 func Stream(ctx context.Context, client openai.Client, model api.ServiceName, prompt string, tokens int) error {
 	messages := []openai.ChatCompletionMessageParamUnion{openai.UserMessage(prompt)}
 	stream := client.Chat.Completions.NewStreaming(ctx, openai.ChatCompletionNewParams{
@@ -35,11 +35,10 @@
 	return checkText(messages, text.String(), tokens)
 }
 
-// WrongAnswer says that an answer given as whole was not the right one.
+// WrongAnswer is the error for a complete answer with incorrect text.
 type WrongAnswer struct{ Got, Want string }
 
-// Error shows both answers.
-func (w *WrongAnswer) Error() string { return fmt.Sprintf("answer %q is not %q", w.Got, w.Want) }
+func (w *WrongAnswer) Error() string { return fmt.Sprintf("got answer %q, want %q", w.Got, w.Want) }
 
 func checkText(messages any, text string, tokens int) error {
 	raw, err := json.Marshal(messages)
@@ -52,7 +51,7 @@
 	return nil
 }
 
-// BatchInput makes an input file and the answer that each item must have.
+// BatchInput returns a batch input file and the expected answers by custom id.
 func BatchInput(model api.ServiceName, name string, items, tokens int) ([]byte, map[string]string) {
 	var input strings.Builder
 	want := map[string]string{}
@@ -66,7 +65,7 @@
 	return []byte(input.String()), want
 }
 
-// outputLine is a line of an output file as OpenAI clients read it.
+// outputLine is a line of a batch output file.
 type outputLine struct {
 	CustomID string `json:"custom_id"`
 	Response struct {
@@ -74,8 +73,8 @@
 	} `json:"response"`
 }
 
-// Results reads a batch's output file, checks that each line is right and that
-// no item has two, and counts them.
+// Results downloads a batch's output file and checks that each line has the
+// expected answer and that no item occurs twice. It returns the number of items.
 func Results(ctx context.Context, client openai.Client, batch string, want map[string]string) (int, error) {
 	object, err := client.Batches.Get(ctx, batch)
 	if err != nil {
