--- a/internal/slopes/claims_test.go
+++ b/internal/slopes/claims_test.go
@@ -11,7 +11,7 @@
 	"github.com/dykewing/dykewing/sim"
 )
 
-// claimOf is what a router with idle room for all models asks one leader for.
+// claimOf returns the claim of a router with spare capacity for all models.
 func claimOf(size Size, router int) jobs.ClaimItems {
 	claim := jobs.ClaimItems{Router: api.NodeID(fmt.Sprintf("router-%04d", router)), WaitMs: 2_000}
 	for model := range size.Models {
@@ -20,9 +20,8 @@
 	return claim
 }
 
-// BenchmarkJobsParkedClaims is one step of a leader at which routers wait for
-// work that is not there: a tick looks at every waiting claim, one more claim
-// only at itself.
+// BenchmarkJobsParkedClaims measures one step of a leader with waiting claims and
+// no work. A tick visits every waiting claim; a new claim visits only itself.
 func BenchmarkJobsParkedClaims(b *testing.B) {
 	for _, routers := range []int{30, 90, 180, 400} {
 		state, err := jobs.OpenState(jobs.NewMemoryStorage())
@@ -51,7 +50,8 @@
 	}
 }
 
-// BenchmarkQuotaReport is the size of what a router tells one owner.
+// BenchmarkQuotaReport measures the encoding and size of a router's report to one
+// owner.
 func BenchmarkQuotaReport(b *testing.B) {
 	size := DesignSize()
 	for _, rows := range []int{0, 2, 8, 24} {
--- a/internal/slopes/datapath_test.go
+++ b/internal/slopes/datapath_test.go
@@ -15,10 +15,10 @@
 	"github.com/dykewing/dykewing/internal/transport"
 )
 
-// sampleEvent is one token as the stand-in engine sends it.
+// sampleEvent is a stream event of the stand-in engine with one token.
 const sampleEvent = `data: {"choices":[{"delta":{"content":"t1234abcd-12 ","role":"assistant"},"finish_reason":null,"index":0}],"created":1790000000,"id":"chatcmpl-00000000-0000-0000-0000-000000000000","model":"model-00","object":"chat.completion.chunk"}` + "\n\n"
 
-// processorTime is what this process has used, user and system.
+// processorTime returns the user and system CPU time of this process.
 func processorTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage syscall.Rusage
@@ -28,7 +28,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// eventServer streams events events, one each interval.
+// eventServer streams the given number of events, one per interval.
 func eventServer(events int, interval time.Duration) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		controller := http.NewResponseController(w)
@@ -42,7 +42,7 @@
 	}
 }
 
-// relayServer passes streams on as routers and sidecars do.
+// relayServer forwards streams with engine.CopyStream, as routers and sidecars do.
 func relayServer(client *http.Client, upstream string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		request, _ := http.NewRequestWithContext(r.Context(), http.MethodPost, upstream, r.Body)
@@ -56,8 +56,8 @@
 	}
 }
 
-// BenchmarkRelayStream runs paced streams through 0, 1 and 2 relays; the
-// difference between two lines is the processor time of one relay an event.
+// BenchmarkRelayStream runs paced streams through 0, 1 and 2 relays. The difference
+// between successive results is the CPU time per event of one relay.
 func BenchmarkRelayStream(b *testing.B) {
 	const streams, events, interval = 200, 100, 5 * time.Millisecond
 	for _, relays := range []int{0, 1, 2} {
@@ -98,7 +98,8 @@
 	}
 }
 
-// BenchmarkControlExchange is one call and its answer, both sides together.
+// BenchmarkControlExchange measures the CPU time of one call and its response, for
+// client and server together.
 func BenchmarkControlExchange(b *testing.B) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var body string
@@ -124,13 +125,13 @@
 	b.ReportMetric(float64(wire.ResponseHeader), "response-header-bytes")
 }
 
-func TestMeasuredHeadersAreThoseOfHTTP(t *testing.T) {
+func TestMeasuredHeaderSizesArePlausible(t *testing.T) {
 	wire, err := MeasureWire(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	// "POST /internal/v1/gossip HTTP/1.1" and "HTTP/1.1 200 OK" alone take this.
+	// Lower bounds: "POST /internal/v1/gossip HTTP/1.1" and "HTTP/1.1 200 OK".
 	if wire.RequestHeader < 36 || wire.ResponseHeader < 17 || wire.Header() > 2000 {
-		t.Fatalf("headers of %+v bytes can't be", wire)
+		t.Fatalf("implausible header sizes %+v", wire)
 	}
 }
--- a/internal/slopes/doc.go
+++ b/internal/slopes/doc.go
@@ -1,3 +1,4 @@
-// Package slopes holds benchmarks of pure machines, and of single exchanges, at several
-// sizes: docs/CAPACITY.md takes from them what one more node, worker, row or item costs.
+// Package slopes contains benchmarks of state machines and message exchanges at
+// several fleet sizes. docs/CAPACITY.md derives the marginal cost of a node,
+// worker, row or item from them.
 package slopes
--- a/internal/slopes/machines_test.go
+++ b/internal/slopes/machines_test.go
@@ -17,7 +17,7 @@
 	"github.com/dykewing/dykewing/table"
 )
 
-// benchmarkNodes are the numbers of nodes that slopes are taken over.
+// benchmarkNodes lists the fleet sizes, in nodes.
 var benchmarkNodes = []int{50, 150, 300, 670}
 
 func benchmarkRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
@@ -31,14 +31,14 @@
 	return float64(len(raw))
 }
 
-// summaryOf is the report of a router that is home of the workers.
+// summaryOf returns the summary of a router that is home of the workers.
 func summaryOf(workers []api.Worker) api.Summary {
 	machine := admission.NewMachine(admission.Settings{})
 	machine.Step(sim.Epoch, admission.Workers{Workers: workers})
 	return api.Summary{Sequence: 1, Services: machine.Summaries()}
 }
 
-// reportingNodes are the fleet's nodes with the summaries of their role.
+// reportingNodes returns the fleet's nodes with their summaries.
 func reportingNodes(size Size) []api.Node {
 	nodes := size.NodeList()
 	homed := map[api.NodeID][]api.Worker{}
@@ -67,8 +67,8 @@
 	}
 }
 
-// BenchmarkPlacementMine is what one router does when routers changed (rehome)
-// and when only loads did (same).
+// BenchmarkPlacementMine measures one router's work after a change of the routers
+// (rehome) and after a change of loads only (same).
 func BenchmarkPlacementMine(b *testing.B) {
 	for _, count := range benchmarkNodes {
 		size := DesignSize().WithNodes(count)
@@ -148,7 +148,7 @@
 		endpoints := make([]routing.Endpoint, count)
 		key := api.RowKey{Service: "model-00", Place: "place-00"}
 		for i := range endpoints {
-			endpoints[i] = routing.Endpoint{Name: fmt.Sprint(i), Key: key, Slots: slotsOfWorker, Online: i % slotsOfWorker}
+			endpoints[i] = routing.Endpoint{Name: fmt.Sprint(i), Key: key, Slots: slotsPerWorker, Online: i % slotsPerWorker}
 		}
 		profile := benchmarkProfile()
 		b.Run(fmt.Sprintf("endpoints=%d", count), func(b *testing.B) {
@@ -159,7 +159,7 @@
 	}
 }
 
-// benchmarkGroup is an applied state in memory with its log's index.
+// benchmarkGroup is an in-memory state with the index of its last applied command.
 type benchmarkGroup struct {
 	*jobs.State
 	index uint64
@@ -173,7 +173,6 @@
 	return &benchmarkGroup{State: state}
 }
 
-// apply applies the next command.
 func (g *benchmarkGroup) apply(b *testing.B, command jobs.Command) {
 	b.Helper()
 	g.index++
@@ -183,7 +182,7 @@
 	}
 }
 
-// benchmarkState holds one job of the given number of items.
+// benchmarkState returns a state with one job of the given number of items.
 func benchmarkState(b *testing.B, items int) *benchmarkGroup {
 	b.Helper()
 	state := newBenchmarkGroup(b)
@@ -213,7 +212,7 @@
 	return dispatcher
 }
 
-// claimOnce claims without waiting.
+// claimOnce claims items without waiting for work.
 func claimOnce(dispatcher *jobs.Dispatcher, wants []jobs.ClaimWant) jobs.Grant {
 	for _, action := range dispatcher.Step(sim.Epoch, jobs.ClaimArrived{Claim: jobs.ClaimItems{Router: "router", Wants: wants}}) {
 		if granted, ok := action.(jobs.Granted); ok {
@@ -281,8 +280,8 @@
 	}
 }
 
-// benchmarkHeartbeat measures one exchange of a node that knows all others:
-// sent, encoded, decoded, merged and answered.
+// benchmarkHeartbeat measures one exchange between nodes that know all others: its
+// creation, encoding, decoding and merging.
 func benchmarkHeartbeat(b *testing.B, nodes []api.Node) {
 	newMachine := func(self api.Node) *membership.Machine {
 		return membership.NewMachine(membership.Settings{
--- a/internal/slopes/memory_test.go
+++ b/internal/slopes/memory_test.go
@@ -14,7 +14,7 @@
 	"github.com/dykewing/dykewing/sim"
 )
 
-// heapOf is how much heap the value that build gives keeps.
+// heapOf returns the number of heap bytes retained by the value that build returns.
 func heapOf[T any](build func() T) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -38,7 +38,7 @@
 	}
 }
 
-// finishedState holds a job whose items all have a short result.
+// finishedState returns a state with a job whose items all have a short result.
 func finishedState(b *testing.B, items int) *benchmarkGroup {
 	state := benchmarkState(b, items)
 	results := make([]jobs.ItemResult, items)
@@ -71,7 +71,7 @@
 	}
 }
 
-// restoredMachine decodes the view as a node does that hears it.
+// restoredMachine returns a machine that has merged the encoded exchange raw.
 func restoredMachine(b *testing.B, self api.Node, raw []byte) *membership.Machine {
 	var exchange membership.Exchange
 	if err := json.Unmarshal(raw, &exchange); err != nil {
--- a/internal/slopes/size_test.go
+++ b/internal/slopes/size_test.go
@@ -7,7 +7,7 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Size is how large a fleet is.
+// Size describes the size of a fleet.
 type Size struct {
 	Routers  int `json:"routers"`
 	Stores   int `json:"stores"`
@@ -16,12 +16,12 @@
 	Models   int `json:"models"` // services
 	Tenants  int `json:"tenants"`
 	Regions  int `json:"regions"`
-	Zones    int `json:"zones"` // also the places of the table
+	Zones    int `json:"zones"` // also the number of places in the table
 }
 
-// DesignSize is the size that decides the design. Of its 670 nodes, the split
-// between the roles is an assumption: 27 routers, 3 stores and about 15
-// sidecars a zone.
+// DesignSize returns the fleet size that the system is designed for: 670 nodes, with
+// about 27 routers, 3 stores and 15 sidecars per zone. The split between the roles
+// is an assumption.
 func DesignSize() Size {
 	return Size{
 		Routers: 400, Stores: 45, Sidecars: 225, Workers: 10_000,
@@ -29,14 +29,14 @@
 	}
 }
 
-// Nodes is how many processes there are.
+// Nodes returns the number of processes.
 func (s Size) Nodes() int { return s.Routers + s.Stores + s.Sidecars }
 
-// Rows is how many rows the table has: each model in each place.
+// Rows returns the number of table rows, one per model and place.
 func (s Size) Rows() int { return s.Models * s.Zones }
 
-// WithNodes keeps the proportions of roles and workers at another number of
-// nodes; models, tenants, regions and zones stay.
+// WithNodes scales the roles and workers proportionally to the given number of
+// nodes. Models, tenants, regions and zones are unchanged.
 func (s Size) WithNodes(nodes int) Size {
 	total := s.Nodes()
 	scaled := s
@@ -47,10 +47,11 @@
 	return scaled
 }
 
-// Place gives the name of a zone's place.
+// Place returns the name of a zone's place.
 func (s Size) Place(zone int) api.PlaceName { return api.PlaceName(fmt.Sprintf("place-%02d", zone)) }
 
-// Location gives the location of a zone; zones are dealt out to the regions.
+// Location returns the location of a zone. Zones are assigned to regions
+// round-robin.
 func (s Size) Location(zone int) api.Location {
 	return api.Location{
 		Region: api.RegionName(fmt.Sprintf("region-%d", zone%max(s.Regions, 1))),
@@ -58,12 +59,12 @@
 	}
 }
 
-// Service gives the name of a model.
+// Service returns the service name of a model.
 func (s Size) Service(model int) api.ServiceName {
 	return api.ServiceName(fmt.Sprintf("model-%02d", model))
 }
 
-// TableRows gives the rows of the table, oldest revision first.
+// TableRows returns the rows of the table in order of revision.
 func (s Size) TableRows() []api.VersionedRow {
 	rows := make([]api.VersionedRow, 0, s.Rows())
 	for model := range s.Models {
@@ -81,9 +82,10 @@
 	return rows
 }
 
-const slotsOfWorker = 32
+const slotsPerWorker = 32
 
-// WorkerList gives the workers, dealt out to zones and, within each, to models.
+// WorkerList returns the workers, assigned round-robin to zones and, within each
+// zone, to models.
 func (s Size) WorkerList() []api.Worker {
 	workers := make([]api.Worker, s.Workers)
 	for i := range workers {
@@ -92,13 +94,14 @@
 			ID:      api.WorkerID(fmt.Sprintf("worker-%05d", i)),
 			Address: fmt.Sprintf("10.%d.%d.%d:8000", 100+zone, i/250%250, i%250+1),
 			Service: s.Service(i / s.Zones % s.Models), Place: s.Place(zone),
-			Location: s.Location(zone), Slots: slotsOfWorker,
+			Location: s.Location(zone), Slots: slotsPerWorker,
 		}
 	}
 	return workers
 }
 
-// NodeList gives the processes without summaries, dealt out to zones.
+// NodeList returns the processes without summaries. Each role is assigned
+// round-robin to zones.
 func (s Size) NodeList() []api.Node {
 	var nodes []api.Node
 	add := func(role api.Role, count int) {
@@ -117,7 +120,7 @@
 	return nodes
 }
 
-func TestSizeKeepsProportions(t *testing.T) {
+func TestWithNodesKeepsProportions(t *testing.T) {
 	for _, nodes := range []int{5, 50, 150, 300, 670} {
 		size := DesignSize().WithNodes(nodes)
 		if size.Nodes() != nodes || len(size.NodeList()) != nodes || len(size.WorkerList()) != size.Workers {
--- a/internal/slopes/wire_test.go
+++ b/internal/slopes/wire_test.go
@@ -13,35 +13,32 @@
 	"github.com/dykewing/dykewing/internal/transport"
 )
 
-// Wire is what the internal protocol adds to the JSON bodies of one exchange
-// over a connection that stays open, measured on loopback. TCP and IP headers
-// and acknowledgements come on top (PacketBytes).
+// Wire holds the HTTP overhead of one exchange over a persistent connection, in
+// addition to its JSON bodies. It excludes TCP and IP headers (see PacketBytes).
 type Wire struct {
 	RequestHeader  int `json:"request_header_bytes"`
 	ResponseHeader int `json:"response_header_bytes"`
 }
 
-// Header is both ways together.
+// Header returns the overhead of both directions.
 func (w Wire) Header() int { return w.RequestHeader + w.ResponseHeader }
 
-// PacketBytes is the allowance for TCP and IPv4 headers with timestamps of one
-// exchange that fits one segment each way: two segments, two acknowledgements.
+// PacketBytes is the size of the TCP and IPv4 headers, with timestamps, of an
+// exchange of one segment each way: two segments and two acknowledgements.
 const PacketBytes = 4 * 52
 
-// countingConnection counts what passes.
+// countingConnection counts the bytes sent and received.
 type countingConnection struct {
 	net.Conn
 	sent, received *atomic.Int64
 }
 
-// Read counts the bytes read.
 func (c countingConnection) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.received.Add(int64(n))
 	return n, err
 }
 
-// Write counts the bytes written.
 func (c countingConnection) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.sent.Add(int64(n))
@@ -50,8 +47,8 @@
 
 const sampleBody = 300
 
-// MeasureWire makes exchanges with transport.Call over one real connection and
-// counts its bytes.
+// MeasureWire measures the average overhead of transport.Call over one loopback
+// connection.
 func MeasureWire(ctx context.Context) (Wire, error) {
 	body := strings.Repeat("x", sampleBody)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
