--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -139,7 +139,7 @@
 func TestPlantedFaultsBreakInvariants(t *testing.T) {
 	healthy := parseShort(t)
 	healthy.Events = nil
-	healthy.Services[0].Slots = 64 // above the engine's MaximumSequences
+	healthy.Services[0].Slots = 64 // above the engine's concurrency limit
 	healthy.Services[0].Places[0].BatchAllowance = 100
 	healthy.Engine.MaximumSequences = 8
 	ignored := healthy
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -63,7 +63,7 @@
 	// engine time of the online requests in a full batch, multiplied by the
 	// throughput of a worker that runs only batch.
 	IdleItems float64 `json:"idle_items_per_second"`
-	IdleShare float64 `json:"idle_share"` // ItemsPerSecond / IdleItems
+	IdleShare float64 `json:"idle_share"` // ItemsPerSecond as a share of that bound
 	// UnusedShare is ItemsPerSecond divided by the throughput of the time in
 	// which the engines ran no step under StrategyNoBatch. It can exceed 1.
 	UnusedShare float64 `json:"unused_share"`
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -108,7 +108,7 @@
 
 // The kinds of an Event.
 const (
-	EventWorkerDies    = "worker_dies"    // leaves the machine list after Fleet.ListLag
+	EventWorkerDies    = "worker_dies"    // leaves the machine list after its lag
 	EventWorkerReturns = "worker_returns" // with an empty cache
 	EventWorkerLeaves  = "worker_leaves"  // drains its requests
 	EventEdit          = "edit"           // changes the row's weight and batch allowance
--- a/internal/integration/doc.go
+++ b/internal/integration/doc.go
@@ -1,4 +1,4 @@
-// Package integration tests the daemons as processes: it starts them from the
-// built binary before stand-ins, kills and stops each role under load, and
-// counts what was lost and doubled at the back ends.
+// Package integration tests the daemons as processes against stand-ins of the
+// platform. It kills and stops each role under load and counts lost and duplicate
+// requests at the back ends.
 package integration
--- a/internal/integration/failure_test.go
+++ b/internal/integration/failure_test.go
@@ -16,25 +16,25 @@
 	loadAfter  = 700 * time.Millisecond
 )
 
-// tally is what a phase did to the callers' requests.
-type tally struct {
+// outcomeCounts counts the outcomes of the requests of one phase.
+type outcomeCounts struct {
 	calls    int
-	lost     int // without a right answer, and none was said to be unknown
-	unknown  int // may not be repeated, and the caller was told unknown
-	doubled  int // may not be repeated, and began more than once
-	untrue   int // not run was said last, but it began
-	repeated int // repeatable, and began more than once
-	resumed  int // streams gone on with
-	cut      int // connections to sidecars that broke
+	lost     int // no correct answer, and not reported as unknown
+	unknown  int // non-repeatable, reported as unknown
+	doubled  int // non-repeatable, started more than once
+	untrue   int // reported as not run, but started
+	repeated int // repeatable, started more than once
+	resumed  int // resumed streams
+	cut      int // broken connections to sidecars
 	note     string
 }
 
-func count(calls []*call, cut int, executions map[string]engine.Executions) tally {
-	t := tally{calls: len(calls), cut: cut}
+func countOutcomes(calls []*call, cut int, executions map[string]engine.Executions) outcomeCounts {
+	t := outcomeCounts{calls: len(calls), cut: cut}
 	for _, c := range calls {
 		ran := executions[c.marker]
 		t.resumed += ran.Resumed
-		repeatable := c.kind == kindStream || c.kind == kindWhole
+		repeatable := c.kind == kindStream || c.kind == kindUnary
 		switch {
 		case c.last.right:
 		case !repeatable && c.last.outcome == api.OutcomeUnknown:
@@ -49,7 +49,7 @@
 		}
 		if ran.Started > 1 && !repeatable {
 			t.doubled++
-			t.note = fmt.Sprintf("%s began %d times", c.marker, ran.Started)
+			t.note = fmt.Sprintf("%s started %d times", c.marker, ran.Started)
 		}
 		if !repeatable && c.last.outcome == api.OutcomeNotRun && ran.Started > 0 {
 			t.untrue++
@@ -58,21 +58,22 @@
 	return t
 }
 
-// TestCountsSeeDoubledAndLost shows that the counts can find what they are for.
-func TestCountsSeeDoubledAndLost(t *testing.T) {
+// TestCountOutcomesDetectsDuplicateAndLostRequests checks that duplicate, lost
+// and falsely reported requests are counted.
+func TestCountOutcomesDetectsDuplicateAndLostRequests(t *testing.T) {
 	calls := []*call{
 		{kind: kindKeyed, marker: "doubled", last: result{right: true}},
-		{kind: kindWhole, marker: "lost", last: result{detail: "half"}},
-		{kind: kindPlain, marker: "untrue", last: result{outcome: api.OutcomeNotRun}},
+		{kind: kindUnary, marker: "lost", last: result{detail: "half"}},
+		{kind: kindUnkeyed, marker: "untrue", last: result{outcome: api.OutcomeNotRun}},
 	}
-	got := count(calls, 0, map[string]engine.Executions{"doubled": {Started: 2}, "untrue": {Started: 1}})
+	got := countOutcomes(calls, 0, map[string]engine.Executions{"doubled": {Started: 2}, "untrue": {Started: 1}})
 	if got.doubled != 1 || got.lost != 2 || got.untrue != 1 {
 		t.Fatalf("counts %+v", got)
 	}
 }
 
-// TestKillAndStopEachRole ends one process of each role under load, once as
-// planned and once by force.
+// TestKillAndStopEachRole ends one process of each role under load, with SIGTERM
+// and with SIGKILL.
 func TestKillAndStopEachRole(t *testing.T) {
 	f := startFleet(t)
 	var sidecars []string
@@ -89,22 +90,22 @@
 				t.Errorf("%s: %d lost, %d doubled, %d untrue: %s", name, got.lost, got.doubled, got.untrue, got.note)
 			}
 			if planned && (got.cut != 0 || got.unknown != 0) {
-				t.Errorf("%s: a planned stop cut %d connections and left %d requests unknown: %s", name, got.cut, got.unknown, got.note)
+				t.Errorf("%s: a graceful stop broke %d connections and left %d requests unknown: %s", name, got.cut, got.unknown, got.note)
 			}
 		}
 	}
 }
 
-// phase ends the process under load and starts it again.
-func (f *fleet) phase(name, target string, signal syscall.Signal, sidecars []string) tally {
+// phase signals the target process under load, restarts it and returns the counts.
+func (f *fleet) phase(name, target string, signal syscall.Signal, sidecars []string) outcomeCounts {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(f.t.Context(), readyTimeout)
 	defer cancel()
 	stop := make(chan struct{})
-	done := make(chan tally)
+	done := make(chan outcomeCounts)
 	go func() {
 		calls, cut := runLoad(ctx, name, sidecars, stop)
-		done <- count(calls, cut, f.executions())
+		done <- countOutcomes(calls, cut, f.executions())
 	}()
 	time.Sleep(loadBefore)
 	f.signal(target, signal)
--- a/internal/integration/load_test.go
+++ b/internal/integration/load_test.go
@@ -15,14 +15,13 @@
 	"github.com/dykewing/dykewing/internal/standin/engine"
 )
 
-// kind is what a call is.
 type kind int
 
 const (
-	kindStream kind = iota // repeatable, streamed
-	kindWhole              // repeatable, one answer
-	kindPlain              // may not be repeated, no key
-	kindKeyed              // may not be repeated, with a key
+	kindStream  kind = iota // repeatable, streamed
+	kindUnary               // repeatable, not streamed
+	kindUnkeyed             // non-repeatable, without an idempotency key
+	kindKeyed               // non-repeatable, with an idempotency key
 	kindCount
 )
 
@@ -33,15 +32,15 @@
 	callers      = 12
 )
 
-// result is what a caller knows after a call.
+// result is the outcome of one attempt as seen by the caller.
 type result struct {
 	right   bool
-	outcome api.Outcome // of a refusal; unknown where the connection broke
-	unsent  bool        // no connection was made
+	outcome api.Outcome // from the error response; unknown if the connection broke
+	refused bool        // connection refused
 	detail  string
 }
 
-// call is one request with a marker that is its X-Request-Id.
+// call is a request, identified by a marker that it sends as X-Request-Id.
 type call struct {
 	kind   kind
 	marker string
@@ -54,16 +53,16 @@
 
 func (c *call) request(ctx context.Context, sidecar string) *http.Request {
 	path, body := "/v1/services/calendar/book", fmt.Sprintf(`{"slot":%q}`, c.marker)
-	if c.kind == kindStream || c.kind == kindWhole {
+	if c.kind == kindStream || c.kind == kindUnary {
 		path = "/v1/chat/completions"
 		body = fmt.Sprintf(`{"model":"model","stream":%t,"max_tokens":%d,"messages":%s}`, c.kind == kindStream, answerTokens, c.messages())
 	}
 	request, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+sidecar+path, bytes.NewReader([]byte(body)))
-	request.GetBody = nil // the test counts each sending itself
+	request.GetBody = nil // prevents retries by net/http, since the test counts attempts
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set(api.HeaderRequestID, c.marker)
 	if c.kind == kindKeyed {
-		// Not Idempotency-Key by Header.Set alone: net/http would resend.
+		// net/http retries requests that have an Idempotency-Key header and a GetBody.
 		request.Header.Set(api.HeaderIdempotencyKey, c.marker)
 	}
 	return request
@@ -73,7 +72,7 @@
 func (c *call) send(ctx context.Context, sidecar string) result {
 	response, err := httpClient.Do(c.request(ctx, sidecar))
 	if err != nil {
-		return result{outcome: api.OutcomeUnknown, unsent: strings.Contains(err.Error(), "connection refused"), detail: err.Error()}
+		return result{outcome: api.OutcomeUnknown, refused: strings.Contains(err.Error(), "connection refused"), detail: err.Error()}
 	}
 	defer response.Body.Close()
 	raw, err := io.ReadAll(response.Body)
@@ -92,13 +91,13 @@
 }
 
 func (c *call) want() string {
-	if c.kind == kindPlain || c.kind == kindKeyed {
+	if c.kind == kindUnkeyed || c.kind == kindKeyed {
 		return fmt.Sprintf(`{"slot":%q}`, c.marker)
 	}
 	return strings.Join(engine.Tokens([]byte(c.messages()), answerTokens), "")
 }
 
-// text takes the answer's text out of any of the formats.
+// text extracts the answer's text according to the call's kind.
 func (c *call) text(raw []byte) string {
 	type choice struct {
 		Delta   struct{ Content string }
@@ -123,23 +122,22 @@
 		body.Choices = nil
 	}
 	if !strings.HasSuffix(string(raw), "data: [DONE]\n\n") {
-		return "no last event: " + text.String()
+		return "missing [DONE] event: " + text.String()
 	}
 	return text.String()
 }
 
-// run sends until the call is settled: again after not run, and, where a resend
-// is safe, after the connection to a sidecar broke. cut tells how many times
-// that was.
+// run sends the call until its outcome is final. It retries after not_run and, if a
+// resend is safe, after a broken connection to a sidecar; cut counts the latter.
 func (c *call) run(ctx context.Context, sidecars []string) (cut int) {
 	for turn := 0; ctx.Err() == nil; turn++ {
 		c.last = c.send(ctx, sidecars[turn%len(sidecars)])
 		switch {
 		case c.last.right:
 			return cut
-		case c.last.unsent || c.last.outcome == api.OutcomeNotRun:
+		case c.last.refused || c.last.outcome == api.OutcomeNotRun:
 		case c.kind == kindKeyed && strings.Contains(c.last.detail, string(api.CodeAlreadySubmitted)):
-		case c.kind != kindPlain && c.last.outcome == api.OutcomeUnknown && !strings.Contains(c.last.detail, "dykewing_outcome"):
+		case c.kind != kindUnkeyed && c.last.outcome == api.OutcomeUnknown && !strings.Contains(c.last.detail, "dykewing_outcome"):
 			cut++
 		default:
 			return cut
@@ -149,7 +147,8 @@
 	return cut
 }
 
-// runLoad has callers send calls of all kinds until stop is closed.
+// runLoad runs concurrent callers that send calls of all kinds until stop is
+// closed.
 func runLoad(ctx context.Context, name string, sidecars []string, stop <-chan struct{}) (calls []*call, cut int) {
 	var mutex sync.Mutex
 	var running sync.WaitGroup
--- a/internal/integration/processes_test.go
+++ b/internal/integration/processes_test.go
@@ -33,15 +33,16 @@
 	appWorkers   = 3
 )
 
-// process is one daemon and its settings file.
+// process is a daemon process and its settings file.
 type process struct {
 	name, role, address, callers, file string
 	command                            *exec.Cmd
 	exited                             chan error
-	probed                             string // what the last probe found wrong
+	probeFailure                       string // failure of the last probe
 }
 
-// fleet is a set of daemons before stand-ins that live in the test.
+// fleet is a set of daemon processes with stand-ins of the platform in the test
+// process.
 type fleet struct {
 	t         *testing.T
 	binary    string
@@ -129,7 +130,7 @@
 func (f *fleet) write(p *process) {
 	var peers []string
 	for _, name := range f.names {
-		if name != p.name && f.processes[name].role != "sidecar" { // sidecars only observe
+		if name != p.name && f.processes[name].role != "sidecar" { // sidecars are observers, not peers
 			peers = append(peers, fmt.Sprintf("%q", f.processes[name].address))
 		}
 	}
@@ -166,7 +167,7 @@
 	}(p.command, p.exited)
 }
 
-// signal ends the process and waits until it is gone.
+// signal sends the signal and waits for the process to exit.
 func (f *fleet) signal(name string, signal syscall.Signal) {
 	f.t.Helper()
 	p := f.processes[name]
@@ -174,10 +175,10 @@
 	select {
 	case err := <-p.exited:
 		if signal == syscall.SIGTERM && err != nil {
-			f.t.Errorf("%s: planned stop: %v", name, err)
+			f.t.Errorf("%s: graceful stop: %v", name, err)
 		}
 	case <-time.After(exitTimeout):
-		f.t.Errorf("%s did not end after %v", name, signal)
+		f.t.Errorf("%s did not exit after %v", name, signal)
 		_ = p.command.Process.Kill()
 	}
 }
@@ -196,8 +197,8 @@
 	}
 }
 
-// awaitReady waits until the process serves with a table and, for a sidecar,
-// answers for both services and finds the stores.
+// awaitReady waits until the process reports ready and, for a sidecar, until both
+// services answer correctly, which also requires reachable stores.
 func (f *fleet) awaitReady(name string) {
 	f.t.Helper()
 	p := f.processes[name]
@@ -213,20 +214,19 @@
 		}
 		time.Sleep(readyPause)
 	}
-	f.t.Fatalf("%s is not ready after %v: %s", name, readyTimeout, p.probed)
+	f.t.Fatalf("%s is not ready after %v: %s", name, readyTimeout, p.probeFailure)
 }
 
 func (f *fleet) probe(p *process) bool {
-	model := (&call{kind: kindWhole, marker: "probe"}).send(f.t.Context(), p.callers)
+	model := (&call{kind: kindUnary, marker: "probe"}).send(f.t.Context(), p.callers)
 	keyed := (&call{kind: kindKeyed, marker: fmt.Sprintf("probe-%d", time.Now().UnixNano())}).send(f.t.Context(), p.callers)
 	if !model.right || !keyed.right {
-		p.probed = fmt.Sprintf("%+v %+v", model, keyed)
+		p.probeFailure = fmt.Sprintf("%+v %+v", model, keyed)
 	}
 	return model.right && keyed.right
 }
 
-// executions sums, by the caller's marker, how often back ends began and ended
-// a request.
+// executions sums the executions at all back ends by the caller's marker.
 func (f *fleet) executions() map[string]engine.Executions {
 	sums := map[string]engine.Executions{}
 	for _, stub := range f.engines {
