--- a/examples/doc.go
+++ b/examples/doc.go
@@ -1,3 +1,3 @@
-// Package examples holds settings files, tables and machine lists of both
-// deployments at today's sizes; its test checks every one of them.
+// Package examples contains settings files, tables and machine lists of two example
+// deployments. Its tests validate all of them.
 package examples
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -16,22 +16,22 @@
 	"github.com/dykewing/dykewing/internal/discovery"
 )
 
-// pools are the workers that each deployment has today.
-var pools = map[string]map[api.ServiceName]int{
+// workersByService holds the number of workers per service of each deployment.
+var workersByService = map[string]map[api.ServiceName]int{
 	"dk-east": {"language-model": 12, "booking-calendar": 3},
 	"cairo":   {"tutor": 18, "judging": 3},
 }
 
 const (
-	zonesOfDeployment = 3
-	rolesFiles        = 12 // 2 routers, a store and a sidecar in each zone
+	zonesPerDeployment         = 3
+	settingsFilesPerDeployment = 12 // 2 routers, a store and a sidecar in each zone
 )
 
 func TestEverySettingsFileLoads(t *testing.T) {
-	for deployment := range pools {
+	for deployment := range workersByService {
 		files, _ := filepath.Glob(filepath.Join(deployment, "*.yaml"))
-		if len(files) != rolesFiles {
-			t.Errorf("%s has %d settings files, want %d", deployment, len(files), rolesFiles)
+		if len(files) != settingsFilesPerDeployment {
+			t.Errorf("%s has %d settings files, want %d", deployment, len(files), settingsFilesPerDeployment)
 		}
 		ids, zones := map[string]bool{}, map[string]bool{}
 		for _, file := range files {
@@ -45,13 +45,13 @@
 			}
 			ids[settings.Node.ID], zones[settings.Node.Zone] = true, true
 		}
-		if len(ids) != rolesFiles || len(zones) != zonesOfDeployment {
+		if len(ids) != settingsFilesPerDeployment || len(zones) != zonesPerDeployment {
 			t.Errorf("%s has %d ids in %d zones", deployment, len(ids), len(zones))
 		}
 	}
 }
 
-// checkRole wants the part of the role that the file's name tells.
+// checkRole checks that the settings match the role in the file's name.
 func checkRole(file string, settings config.Settings) error {
 	role, _, _ := strings.Cut(file, "-")
 	switch {
@@ -68,7 +68,7 @@
 }
 
 func TestEveryRowIsValidAndHasWorkers(t *testing.T) {
-	for deployment, services := range pools {
+	for deployment, services := range workersByService {
 		rows := map[api.RowKey]api.Row{}
 		for _, row := range readTable(t, filepath.Join(deployment, "table.csv")) {
 			if _, ok := rows[row.Key()]; ok {
@@ -98,12 +98,12 @@
 	}
 }
 
-func TestABadRowIsRefused(t *testing.T) {
-	if _, err := rowOf([]string{"tutor", "cairo-old", "-1", "0", "0", "0", "0", "true"}); err == nil {
-		t.Fatal("a negative weight passed")
+func TestInvalidRowIsRejected(t *testing.T) {
+	if _, err := parseRow([]string{"tutor", "cairo-old", "-1", "0", "0", "0", "0", "true"}); err == nil {
+		t.Fatal("negative weight was accepted")
 	}
-	if _, err := rowOf([]string{"tutor", "cairo-old", "1", "many", "0", "0", "0", "true"}); err == nil {
-		t.Fatal("a word for a number passed")
+	if _, err := parseRow([]string{"tutor", "cairo-old", "1", "many", "0", "0", "0", "true"}); err == nil {
+		t.Fatal("non-numeric batch allowance was accepted")
 	}
 }
 
@@ -137,7 +137,7 @@
 	}
 	var rows []api.Row
 	for i, line := range lines[1:] {
-		row, err := rowOf(line)
+		row, err := parseRow(line)
 		if err != nil {
 			t.Errorf("%s line %d: %v", file, i+2, err)
 		}
@@ -146,8 +146,8 @@
 	return rows
 }
 
-// rowOf reads a line with the columns of the table's CSV.
-func rowOf(line []string) (api.Row, error) {
+// parseRow parses a line of the table's CSV file.
+func parseRow(line []string) (api.Row, error) {
 	row := api.Row{Service: api.ServiceName(line[0]), Place: api.PlaceName(line[1])}
 	var problems [6]error
 	row.Weight, problems[0] = strconv.ParseFloat(line[2], 64)
