--- a/internal/prove/doc.go
+++ b/internal/prove/doc.go
@@ -1,5 +1,5 @@
-// Package prove holds the proofs on real processes: it builds the dykewing
-// command, runs the roles as separate processes against stand-ins of the
-// platform, kills, pauses and stops them while callers work, and checks what
-// the callers and the back ends saw. It has no code of its own besides tests.
+// Package prove contains fault-injection tests on real processes. They build the
+// dykewing command, run each role as a separate process against stand-ins of the
+// platform, kill, pause and stop processes under load, and check the answers that
+// callers received against the requests that the back ends ran.
 package prove
--- a/internal/prove/failure_test.go
+++ b/internal/prove/failure_test.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	faultLength = 2 * time.Second // how long a pause or an outage lasts
-	calm        = time.Second     // work before and after a fault
+	faultDuration = 2 * time.Second // duration of a pause or an outage
+	loadMargin    = time.Second     // duration of load before and after a fault
 )
 
-// fault is one failure of the brief, brought about on real processes.
+// fault is a failure that is injected into the running fleet.
 type fault struct {
 	name string
-	// lossless: no request may fail, since nothing dies unannounced.
+	// lossless is set if no stream may fail during the fault.
 	lossless bool
 	inject   func(t *testing.T, f *fleet)
 }
@@ -31,8 +31,8 @@
 		{name: "sidecar killed", inject: func(t *testing.T, f *fleet) { f.killAndRestart(t, "sidecar-1") }},
 		{name: "router paused", inject: func(t *testing.T, f *fleet) { f.pause("router-1") }},
 		{name: "store leader paused", lossless: true, inject: func(t *testing.T, f *fleet) { f.pause(f.leader(0)) }},
-		{name: "key-value service down", lossless: true, inject: func(_ *testing.T, f *fleet) { f.outage() }},
-		{name: "worker killed", inject: func(_ *testing.T, f *fleet) { f.loseWorker() }},
+		{name: "key-value service down", lossless: true, inject: func(_ *testing.T, f *fleet) { f.failKeyValue() }},
+		{name: "worker killed", inject: func(_ *testing.T, f *fleet) { f.failWorker() }},
 		{name: "router stopped as planned", lossless: true, inject: func(t *testing.T, f *fleet) { f.stopAndRestart(t, "router-0") }},
 		{name: "store stopped as planned", lossless: true, inject: func(t *testing.T, f *fleet) { f.stopAndRestart(t, f.leader(0)) }},
 		{name: "router killed in an outage", inject: func(t *testing.T, f *fleet) {
@@ -61,37 +61,37 @@
 
 func (f *fleet) killAndRestart(t *testing.T, name string) {
 	f.daemons[name].kill()
-	time.Sleep(faultLength)
+	time.Sleep(faultDuration)
 	f.daemons[name].start(t)
 }
 
 func (f *fleet) stopAndRestart(t *testing.T, name string) {
-	if err := f.daemons[name].stopPlanned(t); err != nil {
-		t.Errorf("the planned stop of %s: %v", name, err)
+	if err := f.daemons[name].stopGracefully(t); err != nil {
+		t.Errorf("graceful stop of %s: %v", name, err)
 	}
 	f.daemons[name].start(t)
 }
 
 func (f *fleet) pause(name string) {
 	f.daemons[name].signal(syscall.SIGSTOP)
-	time.Sleep(faultLength)
+	time.Sleep(faultDuration)
 	f.daemons[name].signal(syscall.SIGCONT)
 }
 
-func (f *fleet) outage() {
+func (f *fleet) failKeyValue() {
 	f.keyValue.down.Store(true)
-	time.Sleep(faultLength)
+	time.Sleep(faultDuration)
 	f.keyValue.down.Store(false)
 }
 
-func (f *fleet) loseWorker() {
+func (f *fleet) failWorker() {
 	f.engines[0].down.Store(true)
-	time.Sleep(faultLength)
+	time.Sleep(faultDuration)
 	f.engines[0].down.Store(false)
 }
 
-// TestFaultsOnRealProcesses brings about each fault while callers stream, book
-// and wait for a batch, and checks what must always hold.
+// TestFaultsOnRealProcesses injects each fault under streams, bookings and a batch
+// job, and checks for wrong answers, duplicate runs and lost items.
 func TestFaultsOnRealProcesses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs real processes")
@@ -101,10 +101,10 @@
 		t.Run(fault.name, func(t *testing.T) {
 			f.t = t
 			submitted := f.submit(fault.name)
-			load := f.work(fault.name)
-			time.Sleep(calm)
+			load := f.startWorkload(fault.name)
+			time.Sleep(loadMargin)
 			fault.inject(t, f)
-			time.Sleep(calm)
+			time.Sleep(loadMargin)
 			load.end()
 			load.check(t)
 			if fault.lossless {
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestCancelHoldsAcrossTheLeadersDeath cancels a batch, kills the leader that
-// took the cancel, and sees that no item completes after.
-func TestCancelHoldsAcrossTheLeadersDeath(t *testing.T) {
+// TestCancellationSurvivesLeaderFailure checks that a cancelled batch completes no
+// further item after the leader that acknowledged the cancellation is killed.
+func TestCancellationSurvivesLeaderFailure(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs real processes")
 	}
@@ -153,19 +153,19 @@
 		return err == nil && batch.Status == openai.BatchStatusCancelled
 	})
 	before := settled()
-	time.Sleep(faultLength)
+	time.Sleep(faultDuration)
 	if after := settled(); after != before {
 		t.Errorf("%d items completed after the batch had ended", after-before)
 	}
 	if before < cancelled.RequestCounts.Completed {
-		t.Errorf("%d items are complete, %d were when the cancel was acknowledged", before, cancelled.RequestCounts.Completed)
+		t.Errorf("%d items are complete, but %d were when the cancellation was acknowledged", before, cancelled.RequestCounts.Completed)
 	}
 }
 
-// TestLostAnswerOfWhatMayNotBeRepeated has every back end run a booking and
-// lose its answer. It must not be sent again; the same booking marked as
-// repeatable is the planted fault: it runs more than once and is found.
-func TestLostAnswerOfWhatMayNotBeRepeated(t *testing.T) {
+// TestNonRepeatableRequestRunsOnceWhenResponseIsLost checks that a non-repeatable
+// request whose response is lost runs only once. The same request marked as
+// repeatable must run more than once and be reported as a violation.
+func TestNonRepeatableRequestRunsOnceWhenResponseIsLost(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs real processes")
 	}
@@ -184,12 +184,13 @@
 	planted := &booking{answers: map[string]bool{}}
 	w.sendAs(planted, "planted", 0, "true")
 	if planted.violation(f.runs("planted")) == nil {
-		t.Errorf("the planted fault ran %d times and was not found", f.runs("planted"))
+		t.Errorf("a repeatable booking ran %d times without a reported violation", f.runs("planted"))
 	}
 }
 
-// TestViolationsAreFound plants each thing that the checks are there for.
-func TestViolationsAreFound(t *testing.T) {
+// TestViolationsAreDetected checks that booking.violation reports each kind of
+// inconsistency and nothing else.
+func TestViolationsAreDetected(t *testing.T) {
 	one := map[string]bool{"a": true}
 	cases := []struct {
 		name string
@@ -197,12 +198,12 @@
 		runs int
 		want bool
 	}{
-		{"answered once", booking{answers: one, definite: true}, 1, false},
+		{"answered once", booking{answers: one, answered: true}, 1, false},
 		{"unknown, ran", booking{outcomes: []api.Outcome{api.OutcomeUnknown}}, 1, false},
 		{"not run", booking{outcomes: []api.Outcome{api.OutcomeNotRun}}, 0, false},
-		{"ran twice", booking{answers: one, definite: true}, 2, true},
-		{"answered without running", booking{answers: one, definite: true}, 0, true},
-		{"two answers", booking{answers: map[string]bool{"a": true, "b": true}, definite: true}, 1, true},
+		{"ran twice", booking{answers: one, answered: true}, 2, true},
+		{"answered without running", booking{answers: one, answered: true}, 0, true},
+		{"two answers", booking{answers: map[string]bool{"a": true, "b": true}, answered: true}, 1, true},
 		{"said not run, ran", booking{outcomes: []api.Outcome{api.OutcomeNotRun}}, 1, true},
 	}
 	for _, c := range cases {
--- a/internal/prove/fleet_test.go
+++ b/internal/prove/fleet_test.go
@@ -32,11 +32,11 @@
 	modelService   = api.ServiceName("tutor")
 	bookingService = api.ServiceName("booking")
 	place          = api.PlaceName("cairo")
-	patience       = 60 * time.Second // bounds a wait; no verdict depends on how long it took
+	waitTimeout    = 60 * time.Second // limit of each wait; results do not depend on the time taken
 	pollInterval   = 50 * time.Millisecond
 )
 
-// binary is the command under test, built once for all tests.
+// binary is the path of the command under test, built once by TestMain.
 var binary string
 
 func TestMain(m *testing.M) {
@@ -56,11 +56,12 @@
 	os.Exit(code)
 }
 
-// fleet is a set of real processes with stand-ins in the test's process.
+// fleet is a set of daemon processes with stand-ins of the platform in the test
+// process.
 type fleet struct {
 	t        *testing.T
 	folder   string
-	keyValue *switched
+	keyValue *switchableHandler
 	list     *machinelist.Server
 	engines  []*recorder
 	workers  []api.Worker
@@ -68,26 +69,26 @@
 	order    []string
 	kvURL    string
 	listURL  string
-	callers  []string // callers' addresses
+	callers  []string // addresses for callers, one per sidecar
 }
 
-// switched is a handler that can be made to fail, as a platform outage.
-type switched struct {
+// switchableHandler is a handler that aborts all requests while down is set.
+type switchableHandler struct {
 	handler http.Handler
 	down    atomic.Bool
 }
 
-func (s *switched) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *switchableHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if s.down.Load() {
 		panic(http.ErrAbortHandler)
 	}
 	s.handler.ServeHTTP(w, r)
 }
 
-// recorder counts what reached a back end, by the name in the booking's body.
+// recorder is a back end that counts bookings by the name in their body.
 type recorder struct {
-	*switched
-	loseAnswers atomic.Bool // run the request, then break the connection
+	*switchableHandler
+	loseAnswers atomic.Bool // count the booking, then close the connection without a response
 	mutex       sync.Mutex
 	runs        map[string]int
 }
@@ -104,7 +105,7 @@
 			panic(http.ErrAbortHandler)
 		}
 	}
-	r.switched.ServeHTTP(w, request)
+	r.switchableHandler.ServeHTTP(w, request)
 }
 
 func newFleet(t *testing.T, routers, stores, sidecars int) *fleet {
@@ -138,13 +139,13 @@
 }
 
 func (f *fleet) startPlatform() {
-	f.keyValue = &switched{handler: keyvalue.NewServer()}
+	f.keyValue = &switchableHandler{handler: keyvalue.NewServer()}
 	f.kvURL = "http://" + f.serve(f.keyValue)
 	f.list = machinelist.NewServer(0)
 	f.listURL = "http://" + f.serve(f.list) + "/"
 	for _, service := range []api.ServiceName{modelService, bookingService} {
 		for i := range 3 {
-			back := &recorder{switched: &switched{handler: engine.New(engine.DefaultSettings())}, runs: map[string]int{}}
+			back := &recorder{switchableHandler: &switchableHandler{handler: engine.New(engine.DefaultSettings())}, runs: map[string]int{}}
 			f.engines = append(f.engines, back)
 			f.workers = append(f.workers, api.Worker{
 				ID: api.WorkerID(fmt.Sprintf("%s-%d", service, i)), Address: f.serve(back), Service: service, Place: place,
@@ -157,7 +158,7 @@
 	f.setRow(api.Row{Service: bookingService, Place: place, Weight: 1})
 }
 
-// setRow writes a row as an operator's tool with its own access would.
+// setRow writes a table row directly to the key-value service.
 func (f *fleet) setRow(row api.Row) {
 	f.t.Helper()
 	service := kv.NewEtcd([]string{f.kvURL}, time.Second, 1000)
@@ -214,14 +215,14 @@
 	}
 }
 
-// awaitReady waits until each sidecar is ready, sees all workers and knows a
+// awaitReady waits until each sidecar is ready and knows all workers and the
 // leader of each group.
 func (f *fleet) awaitReady() {
 	f.t.Helper()
 	f.await("the fleet to be ready", func() bool {
 		for _, name := range f.order {
 			p := f.daemons[name]
-			if p.role == api.RoleSidecar && !f.sees(p) {
+			if p.role == api.RoleSidecar && !f.isReady(p) {
 				return false
 			}
 		}
@@ -229,7 +230,7 @@
 	})
 }
 
-func (f *fleet) sees(p *process) bool {
+func (f *fleet) isReady(p *process) bool {
 	var nodes []api.Node
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -257,14 +258,14 @@
 
 func (f *fleet) await(what string, done func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(patience); !done(); time.Sleep(pollInterval) {
+	for end := time.Now().Add(waitTimeout); !done(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			f.t.Fatalf("gave up waiting for %s\n%s", what, f.logs())
+			f.t.Fatalf("timed out waiting for %s\n%s", what, f.logs())
 		}
 	}
 }
 
-// logs gives the end of each process's log, for a failure's report.
+// logs returns the tail of each process's log.
 func (f *fleet) logs() string {
 	const tail = 1500
 	var all strings.Builder
@@ -281,7 +282,8 @@
 	}
 }
 
-// leader names the store process that leads a group by the sidecar's view.
+// leader returns the name of the store process that leads the group, as seen by
+// sidecar-0.
 func (f *fleet) leader(group api.GroupID) string {
 	f.t.Helper()
 	found := ""
@@ -303,7 +305,7 @@
 	return found
 }
 
-// process is one daemon.
+// process is a daemon process.
 type process struct {
 	name     string
 	role     api.Role
@@ -334,7 +336,7 @@
 
 func (p *process) signal(signal syscall.Signal) { _ = p.command.Process.Signal(signal) }
 
-// kill ends the process at once and waits for it.
+// kill sends SIGKILL and waits for the process to exit.
 func (p *process) kill() {
 	if p.command == nil {
 		return
@@ -344,16 +346,16 @@
 	p.command = nil
 }
 
-// stopPlanned asks for a planned stop and gives the exit error.
-func (p *process) stopPlanned(t *testing.T) error {
+// stopGracefully sends SIGTERM and returns the process's exit error.
+func (p *process) stopGracefully(t *testing.T) error {
 	t.Helper()
 	p.signal(syscall.SIGTERM)
 	select {
 	case err := <-p.ended:
 		p.command = nil
 		return err
-	case <-time.After(patience):
-		t.Fatalf("%s did not stop", p.name)
+	case <-time.After(waitTimeout):
+		t.Fatalf("%s did not exit after SIGTERM", p.name)
 		return nil
 	}
 }
--- a/internal/prove/workload_test.go
+++ b/internal/prove/workload_test.go
@@ -19,32 +19,32 @@
 )
 
 const (
-	answerTokens  = 12
-	batchItems    = 150
-	resends       = 12 // of one booking, through all sidecars in turn
-	shownFailures = 3
-	resendPause   = 250 * time.Millisecond
+	answerTokens      = 12
+	batchItems        = 150
+	maxAttempts       = 12 // attempts per booking, over all sidecars in turn
+	maxLoggedFailures = 3
+	resendPause       = 250 * time.Millisecond
 )
 
-// workload is what callers do while faults happen, and what came of it.
+// workload runs callers during a fault and records their results.
 type workload struct {
 	fleet   *fleet
-	name    string // makes this workload's bookings its own
+	name    string // makes the names of bookings unique
 	stop    chan struct{}
 	running sync.WaitGroup
 
 	mutex    sync.Mutex
 	streams  int
 	failed   []error // streams that ended with an error
-	wrong    []error // answers given as whole that were not right
+	wrong    []error // complete streams with incorrect text
 	bookings map[string]*booking
 }
 
-// booking is one request that may not be repeated, with all its resends.
+// booking is a non-repeatable request with the results of all its attempts.
 type booking struct {
-	answers  map[string]bool // distinct whole answers
+	answers  map[string]bool // distinct complete answers
 	outcomes []api.Outcome
-	definite bool // ended with an answer
+	answered bool // an answer was received
 }
 
 func (f *fleet) client(number int) openai.Client {
@@ -52,8 +52,8 @@
 		option.WithAPIKey("prove"), option.WithMaxRetries(0))
 }
 
-// work starts callers that stream and book until end.
-func (f *fleet) work(name string) *workload {
+// startWorkload starts callers that send streams and bookings until end is called.
+func (f *fleet) startWorkload(name string) *workload {
 	w := &workload{fleet: f, name: name, stop: make(chan struct{}), bookings: map[string]*booking{}}
 	for caller := range 4 {
 		w.running.Go(func() { w.stream(caller) })
@@ -79,7 +79,7 @@
 func (w *workload) stream(caller int) {
 	client := w.fleet.client(caller)
 	for i := 0; !w.stopped(); i++ {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		err := verify.Stream(ctx, client, modelService, fmt.Sprintf("caller %d asks %d", caller, i), answerTokens)
 		cancel()
 		w.mutex.Lock()
@@ -100,7 +100,7 @@
 	for i := 0; !w.stopped(); i++ {
 		name := fmt.Sprintf("%s: booking %d of %d", w.name, i, caller)
 		made := &booking{answers: map[string]bool{}}
-		for attempt := range resends {
+		for attempt := range maxAttempts {
 			if w.send(made, name, caller+attempt) {
 				break
 			}
@@ -112,7 +112,7 @@
 	}
 }
 
-// send sends the booking once; true when its outcome is definite.
+// send sends the booking once and reports whether it was answered.
 func (w *workload) send(made *booking, name string, caller int) bool {
 	return w.sendAs(made, name, caller, "false")
 }
@@ -140,14 +140,14 @@
 	}
 	if response.StatusCode == http.StatusOK {
 		made.answers[string(body)] = true
-		made.definite = true
+		made.answered = true
 		return true
 	}
 	made.outcomes = append(made.outcomes, api.Outcome(response.Header.Get(api.HeaderOutcome)))
 	return false
 }
 
-// runs counts how often a booking reached a back end.
+// runs returns how often a booking reached a back end.
 func (f *fleet) runs(name string) int {
 	total := 0
 	for _, back := range f.engines {
@@ -158,7 +158,7 @@
 	return total
 }
 
-// check states what must hold whatever failed.
+// check reports all violations and logs a summary.
 func (w *workload) check(t *testing.T) {
 	t.Helper()
 	for _, err := range w.violations() {
@@ -167,17 +167,17 @@
 	if t.Failed() {
 		t.Log(w.fleet.logs())
 	}
-	for _, err := range w.failed[:min(len(w.failed), shownFailures)] {
+	for _, err := range w.failed[:min(len(w.failed), maxLoggedFailures)] {
 		t.Logf("failed: %v", err)
 	}
 	t.Logf("%d streams (%d failed), %d bookings (%d answered)", w.streams, len(w.failed), len(w.bookings), w.answered())
 }
 
-// violations lists what should not have come of the work.
+// violations returns the results that are incorrect under any fault.
 func (w *workload) violations() []error {
 	var found []error
 	for _, err := range w.wrong {
-		found = append(found, fmt.Errorf("a wrong answer was given as whole: %w", err))
+		found = append(found, fmt.Errorf("complete stream with incorrect text: %w", err))
 	}
 	for name, made := range w.bookings {
 		if err := made.violation(w.fleet.runs(name)); err != nil {
@@ -194,24 +194,25 @@
 func (w *workload) answered() int {
 	count := 0
 	for _, made := range w.bookings {
-		if made.definite {
+		if made.answered {
 			count++
 		}
 	}
 	return count
 }
 
-// violation compares what the caller was told with how often it ran.
+// violation checks the results that the caller received against the number of
+// runs.
 func (b *booking) violation(runs int) error {
 	switch {
 	case runs > 1:
 		return fmt.Errorf("ran %d times", runs)
-	case b.definite && runs != 1:
-		return fmt.Errorf("was answered and ran %d times", runs)
+	case b.answered && runs != 1:
+		return fmt.Errorf("was answered but ran %d times", runs)
 	case len(b.answers) > 1:
 		return fmt.Errorf("had %d different answers", len(b.answers))
-	case runs > 0 && !b.definite && allNotRun(b.outcomes):
-		return errors.New("was always said not to have run, and ran")
+	case runs > 0 && !b.answered && allNotRun(b.outcomes):
+		return errors.New("ran, but all outcomes reported not_run")
 	}
 	return nil
 }
@@ -225,28 +226,28 @@
 	return true
 }
 
-// checkNothingLost is for planned stops and outages: no stream may fail.
+// checkNothingLost reports every failed stream.
 func (w *workload) checkNothingLost(t *testing.T) {
 	t.Helper()
 	for _, err := range w.failed {
-		t.Errorf("a request was cut: %v", err)
+		t.Errorf("stream failed: %v", err)
 	}
 }
 
-// job is a batch that runs while faults happen.
+// job is a submitted batch with the expected answers.
 type job struct {
 	id   string
 	want map[string]string
 }
 
-// submit uploads and submits, sending again until it is acknowledged.
+// submit uploads and submits a batch, and retries until it is accepted.
 func (f *fleet) submit(name string) job {
 	f.t.Helper()
 	client := f.client(0)
 	input, want := verify.BatchInput(modelService, name, batchItems, answerTokens)
 	submitted := job{want: want}
 	f.await("the batch to be accepted", func() bool {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		defer cancel()
 		file, err := client.Files.New(ctx, openai.FileNewParams{
 			File: openai.File(strings.NewReader(string(input)), name+".jsonl", "application/jsonl"), Purpose: openai.FilePurposeBatch,
@@ -267,8 +268,8 @@
 	return submitted
 }
 
-// checkDone waits for the job's end and reads every result through another
-// sidecar than the one that took it.
+// checkDone waits for the batch to end and checks its results through a different
+// sidecar from the one that accepted it.
 func (f *fleet) checkDone(submitted job) {
 	f.t.Helper()
 	client := f.client(1)
@@ -283,6 +284,6 @@
 		return last == nil
 	})
 	if count != batchItems {
-		f.t.Errorf("%d of %d items have a result", count, batchItems)
+		f.t.Errorf("got results for %d of %d items", count, batchItems)
 	}
 }
