--- a/cmd/dykewing/main.go
+++ b/cmd/dykewing/main.go
@@ -126,8 +126,8 @@
 	return ctx, kill
 }
 
-// handleReloadSignal logs on SIGHUP that settings are not reloaded. Without a handler
-// the signal would terminate the process.
+// handleReloadSignal logs on SIGHUP that settings are not reloaded. Without a
+// handler the signal would terminate the process.
 func handleReloadSignal(logger *logrus.Logger) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
@@ -164,8 +164,8 @@
 
 func newDevFlags(command *kingpin.CmdClause) *devFlags {
 	return &devFlags{
-		exercise: command.Flag("exercise", "Send requests through the fleet, print what happened, and exit.").Bool(),
-		address:  command.Flag("callers-address", "Where callers connect.").Default("127.0.0.1:0").String(),
+		exercise: command.Flag("exercise", "Send requests through the fleet, print the results, and exit.").Bool(),
+		address:  command.Flag("callers-address", "Address to listen on for callers.").Default("127.0.0.1:0").String(),
 		logLevel: command.Flag("log-level", "debug, info, warn or error.").Default("warn").Enum("debug", "info", "warn", "error"),
 	}
 }
--- a/cmd/dykewing/process_test.go
+++ b/cmd/dykewing/process_test.go
@@ -141,8 +141,8 @@
 	return running
 }
 
-// TestRolesServeAsSeparateProcesses serves streamed chats and a batch job with each role in
-// its own process, then checks that SIGTERM stops each one cleanly.
+// TestRolesServeAsSeparateProcesses serves streamed chats and a batch job with each
+// role in its own process, then checks that SIGTERM stops each one cleanly.
 func TestRolesServeAsSeparateProcesses(t *testing.T) {
 	running := startPlatform(t, nil)
 	var processes []*process
@@ -179,8 +179,8 @@
 	}
 }
 
-// awaitCorrectAnswers polls until one request of each class succeeds, since homes and
-// group leaders may be discovered only after the processes report ready.
+// awaitCorrectAnswers polls until one request of each class succeeds, since homes
+// and group leaders may be discovered only after the processes report ready.
 func awaitCorrectAnswers(t *testing.T, options load.Options) {
 	t.Helper()
 	options.Duration, options.Items = 50*time.Millisecond, 1
--- a/cmd/dykewingctl/cost.go
+++ b/cmd/dykewingctl/cost.go
@@ -17,8 +17,8 @@
 	"github.com/dykewing/dykewing/internal/transport"
 )
 
-// costMetricPrefixes lists the name prefixes of the metrics that show a process's resource
-// usage and its cost of communication with other processes.
+// costMetricPrefixes lists the name prefixes of the metrics that show a process's
+// resource usage and its cost of communication with other processes.
 var costMetricPrefixes = []string{
 	"process_cpu_seconds_total", "process_resident_memory_bytes", "go_goroutines", "go_memstats_alloc_bytes_total",
 	transport.TrafficName, transport.ConnectionsName, "dykewing_membership_", "dykewing_feed_", "dykewing_catalog_worker_changes_total",
@@ -26,7 +26,7 @@
 }
 
 func registerCost(application *kingpin.Application, s *session) {
-	command := application.Command("cost", "What processes have spent, by part, summed over them: processor, memory, messages, connections.")
+	command := application.Command("cost", "Show the resource usage of processes, summed over them: CPU, memory, messages, connections.")
 	nodes := command.Arg("node", "Internal addresses (IP:port).").Required().Strings()
 	command.Action(action(func() error { return s.showCost(*nodes) }))
 }
--- a/cmd/dykewingctl/explain.go
+++ b/cmd/dykewingctl/explain.go
@@ -41,9 +41,9 @@
 }
 
 func registerExplain(application *kingpin.Application) {
-	command := application.Command("explain", "Show a request's lines from the logs of all processes, in order, and the one that decided.")
+	command := application.Command("explain", "Show the log lines of a request from all processes, in order, and mark the one that decided its outcome.")
 	id := command.Arg("id", "The id of the request, or of the batch job.").Required().String()
-	files := command.Arg("logs", "Log files, in any order; standard input without any.").ExistingFiles()
+	files := command.Arg("logs", "Log files, in any order; standard input if none is given.").ExistingFiles()
 	command.Action(action(func() error { return explainFiles(os.Stdout, *id, *files) }))
 }
 
@@ -71,7 +71,7 @@
 		return err
 	}
 	if len(lines) == 0 {
-		return fmt.Errorf("no line about %s: it was served without a line of its own, dropped, or never came here", id)
+		return fmt.Errorf("no log line for %s: it was served without being logged, was dropped, or was never received", id)
 	}
 	slices.SortStableFunc(lines, func(a, b logLine) int { return a.at.Compare(b.at) })
 	decided := decidingLine(lines)
--- a/cmd/dykewingctl/jobs.go
+++ b/cmd/dykewingctl/jobs.go
@@ -71,19 +71,19 @@
 func registerJobs(application *kingpin.Application, s *session, act func(func() error) kingpin.Action) {
 	c := &jobCommands{session: s}
 	group := application.Command("jobs", "Batch jobs, through a sidecar.")
-	group.Flag("tenant", "Tenant whose jobs are meant.").Envar("DYKEWING_TENANT").StringVar(&c.tenant)
+	group.Flag("tenant", "Tenant that owns the jobs.").Envar("DYKEWING_TENANT").StringVar(&c.tenant)
 
-	submit := group.Command("submit", "Upload a file of requests and submit a job over it.").Action(act(c.submit))
+	submit := group.Command("submit", "Upload a file of requests and submit a batch job for it.").Action(act(c.submit))
 	submit.Arg("file", "JSON lines, each with custom_id, method, url and body.").Required().ExistingFileVar(&c.file)
 	submit.Flag("endpoint", "Endpoint named in the job.").Default("/v1/chat/completions").StringVar(&c.endpoint)
 	submit.Flag("window", "Time in which the job must end.").Default("24h").StringVar(&c.window)
-	submit.Flag("key", "Idempotency key: a resend with it gives the same job.").StringVar(&c.key)
-	submit.Flag("repeatable", "Whether items may be sent again; as the table says when not given.").EnumVar(&c.repeatable, "true", "false")
+	submit.Flag("key", "Idempotency key: a resend with the same key returns the same job.").StringVar(&c.key)
+	submit.Flag("repeatable", "Whether items may be retried; by default as configured in the table.").EnumVar(&c.repeatable, "true", "false")
 	submit.Flag("wait", "Wait until the job has ended.").BoolVar(&c.wait)
 
 	list := group.Command("list", "List jobs, the newest first.").Action(act(c.list))
-	list.Flag("limit", "At most so many, up to 100.").Default("20").IntVar(&c.limit)
-	list.Flag("after", "Begin after this job.").StringVar(&c.after)
+	list.Flag("limit", "Maximum number of jobs, up to 100.").Default("20").IntVar(&c.limit)
+	list.Flag("after", "List jobs after this one.").StringVar(&c.after)
 
 	status := group.Command("status", "Show one job.").Action(act(c.status))
 	status.Arg("job", "Id of the job.").Required().StringVar(&c.id)
@@ -91,10 +91,10 @@
 
 	results := group.Command("results", "Write a job's results as JSON lines.").Action(act(c.results))
 	results.Arg("job", "Id of the job.").Required().StringVar(&c.id)
-	results.Flag("errors", "The items that failed, in place of those that completed.").BoolVar(&c.failures)
-	results.Flag("file", "Write to this file, in place of the standard output.").StringVar(&c.target)
+	results.Flag("errors", "Write failed items instead of completed ones.").BoolVar(&c.failures)
+	results.Flag("file", "Write to this file instead of standard output.").StringVar(&c.target)
 
-	cancel := group.Command("cancel", "Cancel a job: no more of its items start.").Action(act(c.cancel))
+	cancel := group.Command("cancel", "Cancel a job; no further items are started.").Action(act(c.cancel))
 	cancel.Arg("job", "Id of the job.").Required().StringVar(&c.id)
 }
 
--- a/cmd/dykewingctl/main.go
+++ b/cmd/dykewingctl/main.go
@@ -40,7 +40,7 @@
 	application.Flag("node", "Internal address (IP:port) of any node.").Envar("DYKEWING_NODE").StringVar(&s.node)
 	application.Flag("sidecar", "Callers' address (IP:port) of a sidecar.").Envar("DYKEWING_SIDECAR").StringVar(&s.sidecar)
 	application.Flag("output", "table or json.").Default(outputTable).EnumVar(&s.output, outputTable, outputJSON)
-	application.Flag("timeout", "How long to wait for an answer.").Default("10s").DurationVar(&s.timeout)
+	application.Flag("timeout", "Timeout of one call.").Default("10s").DurationVar(&s.timeout)
 	registerNodes(application, s)
 	registerJobs(application, s, action)
 	registerQuarantine(application, s)
--- a/cmd/dykewingctl/quarantine.go
+++ b/cmd/dykewingctl/quarantine.go
@@ -14,10 +14,10 @@
 )
 
 func registerQuarantine(application *kingpin.Application, s *session) {
-	command := application.Command("quarantine", "Requests under which workers ended and that are not sent to more of them.")
-	command.Command("list", "List them, with the workers that ended.").Action(action(s.listQuarantine))
-	release := command.Command("release", "Let one be sent to workers again.")
-	digest := release.Arg("digest", "Its digest, from the list or a log line.").Required().String()
+	command := application.Command("quarantine", "Requests that crashed workers and are no longer dispatched.")
+	command.Command("list", "List quarantined requests with the workers that crashed.").Action(action(s.listQuarantine))
+	release := command.Command("release", "Allow a quarantined request to be dispatched again.")
+	digest := release.Arg("digest", "Digest of the request, from the list or a log line.").Required().String()
 	release.Action(action(func() error { return s.release(*digest) }))
 }
 
--- a/cmd/dykewingctl/table.go
+++ b/cmd/dykewingctl/table.go
@@ -31,14 +31,14 @@
 	show.Action(action(func() error { return s.showTable(*service) }))
 
 	export := command.Command("export", "Write the table in force as CSV.")
-	file := export.Arg("file", "Where to; standard output without it.").String()
+	file := export.Arg("file", "Output file; standard output if not given.").String()
 	export.Action(action(func() error { return s.exportTable(*file) }))
 
 	history := command.Command("history", "Show the last edits, newest first.")
-	limit := history.Flag("limit", "How many.").Default("50").Int()
+	limit := history.Flag("limit", "Maximum number of edits.").Default("50").Int()
 	history.Action(action(func() error { return s.showHistory(*limit) }))
 
-	status := command.Command("status", "Show which revision is in force where.")
+	status := command.Command("status", "Show the revision in force in each zone.")
 	status.Action(action(s.showStatus))
 }
 
--- a/cmd/dykewingctl/table_import.go
+++ b/cmd/dykewingctl/table_import.go
@@ -37,8 +37,8 @@
 
 func registerTableImport(command *kingpin.CmdClause, s *session) {
 	flags := &importFlags{}
-	clause := command.Command("import", "Bring the table to what a CSV file says; rows that are not in the file stay. An import that broke off goes on when it is run again.")
-	clause.Arg("file", "The file; - is standard input.").Required().StringVar(&flags.file)
+	clause := command.Command("import", "Apply the rows of a CSV file to the table; rows that are not in the file are unchanged. An interrupted import can be run again.")
+	clause.Arg("file", "CSV file; - for standard input.").Required().StringVar(&flags.file)
 	clause.Flag("dry-run", "Only check the file and show what would change.").BoolVar(&flags.dryRun)
 	clause.Action(action(func() error { return s.importTable(flags) }))
 }
@@ -65,7 +65,7 @@
 		if !planned.equal && !flags.dryRun {
 			result, err := s.sendEdit(planned.edit)
 			if err != nil {
-				return fmt.Errorf("line %d, row %s: %w; run the import again to go on", planned.line.Number, planned.line.Key, err)
+				return fmt.Errorf("line %d, row %s: %w; run the import again to continue", planned.line.Number, planned.line.Key, err)
 			}
 			outcome.Result = &result
 			if result.Outcome != api.EditAccepted {
@@ -80,7 +80,7 @@
 		return err
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d of %d rows were not accepted; run the import again to go on", failed, len(plan))
+		return fmt.Errorf("%d of %d rows were not accepted; run the import again to continue", failed, len(plan))
 	}
 	return nil
 }
--- a/cmd/dykewingctl/table_set.go
+++ b/cmd/dykewingctl/table_set.go
@@ -33,13 +33,13 @@
 	clause := command.Command("set", "Set cells of one row: set SERVICE PLACE weight=50 batch_allowance=8 ...")
 	clause.Arg("service", "The row's service.").Required().StringVar(&set.service)
 	clause.Arg("place", "The row's place.").Required().StringVar(&set.place)
-	clause.Arg("cells", "column=value; other cells stay.").Required().StringsVar(&set.cells)
+	clause.Arg("cells", "column=value; other cells are unchanged.").Required().StringsVar(&set.cells)
 	clause.Flag("create", "Add the row if it is not in the table.").BoolVar(&set.create)
 	set.common(clause)
 	clause.Action(action(func() error { return s.setRow(set) }))
 
 	remove := &setFlags{remove: true}
-	clause = command.Command("delete", "Take one row out of the table.")
+	clause = command.Command("delete", "Delete one row from the table.")
 	clause.Arg("service", "The row's service.").Required().StringVar(&remove.service)
 	clause.Arg("place", "The row's place.").Required().StringVar(&remove.place)
 	remove.common(clause)
@@ -48,8 +48,8 @@
 
 func (f *setFlags) common(clause *kingpin.CmdClause) {
 	clause.Flag("expect-revision", "Refuse the edit unless the row has this revision (see show).").Int64Var(&f.expect)
-	clause.Flag("wait", "Wait until the edit is in force at every node, and show where it is.").BoolVar(&f.wait)
-	clause.Flag("wait-timeout", "How long --wait waits.").Default("30s").DurationVar(&f.waitTimeout)
+	clause.Flag("wait", "Wait until the edit is in force at every node, and show its progress by zone.").BoolVar(&f.wait)
+	clause.Flag("wait-timeout", "Timeout of --wait.").Default("30s").DurationVar(&f.waitTimeout)
 }
 
 func (f *setFlags) edit() (api.TableEdit, error) {
--- a/cmd/dykewingctl/traffic.go
+++ b/cmd/dykewingctl/traffic.go
@@ -21,7 +21,7 @@
 const maxMetricsBytes = 16 << 20
 
 func registerTraffic(application *kingpin.Application, s *session) {
-	application.Command("traffic", "Bytes of the connections that a node opened, by kind, direction and whether they cross zones.").Action(action(s.showTraffic))
+	application.Command("traffic", "Show the bytes on connections opened by a node, by kind, direction and whether they cross zones.").Action(action(s.showTraffic))
 }
 
 // trafficRow is one series of the traffic counter.
--- a/cmd/dykewingsim/engine.go
+++ b/cmd/dykewingsim/engine.go
@@ -16,8 +16,8 @@
 func registerEngine(application *kingpin.Application) {
 	command := application.Command("engine", "Serve one stand-in engine.")
 	settings := engine.DefaultSettings()
-	address := command.Flag("address", "Where it serves.").Default("127.0.0.1:0").String()
-	command.Flag("slots", "Requests at once.").Default(fmt.Sprint(settings.Slots)).IntVar(&settings.Slots)
+	address := command.Flag("address", "Address to listen on.").Default("127.0.0.1:0").String()
+	command.Flag("slots", "Maximum number of concurrent requests.").Default(fmt.Sprint(settings.Slots)).IntVar(&settings.Slots)
 	command.Action(action(func() error { return serveStandIn(*address, engine.New(settings)) }))
 }
 
--- a/cmd/dykewingsim/keyvalue.go
+++ b/cmd/dykewingsim/keyvalue.go
@@ -12,19 +12,19 @@
 
 func registerKeyValue(application *kingpin.Application) {
 	command := application.Command("keyvalue", "Serve the stand-in of the key-value service (etcd v3 HTTP/JSON mapping).")
-	address := command.Flag("address", "Where it serves.").Default("127.0.0.1:0").String()
-	control := command.Flag("control-address", "Where faults are set: PUT "+keyvalue.PathFaults+".").Default("127.0.0.1:0").String()
-	seed := command.Flag("seed", "Seed of the faults' chance.").Default("1").Uint64()
+	address := command.Flag("address", "Address to listen on.").Default("127.0.0.1:0").String()
+	control := command.Flag("control-address", "Address of the control API for faults: PUT "+keyvalue.PathFaults+".").Default("127.0.0.1:0").String()
+	seed := command.Flag("seed", "Random seed of the faults.").Default("1").Uint64()
 	faults := keyvalue.Faults{}
 	command.Flag("outage", "Refuse every call.").BoolVar(&faults.Outage)
-	command.Flag("hang", "Answer no call.").BoolVar(&faults.Hang)
+	command.Flag("hang", "Accept calls but never respond.").BoolVar(&faults.Hang)
 	command.Flag("delay-ms", "Milliseconds before each call takes effect.").IntVar(&faults.DelayMilliseconds)
-	command.Flag("lose-answers", "Chance that a change takes effect and its answer is lost.").Float64Var(&faults.LoseAnswers)
-	command.Flag("lose-requests", "Chance that a change is lost.").Float64Var(&faults.LoseRequests)
-	command.Flag("late-effects", "Chance that a change takes effect after its connection broke.").Float64Var(&faults.LateEffects)
-	command.Flag("late-ms", "Milliseconds by which late changes are late.").IntVar(&faults.LateMilliseconds)
-	command.Flag("requests-per-second", "Refuse calls beyond this rate; 0 is no limit.").Float64Var(&faults.RequestsPerSecond)
-	command.Flag("stuck-watches", "Keep watches open and deliver nothing.").BoolVar(&faults.StuckWatches)
+	command.Flag("lose-answers", "Probability that a write takes effect but its response is lost.").Float64Var(&faults.LoseAnswers)
+	command.Flag("lose-requests", "Probability that a write is lost.").Float64Var(&faults.LoseRequests)
+	command.Flag("late-effects", "Probability that a write takes effect after its connection has broken.").Float64Var(&faults.LateEffects)
+	command.Flag("late-ms", "Delay of late writes in milliseconds.").IntVar(&faults.LateMilliseconds)
+	command.Flag("requests-per-second", "Refuse calls above this rate; 0 for no limit.").Float64Var(&faults.RequestsPerSecond)
+	command.Flag("stuck-watches", "Keep watches open but deliver no events.").BoolVar(&faults.StuckWatches)
 	command.Action(action(func() error {
 		if err := faults.Validate(); err != nil {
 			return err
--- a/cmd/dykewingsim/machinelist.go
+++ b/cmd/dykewingsim/machinelist.go
@@ -13,10 +13,10 @@
 
 func registerMachineList(application *kingpin.Application) {
 	command := application.Command("machinelist", "Serve the stand-in of the machine list (HTTP service-discovery JSON).")
-	address := command.Flag("address", "Where it serves.").Default("127.0.0.1:0").String()
-	control := command.Flag("control-address", "Where faults and targets are set.").Default("127.0.0.1:0").String()
-	lag := command.Flag("lag", "How late changes show.").Default("2s").Duration()
-	file := command.Flag("targets", "File with the first list.").String()
+	address := command.Flag("address", "Address to listen on.").Default("127.0.0.1:0").String()
+	control := command.Flag("control-address", "Address of the control API for faults and targets.").Default("127.0.0.1:0").String()
+	lag := command.Flag("lag", "Delay until changes are visible.").Default("2s").Duration()
+	file := command.Flag("targets", "File with the initial list.").String()
 	command.Action(action(func() error {
 		server := machinelist.NewServer(*lag)
 		if *file != "" {
--- a/cmd/dykewingsim/platform.go
+++ b/cmd/dykewingsim/platform.go
@@ -13,20 +13,20 @@
 )
 
 func registerPlatform(application *kingpin.Application) {
-	command := application.Command("platform", "Serve the whole platform's stand-ins and write settings files for daemons that run as processes of their own.")
+	command := application.Command("platform", "Serve stand-ins of the whole platform and write settings files for daemons that run as separate processes.")
 	options := platform.DefaultOptions("")
 	command.Arg("folder", "Folder for the settings files and the stores' data.").Required().StringVar(&options.Folder)
 	integer := func(name, help string, target *int) {
 		command.Flag(name, help).Default(fmt.Sprint(*target)).IntVar(target)
 	}
-	integer("routers", "Settings files for routers.", &options.Routers)
-	integer("stores", "Settings files for stores.", &options.Stores)
-	integer("sidecars", "Settings files for sidecars.", &options.Sidecars)
-	integer("workers", "Engines for each row of the table.", &options.WorkersPerRow)
-	integer("zones", "Zones that daemons and engines are dealt out to.", &options.Zones)
-	integer("slots", "Requests at once at an engine.", &options.Engine.Slots)
-	command.Flag("step", "Time of an engine's step, which gives each request a token.").Default(options.Engine.Model.StepBase.String()).DurationVar(&options.Engine.Model.StepBase)
-	command.Flag("prefill", "Time of an engine to prefill 1000 tokens.").Default(options.Engine.Model.StepPrefill.String()).DurationVar(&options.Engine.Model.StepPrefill)
+	integer("routers", "Number of routers to write settings files for.", &options.Routers)
+	integer("stores", "Number of stores to write settings files for.", &options.Stores)
+	integer("sidecars", "Number of sidecars to write settings files for.", &options.Sidecars)
+	integer("workers", "Engines per row of the table.", &options.WorkersPerRow)
+	integer("zones", "Number of zones for daemons and engines.", &options.Zones)
+	integer("slots", "Maximum number of concurrent requests per engine.", &options.Engine.Slots)
+	command.Flag("step", "Duration of an engine step, which generates one token per request.").Default(options.Engine.Model.StepBase.String()).DurationVar(&options.Engine.Model.StepBase)
+	command.Flag("prefill", "Duration of prefilling 1000 tokens.").Default(options.Engine.Model.StepPrefill.String()).DurationVar(&options.Engine.Model.StepPrefill)
 	command.Action(action(func() error { return runPlatform(options) }))
 }
 
--- a/cmd/dykewingsim/run.go
+++ b/cmd/dykewingsim/run.go
@@ -21,7 +21,7 @@
 func registerRun(application *kingpin.Application) {
 	command := application.Command("run", "Run a scenario on virtual time and compare strategies.")
 	file := command.Arg("scenario", "YAML file of the scenario.").Required().String()
-	seed := command.Flag("seed", "Seed of all chance; the same seed gives the same report.").Default("1").Uint64()
+	seed := command.Flag("seed", "Random seed; the same seed gives the same report.").Default("1").Uint64()
 	output := command.Flag("output", "Format on standard output: table or json.").Default(outputTable).Enum(outputTable, outputJSON)
 	folder := command.Flag("folder", "Folder for the report: JSON, table and plots.").String()
 	only := command.Flag("strategies", "Comma-separated numbers of strategies to run, from 0.").String()
