--- a/internal/experiment/backlog.go
+++ b/internal/experiment/backlog.go
@@ -164,10 +164,10 @@
 		ID: r.fleet.newID("item"), Service: grant.key.Service, Place: grant.key.Place,
 		Class: api.ClassBatch, Repeatable: true, Prefix: grant.item.work.Blocks,
 	}
-	back := func() { r.requeue(grant.item) }
+	requeue := func() { r.requeue(grant.item) }
 	r.admit(request, grant.item.work, grant.item, attempt{
-		onNotRun: back,
-		onBreak:  back,
+		onNotRun: requeue,
+		onBroken: requeue,
 		onToken: func(_ int, last bool) {
 			if last {
 				r.fleet.measure.itemDone(r.fleet.simulation.Now(), grant.item)
--- a/internal/experiment/engineprocess.go
+++ b/internal/experiment/engineprocess.go
@@ -81,9 +81,9 @@
 	for _, action := range p.engine.Step(p.fleet.simulation.Now(), message) {
 		switch action := action.(type) {
 		case model.StartStep:
-			life := p.incarnation
+			incarnation := p.incarnation
 			p.fleet.simulation.After(action.Duration, func() {
-				if p.incarnation == life {
+				if p.incarnation == incarnation {
 					p.step(model.StepDone{})
 				}
 			})
--- a/internal/experiment/invariants.go
+++ b/internal/experiment/invariants.go
@@ -78,7 +78,7 @@
 	for _, router := range f.routers {
 		for _, summary := range router.machine.Summaries() {
 			if summary.Online+summary.Batch != 0 || len(router.inFlight) != 0 {
-				f.recordViolation("router %s accounts for %d online and %d batch with %d flights after all ended",
+				f.recordViolation("router %s accounts for %d online and %d batch with %d requests in flight after all ended",
 					router.node.ID, summary.Online, summary.Batch, len(router.inFlight))
 			}
 		}
--- a/internal/experiment/router.go
+++ b/internal/experiment/router.go
@@ -55,7 +55,7 @@
 }
 
 // step steps the machine and carries out its actions, except the answer to an
-// Arrive, which it returns.
+// arriving request, which it returns.
 func (r *router) step(message admission.Message) admission.Action {
 	var answer admission.Action
 	for _, action := range r.machine.Step(r.fleet.simulation.Now(), message) {
@@ -114,7 +114,7 @@
 // attempt holds the callbacks for the progress of one dispatch attempt.
 type attempt struct {
 	onToken  func(index int, last bool) // called when the token reaches the router
-	onBreak  func()                     // the response was cut off
+	onBroken func()                     // the response was cut off
 	onNotRun func()                     // refused, or the worker was unreachable
 }
 
@@ -145,7 +145,7 @@
 		onToken: func(index int, last bool) {
 			r.fleet.simulation.After(delay, func() { r.handleToken(flight, index, last) })
 		},
-		onBreak: func() { r.fleet.simulation.After(delay, func() { r.handleBreak(flight) }) },
+		onBreak: func() { r.fleet.simulation.After(delay, func() { r.handleBroken(flight) }) },
 	}
 	flight.execution = execution
 	r.fleet.simulation.After(delay, func() {
@@ -183,12 +183,12 @@
 	r.step(admission.Finished{Request: flight.request.ID})
 }
 
-func (r *router) handleBreak(flight *inFlightRequest) {
+func (r *router) handleBroken(flight *inFlightRequest) {
 	if flight.done {
 		return
 	}
 	r.end(flight)
-	flight.attempt.onBreak()
+	flight.attempt.onBroken()
 }
 
 func (r *router) handleUnreachable(flight *inFlightRequest, worker api.WorkerID) {
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -98,8 +98,8 @@
 	Prefix   int    `koanf:"prefix"`   // length of a shared prefix
 }
 
-// Length is a log-normal distribution of token counts. A Maximum of 0 means no
-// upper bound.
+// Length is a log-normal distribution of token counts. An upper bound of 0 means
+// none.
 type Length struct {
 	Median  int     `koanf:"median" validate:"min=0"`
 	Sigma   float64 `koanf:"sigma" validate:"min=0,max=3"`
--- a/internal/experiment/sidecar.go
+++ b/internal/experiment/sidecar.go
@@ -80,7 +80,7 @@
 	home.Sent.Add(1)
 	routed := request.routed
 	routed.ID = s.fleet.newID("attempt")
-	again := func() {
+	retry := func() {
 		s.fleet.simulation.After(delay, func() {
 			request.routed.Excluded = append(slices.Clip(request.routed.Excluded), home.Name)
 			s.fleet.measure.retried(request.work.Service, request.began)
@@ -89,8 +89,8 @@
 	}
 	s.fleet.simulation.After(delay, func() {
 		router.admit(routed, request.work, nil, attempt{
-			onNotRun: again,
-			onBreak:  again,
+			onNotRun: retry,
+			onBroken: retry,
 			onToken:  func(index int, last bool) { s.handleToken(request, delay, index, last) },
 		})
 	})
--- a/internal/load/batch.go
+++ b/internal/load/batch.go
@@ -70,7 +70,7 @@
 			return err
 		}
 	}
-	c.report.record(c.report.wholes, time.Since(c.intended))
+	c.report.record(c.report.totals, time.Since(c.intended))
 	return c.checkOutput(ctx, job.OutputFileID)
 }
 
--- a/internal/load/chat.go
+++ b/internal/load/chat.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	c.report.record(c.report.wholes, time.Since(c.intended))
+	c.report.record(c.report.totals, time.Since(c.intended))
 	return checkAnswer(answer, messages, c.options.Tokens)
 }
 
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -58,7 +58,7 @@
 	Whole         Latency `json:"whole"`
 
 	mutex                             sync.Mutex
-	firstToken, betweenTokens, wholes *hdrhistogram.Histogram
+	firstToken, betweenTokens, totals *hdrhistogram.Histogram
 }
 
 // Latency summarizes a latency histogram, in microseconds.
@@ -79,7 +79,7 @@
 
 func newReport() *Report {
 	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatency, significantFigures) }
-	return &Report{Failures: map[string]int{}, firstToken: histogram(), betweenTokens: histogram(), wholes: histogram()}
+	return &Report{Failures: map[string]int{}, firstToken: histogram(), betweenTokens: histogram(), totals: histogram()}
 }
 
 // errWrongAnswer is wrapped by errors for answers with unexpected content.
@@ -192,7 +192,7 @@
 func (r *Report) finish() {
 	r.FirstToken = latencyOf(r.firstToken)
 	r.BetweenTokens = latencyOf(r.betweenTokens)
-	r.Whole = latencyOf(r.wholes)
+	r.Whole = latencyOf(r.totals)
 }
 
 func latencyOf(histogram *hdrhistogram.Histogram) Latency {
--- a/internal/slopes/wire_test.go
+++ b/internal/slopes/wire_test.go
@@ -14,7 +14,7 @@
 )
 
 // Wire holds the HTTP overhead of one exchange over a persistent connection, in
-// addition to its JSON bodies. It excludes TCP and IP headers (see PacketBytes).
+// addition to its JSON bodies. It excludes TCP and IP headers.
 type Wire struct {
 	RequestHeader  int `json:"request_header_bytes"`
 	ResponseHeader int `json:"response_header_bytes"`
