--- a/cmd/dykewingctl/jobs.go
+++ b/cmd/dykewingctl/jobs.go
@@ -113,7 +113,7 @@
 }
 
 // show prints a job. If waiting was requested it first waits for the job to end
-// and returns an error if the job did not complete.
+// and returns an error if the job did not complete or has failed items.
 func (c *jobCommands) show(shown batch) error {
 	if !c.wait {
 		return c.print(shown, batchHeader, []string{shown.row()})
--- a/cmd/dykewingsim/run.go
+++ b/cmd/dykewingsim/run.go
@@ -61,7 +61,7 @@
 	for _, field := range strings.Split(text, ",") {
 		number, err := strconv.Atoi(field)
 		if err != nil || number < 0 || number >= len(all) {
-			return nil, fmt.Errorf("strategy %q is not a number within 0 to %d", field, len(all)-1)
+			return nil, fmt.Errorf("strategy %q is not a number from 0 to %d", field, len(all)-1)
 		}
 		chosen = append(chosen, all[number])
 	}
