--- a/internal/integration/failure_test.go
+++ b/internal/integration/failure_test.go
@@ -18,41 +18,41 @@
 
 // outcomeCounts counts the outcomes of the requests of one phase.
 type outcomeCounts struct {
-	calls    int
-	lost     int // no correct answer, and not reported as unknown
-	unknown  int // non-repeatable, reported as unknown
-	doubled  int // non-repeatable, started more than once
-	untrue   int // reported as not run, but started
-	repeated int // repeatable, started more than once
-	resumed  int // resumed streams
-	cut      int // broken connections to sidecars
-	note     string
+	calls             int
+	lost              int // no correct answer, and not reported as unknown
+	unknown           int // non-repeatable, reported as unknown
+	duplicated        int // non-repeatable, started more than once
+	falseNotRun       int // reported as not run, but started
+	repeated          int // repeatable, started more than once
+	resumed           int // resumed streams
+	brokenConnections int // broken connections to sidecars
+	example           string
 }
 
 func countOutcomes(calls []*call, cut int, executions map[string]engine.Executions) outcomeCounts {
-	t := outcomeCounts{calls: len(calls), cut: cut}
+	t := outcomeCounts{calls: len(calls), brokenConnections: cut}
 	for _, c := range calls {
 		ran := executions[c.marker]
 		t.resumed += ran.Resumed
 		repeatable := c.kind == kindStream || c.kind == kindUnary
 		switch {
-		case c.last.right:
+		case c.last.correct:
 		case !repeatable && c.last.outcome == api.OutcomeUnknown:
 			t.unknown++
-			t.note = fmt.Sprintf("%s: %s", c.marker, c.last.detail)
+			t.example = fmt.Sprintf("%s: %s", c.marker, c.last.detail)
 		default:
 			t.lost++
-			t.note = fmt.Sprintf("%s: %s", c.marker, c.last.detail)
+			t.example = fmt.Sprintf("%s: %s", c.marker, c.last.detail)
 		}
 		if ran.Started > 1 && repeatable {
 			t.repeated++
 		}
 		if ran.Started > 1 && !repeatable {
-			t.doubled++
-			t.note = fmt.Sprintf("%s started %d times", c.marker, ran.Started)
+			t.duplicated++
+			t.example = fmt.Sprintf("%s started %d times", c.marker, ran.Started)
 		}
 		if !repeatable && c.last.outcome == api.OutcomeNotRun && ran.Started > 0 {
-			t.untrue++
+			t.falseNotRun++
 		}
 	}
 	return t
@@ -62,12 +62,12 @@
 // and falsely reported requests are counted.
 func TestCountOutcomesDetectsDuplicateAndLostRequests(t *testing.T) {
 	calls := []*call{
-		{kind: kindKeyed, marker: "doubled", last: result{right: true}},
+		{kind: kindKeyed, marker: "doubled", last: result{correct: true}},
 		{kind: kindUnary, marker: "lost", last: result{detail: "half"}},
 		{kind: kindUnkeyed, marker: "untrue", last: result{outcome: api.OutcomeNotRun}},
 	}
 	got := countOutcomes(calls, 0, map[string]engine.Executions{"doubled": {Started: 2}, "untrue": {Started: 1}})
-	if got.doubled != 1 || got.lost != 2 || got.untrue != 1 {
+	if got.duplicated != 1 || got.lost != 2 || got.falseNotRun != 1 {
 		t.Fatalf("counts %+v", got)
 	}
 }
@@ -86,11 +86,11 @@
 			got := f.phase(name, role+"-0", signal, sidecars)
 			t.Logf("%-18s %+v", name, got)
 			planned := signal == syscall.SIGTERM
-			if got.lost != 0 || got.doubled != 0 || got.untrue != 0 {
-				t.Errorf("%s: %d lost, %d doubled, %d untrue: %s", name, got.lost, got.doubled, got.untrue, got.note)
+			if got.lost != 0 || got.duplicated != 0 || got.falseNotRun != 0 {
+				t.Errorf("%s: %d lost, %d doubled, %d untrue: %s", name, got.lost, got.duplicated, got.falseNotRun, got.example)
 			}
-			if planned && (got.cut != 0 || got.unknown != 0) {
-				t.Errorf("%s: a graceful stop broke %d connections and left %d requests unknown: %s", name, got.cut, got.unknown, got.note)
+			if planned && (got.brokenConnections != 0 || got.unknown != 0) {
+				t.Errorf("%s: a graceful stop broke %d connections and left %d requests unknown: %s", name, got.brokenConnections, got.unknown, got.example)
 			}
 		}
 	}
--- a/internal/integration/load_test.go
+++ b/internal/integration/load_test.go
@@ -34,7 +34,7 @@
 
 // result is the outcome of one attempt as seen by the caller.
 type result struct {
-	right   bool
+	correct bool
 	outcome api.Outcome // from the error response; unknown if the connection broke
 	refused bool        // connection refused
 	detail  string
@@ -87,7 +87,7 @@
 	if text := c.text(raw); text != c.want() {
 		return result{detail: fmt.Sprintf("answer %q", text)}
 	}
-	return result{right: true}
+	return result{correct: true}
 }
 
 func (c *call) want() string {
@@ -133,7 +133,7 @@
 	for turn := 0; ctx.Err() == nil; turn++ {
 		c.last = c.send(ctx, sidecars[turn%len(sidecars)])
 		switch {
-		case c.last.right:
+		case c.last.correct:
 			return cut
 		case c.last.refused || c.last.outcome == api.OutcomeNotRun:
 		case c.kind == kindKeyed && strings.Contains(c.last.detail, string(api.CodeAlreadySubmitted)):
--- a/internal/integration/processes_test.go
+++ b/internal/integration/processes_test.go
@@ -220,10 +220,10 @@
 func (f *fleet) probe(p *process) bool {
 	model := (&call{kind: kindUnary, marker: "probe"}).send(f.t.Context(), p.callers)
 	keyed := (&call{kind: kindKeyed, marker: fmt.Sprintf("probe-%d", time.Now().UnixNano())}).send(f.t.Context(), p.callers)
-	if !model.right || !keyed.right {
+	if !model.correct || !keyed.correct {
 		p.probeFailure = fmt.Sprintf("%+v %+v", model, keyed)
 	}
-	return model.right && keyed.right
+	return model.correct && keyed.correct
 }
 
 // executions sums the executions at all back ends by the caller's marker.
