--- a/cmd/dykewingctl/jobs.go
+++ b/cmd/dykewingctl/jobs.go
@@ -15,7 +15,7 @@
 
 const jobPollInterval = 500 * time.Millisecond
 
-// batch is what the tool reads of a batch in the OpenAI API's shape.
+// batch holds the fields of an OpenAI batch object that the tool uses.
 type batch struct {
 	ID            string `json:"id"`
 	Endpoint      string `json:"endpoint"`
@@ -44,12 +44,12 @@
 
 func (b batch) row() string {
 	return fmt.Sprintf("%s\t%s\t%d\t%d\t%d\t%s\t%s", b.ID, b.Status, b.RequestCounts.Total, b.RequestCounts.Completed,
-		b.RequestCounts.Failed, moment(b.CreatedAt), moment(b.ExpiresAt))
+		b.RequestCounts.Failed, formatTime(b.CreatedAt), formatTime(b.ExpiresAt))
 }
 
-func moment(seconds int64) string { return time.Unix(seconds, 0).UTC().Format(time.RFC3339) }
+func formatTime(seconds int64) string { return time.Unix(seconds, 0).UTC().Format(time.RFC3339) }
 
-// jobCommands are the flags of the jobs subcommands.
+// jobCommands holds the flags of the jobs subcommands.
 type jobCommands struct {
 	*session
 	tenant     string
@@ -66,23 +66,24 @@
 	target     string
 }
 
-// registerJobs adds the subcommands; act makes a function kingpin's action.
+// registerJobs adds the jobs subcommands; act wraps a function as a kingpin
+// action.
 func registerJobs(application *kingpin.Application, s *session, act func(func() error) kingpin.Action) {
 	c := &jobCommands{session: s}
 	group := application.Command("jobs", "Batch jobs, through a sidecar.")
-	group.Flag("tenant", "Tenant whose jobs are meant.").Envar("DYKEWING_TENANT").StringVar(&c.tenant)
+	group.Flag("tenant", "Tenant that owns the jobs.").Envar("DYKEWING_TENANT").StringVar(&c.tenant)
 
-	submit := group.Command("submit", "Upload a file of requests and submit a job over it.").Action(act(c.submit))
+	submit := group.Command("submit", "Upload a file of requests and submit a batch job for it.").Action(act(c.submit))
 	submit.Arg("file", "JSON lines, each with custom_id, method, url and body.").Required().ExistingFileVar(&c.file)
 	submit.Flag("endpoint", "Endpoint named in the job.").Default("/v1/chat/completions").StringVar(&c.endpoint)
 	submit.Flag("window", "Time in which the job must end.").Default("24h").StringVar(&c.window)
-	submit.Flag("key", "Idempotency key: a resend with it gives the same job.").StringVar(&c.key)
-	submit.Flag("repeatable", "Whether items may be sent again; as the table says when not given.").EnumVar(&c.repeatable, "true", "false")
+	submit.Flag("key", "Idempotency key: a resend with the same key returns the same job.").StringVar(&c.key)
+	submit.Flag("repeatable", "Whether items may be retried; by default as configured in the table.").EnumVar(&c.repeatable, "true", "false")
 	submit.Flag("wait", "Wait until the job has ended.").BoolVar(&c.wait)
 
 	list := group.Command("list", "List jobs, the newest first.").Action(act(c.list))
-	list.Flag("limit", "At most so many, up to 100.").Default("20").IntVar(&c.limit)
-	list.Flag("after", "Begin after this job.").StringVar(&c.after)
+	list.Flag("limit", "Maximum number of jobs, up to 100.").Default("20").IntVar(&c.limit)
+	list.Flag("after", "List jobs after this one.").StringVar(&c.after)
 
 	status := group.Command("status", "Show one job.").Action(act(c.status))
 	status.Arg("job", "Id of the job.").Required().StringVar(&c.id)
@@ -90,10 +91,10 @@
 
 	results := group.Command("results", "Write a job's results as JSON lines.").Action(act(c.results))
 	results.Arg("job", "Id of the job.").Required().StringVar(&c.id)
-	results.Flag("errors", "The items that failed, in place of those that completed.").BoolVar(&c.failures)
-	results.Flag("file", "Write to this file, in place of the standard output.").StringVar(&c.target)
+	results.Flag("errors", "Write failed items instead of completed ones.").BoolVar(&c.failures)
+	results.Flag("file", "Write to this file instead of standard output.").StringVar(&c.target)
 
-	cancel := group.Command("cancel", "Cancel a job: no more of its items start.").Action(act(c.cancel))
+	cancel := group.Command("cancel", "Cancel a job; no further items are started.").Action(act(c.cancel))
 	cancel.Arg("job", "Id of the job.").Required().StringVar(&c.id)
 }
 
@@ -111,8 +112,8 @@
 	return c.show(submitted)
 }
 
-// show prints a job, after its end when that is asked for; a job that did not
-// complete is an error then.
+// show prints a job. If waiting was requested it first waits for the job to end
+// and returns an error if the job did not complete or has failed items.
 func (c *jobCommands) show(shown batch) error {
 	if !c.wait {
 		return c.print(shown, batchHeader, []string{shown.row()})
@@ -208,14 +209,14 @@
 		out = created
 	}
 	if file == "" {
-		return nil // there is no such item
+		return nil // no such item
 	}
 	bar := newProgress(os.Stderr, "results", lines)
 	defer bar.end()
 	return c.download(file, io.MultiWriter(out, lineCounter{bar}))
 }
 
-// lineCounter moves a progress bar by the lines that are written to it.
+// lineCounter advances a progress bar for each line written to it.
 type lineCounter struct{ bar *progress }
 
 func (l lineCounter) Write(written []byte) (int, error) {
@@ -227,7 +228,7 @@
 	return len(written), nil
 }
 
-// answerContext bounds the wait for one answer.
-func (c *jobCommands) answerContext() (context.Context, context.CancelFunc) {
+// newContext returns a context with the timeout for one response.
+func (c *jobCommands) newContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), c.timeout)
 }
--- a/cmd/dykewingctl/main.go
+++ b/cmd/dykewingctl/main.go
@@ -1,4 +1,5 @@
-// Command dykewingctl is for operators: the table, jobs and nodes.
+// Command dykewingctl is the operator's tool for the routing table, batch jobs and
+// nodes.
 package main
 
 import (
@@ -17,7 +18,7 @@
 
 const exitFailure = 1
 
-// session is what every subcommand needs.
+// session holds the flags and clients shared by all subcommands.
 type session struct {
 	node    string // internal address of any node
 	sidecar string // callers' address of a sidecar
@@ -39,7 +40,7 @@
 	application.Flag("node", "Internal address (IP:port) of any node.").Envar("DYKEWING_NODE").StringVar(&s.node)
 	application.Flag("sidecar", "Callers' address (IP:port) of a sidecar.").Envar("DYKEWING_SIDECAR").StringVar(&s.sidecar)
 	application.Flag("output", "table or json.").Default(outputTable).EnumVar(&s.output, outputTable, outputJSON)
-	application.Flag("timeout", "How long to wait for an answer.").Default("10s").DurationVar(&s.timeout)
+	application.Flag("timeout", "Timeout of one call.").Default("10s").DurationVar(&s.timeout)
 	registerNodes(application, s)
 	registerJobs(application, s, action)
 	registerQuarantine(application, s)
@@ -65,8 +66,8 @@
 	return writer.Flush()
 }
 
-// action turns a subcommand's function into kingpin's; its error ends the
-// program with a clear line and a non-zero code.
+// action wraps a subcommand as a kingpin action. An error is printed on one line
+// and the program exits with a non-zero code.
 func action(run func() error) kingpin.Action {
 	return func(*kingpin.ParseContext) error {
 		if err := run(); err != nil {
--- a/cmd/dykewingctl/table_import.go
+++ b/cmd/dykewingctl/table_import.go
@@ -17,27 +17,28 @@
 	dryRun bool
 }
 
-// plannedEdit is what an import makes of one line; nothing for equal rows.
+// plannedEdit is the edit for one imported line. Rows that are equal to the
+// table's need none.
 type plannedEdit struct {
 	line  table.Line
 	edit  api.TableEdit
-	text  string // the difference, for people
+	text  string // human-readable difference
 	equal bool
 }
 
-// importOutcome is one line's result, for --output json.
+// importOutcome is the result of one line, for --output json.
 type importOutcome struct {
 	Line   int             `json:"line"`
 	Key    api.RowKey      `json:"key"`
 	Change string          `json:"change"`
 	Equal  bool            `json:"equal,omitempty"`
-	Result *api.EditResult `json:"result,omitempty"` // nil: not sent
+	Result *api.EditResult `json:"result,omitempty"` // nil if not sent
 }
 
 func registerTableImport(command *kingpin.CmdClause, s *session) {
 	flags := &importFlags{}
-	clause := command.Command("import", "Bring the table to what a CSV file says; rows that are not in the file stay. An import that broke off goes on when it is run again.")
-	clause.Arg("file", "The file; - is standard input.").Required().StringVar(&flags.file)
+	clause := command.Command("import", "Apply the rows of a CSV file to the table; rows that are not in the file are unchanged. An interrupted import can be run again.")
+	clause.Arg("file", "CSV file; - for standard input.").Required().StringVar(&flags.file)
 	clause.Flag("dry-run", "Only check the file and show what would change.").BoolVar(&flags.dryRun)
 	clause.Action(action(func() error { return s.importTable(flags) }))
 }
@@ -64,7 +65,7 @@
 		if !planned.equal && !flags.dryRun {
 			result, err := s.sendEdit(planned.edit)
 			if err != nil {
-				return fmt.Errorf("line %d, row %s: %w; run the import again to go on", planned.line.Number, planned.line.Key, err)
+				return fmt.Errorf("line %d, row %s: %w; run the import again to continue", planned.line.Number, planned.line.Key, err)
 			}
 			outcome.Result = &result
 			if result.Outcome != api.EditAccepted {
@@ -79,7 +80,7 @@
 		return err
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d of %d rows were not accepted; run the import again to go on", failed, len(plan))
+		return fmt.Errorf("%d of %d rows were not accepted; run the import again to continue", failed, len(plan))
 	}
 	return nil
 }
@@ -95,8 +96,8 @@
 	return input, nil
 }
 
-// planImport compares the file with the table. Each edit expects the row as it
-// was read, so that an edit of another operator meanwhile is not overwritten.
+// planImport compares the file with the table. Each edit expects the revision that
+// was read, so that concurrent edits are not overwritten.
 func planImport(lines []table.Line, rows []api.VersionedRow) []plannedEdit {
 	standing := map[api.RowKey]api.VersionedRow{}
 	for _, row := range rows {
--- a/cmd/dykewingsim/load.go
+++ b/cmd/dykewingsim/load.go
@@ -19,16 +19,16 @@
 	options := load.DefaultOptions()
 	command.Flag("url", "Base URL for callers, with /v1.").Required().StringVar(&options.URL)
 	class := command.Flag("class", "online: streamed chats; batch: jobs of --items items.").Default(string(options.Class)).Enum(string(api.ClassOnline), string(api.ClassBatch))
-	model := command.Flag("model", "The service asked for.").Default(string(options.Model)).String()
-	tenant := command.Flag("tenant", "Whom the work is accounted to.").Default(string(options.Tenant)).String()
-	command.Flag("rate", "Arrivals a second.").Default(fmt.Sprint(options.Rate)).Float64Var(&options.Rate)
-	command.Flag("duration", "How long requests arrive.").Default(options.Duration.String()).DurationVar(&options.Duration)
-	command.Flag("tokens", "Tokens of an answer.").Default(fmt.Sprint(options.Tokens)).IntVar(&options.Tokens)
-	command.Flag("prompt-bytes", "Bytes of a prompt.").Default(fmt.Sprint(options.PromptBytes)).IntVar(&options.PromptBytes)
-	command.Flag("items", "Items of a batch job.").Default(fmt.Sprint(options.Items)).IntVar(&options.Items)
-	command.Flag("timeout", "Of one request or job.").Default(options.Timeout.String()).DurationVar(&options.Timeout)
-	command.Flag("maximum-open", "Requests in flight; arrivals beyond are counted and not sent.").Default(fmt.Sprint(options.MaximumOpen)).IntVar(&options.MaximumOpen)
-	command.Flag("seed", "Seed of the arrivals and prompts.").Default("1").Uint64Var(&options.Seed)
+	model := command.Flag("model", "Service to request.").Default(string(options.Model)).String()
+	tenant := command.Flag("tenant", "Tenant to which the requests are accounted.").Default(string(options.Tenant)).String()
+	command.Flag("rate", "Arrivals per second.").Default(fmt.Sprint(options.Rate)).Float64Var(&options.Rate)
+	command.Flag("duration", "Duration of arrivals.").Default(options.Duration.String()).DurationVar(&options.Duration)
+	command.Flag("tokens", "Tokens per answer.").Default(fmt.Sprint(options.Tokens)).IntVar(&options.Tokens)
+	command.Flag("prompt-bytes", "Bytes per prompt.").Default(fmt.Sprint(options.PromptBytes)).IntVar(&options.PromptBytes)
+	command.Flag("items", "Items per batch job.").Default(fmt.Sprint(options.Items)).IntVar(&options.Items)
+	command.Flag("timeout", "Timeout of one request or job.").Default(options.Timeout.String()).DurationVar(&options.Timeout)
+	command.Flag("maximum-open", "Maximum number of requests in flight; further arrivals are dropped and counted.").Default(fmt.Sprint(options.MaximumOpen)).IntVar(&options.MaximumOpen)
+	command.Flag("seed", "Random seed of arrivals and prompts.").Default("1").Uint64Var(&options.Seed)
 	output := command.Flag("output", "table or json.").Default(outputTable).Enum(outputTable, outputJSON)
 	command.Action(action(func() error {
 		options.Class, options.Model, options.Tenant = api.Class(*class), api.ServiceName(*model), api.TenantID(*tenant)
@@ -36,7 +36,8 @@
 	}))
 }
 
-// runLoad fails when an answer was wrong; refusals and failures are reported.
+// runLoad runs the load and prints its report. It returns an error if any answer
+// was wrong or no request was answered.
 func runLoad(options load.Options, output string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -63,7 +64,8 @@
 	return nil
 }
 
-// progressLine rewrites one line of standard error, at most some times a second.
+// progressLine returns a function that rewrites one line of standard error, at a
+// limited rate.
 func progressLine() func(string) {
 	const every = 200 * time.Millisecond
 	var last time.Time
--- a/cmd/dykewingsim/run.go
+++ b/cmd/dykewingsim/run.go
@@ -12,7 +12,7 @@
 	"github.com/dykewing/dykewing/internal/experiment"
 )
 
-// Output formats of run.
+// Output formats of the run subcommand.
 const (
 	outputTable = "table"
 	outputJSON  = "json"
@@ -21,7 +21,7 @@
 func registerRun(application *kingpin.Application) {
 	command := application.Command("run", "Run a scenario on virtual time and compare strategies.")
 	file := command.Arg("scenario", "YAML file of the scenario.").Required().String()
-	seed := command.Flag("seed", "Seed of all chance; the same seed gives the same report.").Default("1").Uint64()
+	seed := command.Flag("seed", "Random seed; the same seed gives the same report.").Default("1").Uint64()
 	output := command.Flag("output", "Format on standard output: table or json.").Default(outputTable).Enum(outputTable, outputJSON)
 	folder := command.Flag("folder", "Folder for the report: JSON, table and plots.").String()
 	only := command.Flag("strategies", "Comma-separated numbers of strategies to run, from 0.").String()
@@ -61,7 +61,7 @@
 	for _, field := range strings.Split(text, ",") {
 		number, err := strconv.Atoi(field)
 		if err != nil || number < 0 || number >= len(all) {
-			return nil, fmt.Errorf("strategy %q is not a number within 0 to %d", field, len(all)-1)
+			return nil, fmt.Errorf("strategy %q is not a number from 0 to %d", field, len(all)-1)
 		}
 		chosen = append(chosen, all[number])
 	}
