--- a/internal/standin/address/address.go
+++ b/internal/standin/address/address.go
@@ -1,5 +1,5 @@
-// Package address gives tests addresses of this machine on which nobody else listens.
-// Nothing is asked of the system and bound later: another process could come between.
+// Package address allocates loopback addresses for tests. They are derived from the process ID, since
+// a free port that the system returns could be taken by another process before it is bound.
 package address
 
 import (
@@ -9,26 +9,25 @@
 )
 
 const (
-	// FirstPort and the ones after it lie below those that systems give to
-	// connections and to listeners that ask for any.
+	// FirstPort is the lowest port. Ports are below the ephemeral range.
 	FirstPort = 7101
-	// Addresses end with numbers from firstHost on; all have three digits, so that
-	// they sort as text as they were given.
+	// firstHost is the last byte of the first address. All last bytes have three digits, so that
+	// addresses sort as text in order of allocation.
 	firstHost = 100
 	hosts     = 150
 )
 
-// taken counts the addresses that this process has given.
-var taken atomic.Uint32
+// allocated is the number of addresses allocated by this process.
+var allocated atomic.Uint32
 
-// New gives an address of the loopback network, with portsAHost ports of its own, that this process has not given
-// before; its middle is the number of the process.
+// New returns a loopback address that this process has not allocated before. The caller may use
+// portsPerHost ports from the returned one on.
 func New() netip.AddrPort {
-	n := taken.Add(1) - 1
+	n := allocated.Add(1) - 1
 	process := os.Getpid()
 	host := netip.AddrFrom4([4]byte{127, byte(64 + process>>8&63), byte(process), byte(firstHost + n%hosts)})
-	return netip.AddrPortFrom(host, uint16(FirstPort+portsAHost*(n/hosts)))
+	return netip.AddrPortFrom(host, uint16(FirstPort+portsPerHost*(n/hosts)))
 }
 
-// portsAHost is how many ports from the given one on are the caller's.
-const portsAHost = 4
+// portsPerHost is the number of consecutive ports reserved for each address.
+const portsPerHost = 4
--- a/internal/standin/address/address_test.go
+++ b/internal/standin/address/address_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-func TestAddressesAreNeverGivenTwiceAndCanBeBound(t *testing.T) {
+func TestAddressesAreUniqueAndBindable(t *testing.T) {
 	given := map[netip.AddrPort]bool{}
 	for range 3 * hosts {
 		each := New()
 		if given[each] {
-			t.Fatalf("%s is given twice", each)
+			t.Fatalf("%s was allocated twice", each)
 		}
 		given[each] = true
 		listener, err := net.Listen("tcp", each.String())
@@ -22,9 +22,9 @@
 	}
 }
 
-func TestAddressesSortAsTextAsTheyWereGiven(t *testing.T) {
+func TestAddressesSortInAllocationOrder(t *testing.T) {
 	first, second := New(), New()
 	if first.Port() == second.Port() && first.String() >= second.String() {
-		t.Errorf("%s before %s", first, second)
+		t.Errorf("%s was allocated before %s", first, second)
 	}
 }
--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/answer.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// Tokens gives the answer that an engine makes for a prompt.
+// Tokens returns the count tokens that an engine generates for a prompt. They depend on the prompt
+// only.
 func Tokens(prompt []byte, count int) []string {
 	hash := fnv.New32a()
 	_, _ = hash.Write(prompt)
@@ -23,7 +24,7 @@
 	return tokens
 }
 
-// writeCompletion writes a whole answer, or breaks it off as faults say.
+// writeCompletion writes a complete response, or breaks it off if a fault is injected.
 func (e *Engine) writeCompletion(w http.ResponseWriter, id string, request chatRequest) {
 	raw, _ := json.Marshal(completion(id, request.Model, strings.Join(request.tokens(), ""), request.MaxTokens))
 	raw = append(raw, '\n')
--- a/internal/standin/engine/control.go
+++ b/internal/standin/engine/control.go
@@ -9,29 +9,29 @@
 	"github.com/dykewing/dykewing/internal/standin/engine/model"
 )
 
-// Faults are what an engine does wrong; a POST to PathControl replaces them.
+// Faults are injected into an engine; a POST to PathControl replaces them. The zero value injects none.
 type Faults struct {
-	Die            bool    `json:"die,omitempty"`              // breaks all connections, now and later
-	Hang           bool    `json:"hang,omitempty"`             // accepts requests and makes no token
-	Slow           float64 `json:"slow,omitempty"`             // factor of the time of steps; 0 and 1 are none
-	Leave          bool    `json:"leave,omitempty"`            // refuses new work, finishes what it has
-	TruncateAfter  int     `json:"truncate_after,omitempty"`   // breaks streams after so many tokens, other answers half way
-	LieAboutLength bool    `json:"lie_about_length,omitempty"` // promises twice the bytes of answers that are not streamed
-	DropReports    bool    `json:"drop_reports,omitempty"`     // load reports and cache events fail
+	Die            bool    `json:"die,omitempty"`              // breaks all open and new connections
+	Hang           bool    `json:"hang,omitempty"`             // accepts requests without generating tokens
+	Slow           float64 `json:"slow,omitempty"`             // factor of the step time; 0 means 1
+	Leave          bool    `json:"leave,omitempty"`            // drains: rejects new requests, finishes running ones
+	TruncateAfter  int     `json:"truncate_after,omitempty"`   // breaks streams after this many tokens, other responses halfway
+	LieAboutLength bool    `json:"lie_about_length,omitempty"` // doubles the Content-Length of responses that are not streamed
+	DropReports    bool    `json:"drop_reports,omitempty"`     // makes load reports and cache events fail
 }
 
-// slowed is the time that a step takes.
-func (f *Faults) slowed(duration time.Duration) time.Duration {
+// scale applies the Slow factor to a duration.
+func (f *Faults) scale(duration time.Duration) time.Duration {
 	if f.Slow <= 0 {
 		return duration
 	}
 	return time.Duration(f.Slow * float64(duration))
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (e *Engine) SetFaults(faults Faults) {
 	e.faults.Store(&faults)
-	e.shell.apply(faults)
+	e.driver.applyFaults(faults)
 }
 
 func (e *Engine) setFaults(w http.ResponseWriter, r *http.Request) {
@@ -53,8 +53,8 @@
 		writeEngineError(w, http.StatusServiceUnavailable, "no report")
 		return
 	}
-	load := e.shell.load()
-	apps := int(e.apps.Load())
+	load := e.driver.load()
+	apps := int(e.applicationRequests.Load())
 	writeJSON(w, map[string]any{
 		"running": load.Running + min(apps, e.settings.Slots), "waiting": load.Waiting + max(apps-e.settings.Slots, 0),
 		"slots": e.settings.Slots, "leaving": load.Leaving, "free_share": load.FreeShare, "version": load.Version,
@@ -74,7 +74,7 @@
 	case err != nil:
 		writeEngineError(w, http.StatusBadRequest, err.Error())
 	default:
-		writeJSON(w, CacheEventsAnswer{Events: e.shell.cacheEvents(after)})
+		writeJSON(w, CacheEventsAnswer{Events: e.driver.cacheEvents(after)})
 	}
 }
 
@@ -84,7 +84,7 @@
 		writeEngineError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	answer := e.shell.order(order)
+	answer := e.driver.order(order)
 	w.Header().Set("Content-Type", "application/json")
 	if !answer.Accepted {
 		w.WriteHeader(http.StatusConflict)
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,7 +1,7 @@
-// Package engine is a stand-in for a model engine and for an application back
-// end: it speaks the OpenAI HTTP API with made-up tokens that depend only on
-// the prompt, so that every answer can be checked. The time that tokens take
-// comes from package model, in real time. Faults are set at PathControl.
+// Package engine is a fake of a model engine and of an application backend. It implements the OpenAI
+// HTTP API with synthetic tokens that depend on the prompt only, so that every response can be
+// verified. Token timing comes from package model, run in real time. Faults are injected at
+// PathControl.
 package engine
 
 import (
@@ -16,27 +16,27 @@
 	"github.com/dykewing/dykewing/internal/standin/engine/model"
 )
 
-// Paths beside the OpenAI API.
+// Paths in addition to the OpenAI API.
 const (
-	PathLoad        = "/load"             // GET, lagging load report
-	PathCacheEvents = "/cache/events"     // GET, ?after=sequence
+	PathLoad        = "/load"             // GET: load report with a lag
+	PathCacheEvents = "/cache/events"     // GET ?after=sequence
 	PathOrders      = "/orders"           // POST model.Order: load a version
 	PathControl     = "/control"          // GET and POST Faults
-	PathExecutions  = "/debug/executions" // GET, by request id
+	PathExecutions  = "/debug/executions" // GET: executions by request ID
 )
 
 // Settings of an Engine.
 type Settings struct {
-	Slots           int           // requests it runs at once at full speed
-	ApplicationTime time.Duration // of a request to an application
+	Slots           int           // concurrent requests
+	ApplicationTime time.Duration // duration of an application request
 	DefaultTokens   int
 	Model           model.Settings
-	// Running is told of each streamed request that begins to run (1) and, before
-	// the last of it is written, that it ends (-1). May be nil.
+	// Running is called with 1 when a streamed request starts and with -1 before its last event
+	// is written; may be nil.
 	Running func(change int64)
 }
 
-// DefaultSettings are a small, quick engine: a millisecond a step.
+// DefaultSettings returns the settings of a small, fast engine with steps of 1 ms.
 func DefaultSettings() Settings {
 	settings := Settings{Slots: 8, ApplicationTime: 5 * time.Millisecond, DefaultTokens: 16, Model: model.DefaultSettings()}
 	settings.Model.StepBase = time.Millisecond
@@ -46,23 +46,23 @@
 	return settings
 }
 
-// Engine is an http.Handler.
+// Engine is an http.Handler that implements the API. It is safe for concurrent use.
 type Engine struct {
-	settings Settings
-	mux      *http.ServeMux
-	shell    *shell
-	memory   *memory
-	faults   atomic.Pointer[Faults]
-	apps     atomic.Int64 // application requests that run
-	served   atomic.Int64
+	settings            Settings
+	mux                 *http.ServeMux
+	driver              *driver
+	log                 *requestLog
+	faults              atomic.Pointer[Faults]
+	applicationRequests atomic.Int64 // running application requests
+	served              atomic.Int64
 }
 
-// New makes an engine.
+// New returns an engine. Settings.Slots overrides Settings.Model.MaximumSequences.
 func New(settings Settings) *Engine {
 	settings.Model.MaximumSequences = settings.Slots
-	engine := &Engine{settings: settings, mux: http.NewServeMux(), memory: newMemory()}
+	engine := &Engine{settings: settings, mux: http.NewServeMux(), log: newRequestLog()}
 	engine.faults.Store(&Faults{})
-	engine.shell = newShell(settings.Model, &engine.faults)
+	engine.driver = newDriver(settings.Model, &engine.faults)
 	engine.mux.HandleFunc("POST /v1/chat/completions", engine.serveChat)
 	engine.mux.HandleFunc("POST /v1/completions", engine.serveChat)
 	engine.mux.HandleFunc("POST /v1/services/{service}/{path...}", engine.serveApplication)
@@ -76,15 +76,15 @@
 	return engine
 }
 
-// Served counts the requests that ran to their end.
+// Served returns the number of completed requests.
 func (e *Engine) Served() int64 { return e.served.Load() }
 
-// ServeHTTP serves the engine's API.
+// ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if e.faults.Load().Die && r.URL.Path != PathControl {
 		panic(http.ErrAbortHandler)
 	}
-	e.observe(w, r)
+	e.record(w, r)
 }
 
 type chatRequest struct {
@@ -93,7 +93,7 @@
 	Prompt    json.RawMessage `json:"prompt"`
 	MaxTokens int             `json:"max_tokens"`
 	Stream    bool            `json:"stream"`
-	Priority  int             `json:"priority"` // lower goes first, as in the API's extensions
+	Priority  int             `json:"priority"` // lower values first, as in the API's extensions
 }
 
 func (e *Engine) parse(body []byte) (chatRequest, error) {
@@ -120,17 +120,17 @@
 		return
 	}
 	id := r.Header.Get(api.HeaderRequestID)
-	run := e.shell.start(id, body, request, r.Header.Get(api.HeaderResume) == "true")
-	defer e.shell.cancel(run)
+	run := e.driver.start(id, body, request, r.Header.Get(api.HeaderResume) == "true")
+	defer e.driver.cancel(run)
 	if request.Stream {
 		e.stream(w, r, run, id, request, 0)
 		return
 	}
-	e.answer(w, r, run, id, request)
+	e.respond(w, r, run, id, request)
 }
 
-// answer gives the whole answer once it is there.
-func (e *Engine) answer(w http.ResponseWriter, r *http.Request, run *run, id string, request chatRequest) {
+// respond writes the complete response once all tokens are generated.
+func (e *Engine) respond(w http.ResponseWriter, r *http.Request, run *run, id string, request chatRequest) {
 	if !e.await(w, r, run, id, request.MaxTokens) {
 		return
 	}
@@ -138,31 +138,31 @@
 	e.served.Add(1)
 }
 
-// await waits for so many tokens; when they will not come it answers or breaks
-// the connection and is false.
+// await waits until the run has generated the given number of tokens. If the run fails, it writes an
+// error response or breaks the connection, and returns false.
 func (e *Engine) await(w http.ResponseWriter, r *http.Request, run *run, id string, tokens int) bool {
-	switch e.shell.await(r.Context(), run, tokens) {
-	case awaitedTokens:
+	switch e.driver.await(r.Context(), run, tokens) {
+	case waitTokens:
 		return true
-	case awaitedRejection:
-		e.refuse(w, id, run.rejected)
-	case awaitedDeath:
+	case waitRejected:
+		e.reject(w, id, run.rejected)
+	case waitEngineDead:
 		panic(http.ErrAbortHandler)
 	}
 	return false
 }
 
-// refuse answers a request that has not run.
-func (e *Engine) refuse(w http.ResponseWriter, id, reason string) {
-	e.memory.update(id, func(known *remembered) { known.executions.Started-- })
+// reject responds to a request that has not run.
+func (e *Engine) reject(w http.ResponseWriter, id, reason string) {
+	e.log.update(id, func(known *requestRecord) { known.executions.Started-- })
 	w.Header().Set("Retry-After", "1")
 	w.Header().Set(api.HeaderOutcome, string(api.OutcomeNotRun))
 	writeEngineError(w, http.StatusServiceUnavailable, reason)
 }
 
-// stream writes events from the given one on, as their tokens come.
+// stream writes events, starting with number from, as their tokens are generated.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, run *run, id string, request chatRequest, from int) {
-	ended := e.counted()
+	ended := e.trackRunning()
 	defer ended()
 	tokens := request.tokens()
 	controller := http.NewResponseController(w)
@@ -186,8 +186,8 @@
 	e.served.Add(1)
 }
 
-// counted counts a request as running until what it gives is called.
-func (e *Engine) counted() (ended func()) {
+// trackRunning counts a request as running until the returned function is called.
+func (e *Engine) trackRunning() (ended func()) {
 	if e.settings.Running == nil {
 		return func() {}
 	}
@@ -197,13 +197,13 @@
 
 func (e *Engine) serveApplication(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	if e.shell.leaving() {
-		e.refuse(w, r.Header.Get(api.HeaderRequestID), model.ReasonLeaving)
+	if e.driver.leaving() {
+		e.reject(w, r.Header.Get(api.HeaderRequestID), model.ReasonLeaving)
 		return
 	}
-	e.apps.Add(1)
-	defer e.apps.Add(-1)
-	if !e.wait(r, e.settings.ApplicationTime) {
+	e.applicationRequests.Add(1)
+	defer e.applicationRequests.Add(-1)
+	if !e.simulateApplication(r, e.settings.ApplicationTime) {
 		return
 	}
 	e.served.Add(1)
@@ -214,15 +214,16 @@
 	})
 }
 
-// wait takes the time of an application's request.
-func (e *Engine) wait(r *http.Request, duration time.Duration) bool {
+// simulateApplication waits for the duration of an application request. It returns false if the
+// client cancels first.
+func (e *Engine) simulateApplication(r *http.Request, duration time.Duration) bool {
 	faults := e.faults.Load()
 	if faults.Hang {
 		<-r.Context().Done()
 		return false
 	}
 	select {
-	case <-time.After(faults.slowed(duration)):
+	case <-time.After(faults.scale(duration)):
 		return true
 	case <-r.Context().Done():
 		return false
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -48,9 +48,9 @@
 	return string(raw), err
 }
 
-// wantTokens checks that each token from from on comes so many times, and no
-// other.
-func wantTokens(t *testing.T, text string, from, to, times int) {
+// checkTokens checks that each token in [from, to) occurs the given number of times, and earlier
+// ones not at all.
+func checkTokens(t *testing.T, text string, from, to, times int) {
 	t.Helper()
 	for i, token := range Tokens([]byte(testMessages), to) {
 		want := times
@@ -58,28 +58,28 @@
 			want = 0
 		}
 		if got := strings.Count(text, token); got != want {
-			t.Fatalf("token %d comes %d times in %q", i, got, text)
+			t.Fatalf("token %d occurs %d times in %q", i, got, text)
 		}
 	}
 }
 
-func TestAnswersCarryThePromptsTokens(t *testing.T) {
+func TestResponsesContainExpectedTokens(t *testing.T) {
 	engine, url := testServer(t)
-	times := map[bool]int{false: 2, true: 1} // a whole answer has its text as message and as completion
+	times := map[bool]int{false: 2, true: 1} // a complete response contains its text as message and as completion
 	for id, stream := range map[string]bool{"whole": false, "streamed": true} {
 		response, err := send(t, url, id, stream, 9, nil)
 		text, err := readAll(t, response, err)
 		if err != nil {
 			t.Fatal(err)
 		}
-		wantTokens(t, text, 0, 9, times[stream])
+		checkTokens(t, text, 0, 9, times[stream])
 		if got := engine.Executions()[id]; got.Started != 1 || got.Completed != 1 {
 			t.Errorf("%s: executions %+v", id, got)
 		}
 	}
 }
 
-func TestResumeGivesTheRestWithoutAnotherExecution(t *testing.T) {
+func TestResumeContinuesWithoutAnotherExecution(t *testing.T) {
 	engine, url := testServer(t)
 	response, err := send(t, url, "r", true, 8, nil)
 	if _, err := readAll(t, response, err); err != nil {
@@ -90,7 +90,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wantTokens(t, text, 3, 8, 1)
+	checkTokens(t, text, 3, 8, 1)
 	response, err = send(t, url, "r", false, 8, http.Header{api.HeaderResume: {"true"}})
 	if _, err := readAll(t, response, err); err != nil {
 		t.Fatal(err)
@@ -109,15 +109,15 @@
 	_, _ = io.ReadFull(response.Body, make([]byte, 10))
 	response.Body.Close()
 	for range 1000 {
-		engine.shell.mutex.Lock()
-		left := engine.shell.engine.InFlight()
-		engine.shell.mutex.Unlock()
+		engine.driver.mutex.Lock()
+		left := engine.driver.engine.InFlight()
+		engine.driver.mutex.Unlock()
 		if left == 0 {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the execution goes on")
+	t.Fatal("the execution was not cancelled")
 }
 
 func setFaults(t *testing.T, url string, faults Faults) {
@@ -130,7 +130,7 @@
 	response.Body.Close()
 }
 
-func TestFaultsBreakAnswers(t *testing.T) {
+func TestFaultsBreakResponses(t *testing.T) {
 	cases := map[string]struct {
 		faults Faults
 		stream bool
@@ -146,17 +146,17 @@
 		setFaults(t, url, test.faults)
 		response, err := send(t, url, "r", test.stream, 9, nil)
 		if text, err := readAll(t, response, err); err == nil {
-			t.Errorf("%s: got the answer %q as whole", name, text)
+			t.Errorf("%s: response %q appears complete", name, text)
 		}
 		setFaults(t, url, Faults{})
 		response, err = send(t, url, "r2", test.stream, 9, nil)
 		if text, err := readAll(t, response, err); err != nil {
-			t.Errorf("%s: after it %q: %v", name, text, err)
+			t.Errorf("%s: after the fault: %q: %v", name, text, err)
 		}
 	}
 }
 
-func TestLeavingEngineRefusesAsNotRun(t *testing.T) {
+func TestDrainingEngineRejectsAsNotRun(t *testing.T) {
 	engine, url := testServer(t)
 	setFaults(t, url, Faults{Leave: true})
 	response, err := send(t, url, "r", false, 3, nil)
@@ -168,11 +168,11 @@
 		t.Fatalf("status %d, outcome %q", response.StatusCode, response.Header.Get(api.HeaderOutcome))
 	}
 	if got := engine.Executions()["r"].Started; got != 0 {
-		t.Fatalf("a refused request counts as started %d times", got)
+		t.Fatalf("rejected request was counted as started %d times", got)
 	}
 }
 
-func TestHungEngineGoesOnAfterwards(t *testing.T) {
+func TestHungEngineRecovers(t *testing.T) {
 	_, url := testServer(t)
 	setFaults(t, url, Faults{Hang: true})
 	answered := make(chan error, 1)
@@ -183,7 +183,7 @@
 	}()
 	select {
 	case err := <-answered:
-		t.Fatalf("a hung engine answered: %v", err)
+		t.Fatalf("hung engine responded: %v", err)
 	case <-time.After(50 * time.Millisecond):
 	}
 	setFaults(t, url, Faults{})
@@ -192,7 +192,7 @@
 	}
 }
 
-func TestUnknownFaultAndOldOrderAreRefused(t *testing.T) {
+func TestUnknownFaultAndStaleOrderAreRejected(t *testing.T) {
 	_, url := testServer(t)
 	post := func(path, body string) int {
 		response, err := http.Post(url+path, "application/json", strings.NewReader(body))
--- a/internal/standin/engine/model/cache.go
+++ b/internal/standin/engine/model/cache.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// CacheEvent tells of prefix blocks that came into or left an engine's cache.
-// A jump of Sequence is a gap: events in between were lost.
+// CacheEvent reports prefix blocks that were stored in or removed from the cache. A gap in Sequence
+// means that events were lost.
 type CacheEvent struct {
-	Sequence uint64    `json:"sequence"` // from 1
+	Sequence uint64    `json:"sequence"` // starts at 1
 	At       time.Time `json:"at"`
 	Stored   []uint64  `json:"stored,omitempty"`
 	Removed  []uint64  `json:"removed,omitempty"`
 }
 
-// maximumEvents bounds the events kept for readers; older ones are a gap.
-const maximumEvents = 1024
+// maxEvents is the number of events kept for readers. Older ones are dropped.
+const maxEvents = 1024
 
 // block is a prefix block in the cache.
 type block struct {
 	hash  uint64
-	users int  // running sequences that hold it
-	valid bool // its content has been computed
+	users int  // running sequences that use it
+	valid bool // its content was computed
 }
 
-// cache accounts for the engine's memory in blocks. Blocks that no running
-// sequence uses are evicted, the least recently used first.
+// cache accounts for the engine's memory in blocks. Blocks that no running sequence uses are evicted
+// in LRU order.
 type cache struct {
 	capacity int
-	private  int // blocks of running sequences that are not shared
+	private  int // unshared blocks of running sequences
 	used     int // shared blocks with users
 	blocks   map[uint64]*list.Element
-	recent   *list.List // of *block, the most recently used in front
+	recent   *list.List // of *block, most recently used first
 	delay    time.Duration
 	loss     float64
 	random   *rand.Rand
@@ -48,11 +48,11 @@
 	}
 }
 
-// fits tells whether count blocks can be had, evicting unused ones.
-func (c *cache) fits(count int) bool { return c.used+c.private+count <= c.capacity }
+// canAllocate reports whether count blocks can be allocated by evicting unused ones.
+func (c *cache) canAllocate(count int) bool { return c.used+c.private+count <= c.capacity }
 
-// acquire holds the blocks for a sequence and tells how many leading ones
-// need no computing.
+// acquire references the blocks for a sequence and returns the number of leading ones that are
+// already computed.
 func (c *cache) acquire(hashes []uint64) int {
 	cached, leading := 0, true
 	for _, hash := range hashes {
@@ -76,14 +76,14 @@
 	return cached
 }
 
-// reserve takes private blocks, which must fit.
+// reserve allocates private blocks; canAllocate must hold.
 func (c *cache) reserve(count int) {
 	c.private += count
 	c.evict()
 }
 
-// computed marks the blocks' content as usable by others.
-func (c *cache) computed(now time.Time, hashes []uint64) {
+// markComputed makes the blocks usable by other sequences and publishes an event.
+func (c *cache) markComputed(now time.Time, hashes []uint64) {
 	var stored []uint64
 	for _, hash := range hashes {
 		if element, ok := c.blocks[hash]; ok && !element.Value.(*block).valid {
@@ -94,8 +94,8 @@
 	c.publish(now, stored)
 }
 
-// releaseBlocks gives the blocks up; the first computed ones stay cached.
-func (c *cache) releaseBlocks(hashes []uint64, computed int) {
+// release drops a sequence's references. The first computed blocks stay cached.
+func (c *cache) release(hashes []uint64, computed int) {
 	for i, hash := range hashes {
 		element, ok := c.blocks[hash]
 		if !ok {
@@ -114,8 +114,8 @@
 	}
 }
 
-// keep caches blocks that were private and have been computed.
-func (c *cache) keep(hashes []uint64) {
+// insertComputed caches computed blocks that were private.
+func (c *cache) insertComputed(hashes []uint64) {
 	for _, hash := range hashes {
 		if _, ok := c.blocks[hash]; !ok {
 			c.blocks[hash] = c.recent.PushFront(&block{hash: hash, valid: true})
@@ -154,16 +154,16 @@
 		return
 	}
 	c.events = append(c.events, event)
-	if len(c.events) > maximumEvents {
-		c.events = append(c.events[:0], c.events[len(c.events)-maximumEvents/2:]...)
+	if len(c.events) > maxEvents {
+		c.events = append(c.events[:0], c.events[len(c.events)-maxEvents/2:]...)
 	}
 }
 
-// CacheEvents gives the events after a sequence number that are old enough to
-// be published at the time.
+// CacheEvents returns the events after a sequence number that are older than Settings.EventDelay. A
+// sequence number that the engine has not reached counts as 0.
 func (e *Engine) CacheEvents(now time.Time, after uint64) []CacheEvent {
 	if after > e.cache.sequence {
-		after = 0 // the reader knew an earlier life of this engine
+		after = 0 // the reader saw an earlier incarnation of the engine
 	}
 	published := now.Add(-e.cache.delay)
 	var events []CacheEvent
--- a/internal/standin/engine/model/execution.go
+++ b/internal/standin/engine/model/execution.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// execution is what is remembered of a request id.
+// execution is the record of a request ID.
 type execution struct {
-	started  int // times that an execution of the id began to compute
+	started  int // executions that started to compute
 	produced int
 	complete bool
-	live     int // executions that run or wait
+	live     int // running and waiting executions
 	ended    time.Time
 }
 
-// executions remembers request ids while they run and for a retention after,
-// so that doubled runs are seen.
+// executions records request IDs while they run and for the retention time afterwards, so that
+// duplicate runs are detected.
 type executions struct {
 	retention time.Duration
 	byID      map[string]*execution
@@ -57,8 +57,8 @@
 	x.ended = append(x.ended, endedID{id: id, at: now})
 }
 
-// resume tells how far executions of the id have come, and whether one of them
-// has been counted as started.
+// resume returns the number of tokens generated for the ID, and whether an execution of it was counted
+// as started.
 func (x *executions) resume(id string) (int, bool) {
 	record, ok := x.byID[id]
 	if !ok {
--- a/internal/standin/engine/model/model_test.go
+++ b/internal/standin/engine/model/model_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-// driver steps an engine and checks what it gives.
+// driver steps an engine in virtual time and checks its actions.
 type driver struct {
 	engine   *Engine
 	now      time.Time
 	next     Handle
-	wanted   map[Handle]int // output tokens of live requests
+	wanted   map[Handle]int // output tokens of requests in flight
 	got      map[Handle]int
 	stepping time.Duration
 	problems []string
@@ -139,7 +139,7 @@
 	d.drain()
 }
 
-func TestEngineAnswersEachRequestOnce(t *testing.T) {
+func TestEngineCompletesEachRequestOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := newDriver(smallSettings())
 		d.play(80, func(below int) int { return rapid.IntRange(0, below-1).Draw(t, "choice") })
@@ -149,24 +149,24 @@
 	})
 }
 
-func TestIgnoredPriorityIsCaught(t *testing.T) {
+func TestIgnorePriorityFaultIsDetected(t *testing.T) {
 	settings := smallSettings()
 	settings.IgnorePriority = true
 	d := newDriver(settings)
 	d.play(2000, rand.New(rand.NewPCG(3, 3)).IntN)
 	if len(d.problems) == 0 {
-		t.Fatal("the planted fault was not seen")
+		t.Fatal("the injected fault was not detected")
 	}
 }
 
-func TestHigherPriorityTakesTheNextStep(t *testing.T) {
+func TestHigherPriorityPreemptsAtNextStep(t *testing.T) {
 	d := newDriver(smallSettings())
 	for range 4 {
 		d.submit(0, 64, 50, 1)
 	}
 	d.finishStep()
 	online := d.submit(1, 32, 2, 2)
-	d.finishStep() // the step that ran when it came
+	d.finishStep() // the step in progress at its arrival
 	d.finishStep()
 	if d.got[online] != 1 {
 		t.Fatalf("%d tokens after its first step, want 1", d.got[online])
@@ -192,7 +192,7 @@
 	}
 }
 
-func TestCachedPrefixIsNotComputedAgain(t *testing.T) {
+func TestCachedPrefixIsNotRecomputed(t *testing.T) {
 	d := newDriver(DefaultSettings())
 	d.submit(0, 320, 1, 1)
 	d.drain()
@@ -200,27 +200,27 @@
 	d.submit(0, 320, 1, 1)
 	d.drain()
 	if second := d.engine.Statistics().Prefilled - first; second != 1 {
-		t.Fatalf("the second run computed %d prompt tokens, want 1", second)
+		t.Fatalf("second run computed %d prompt tokens, want 1", second)
 	}
 }
 
-func TestReportsLagAndEventsComeLateWithGaps(t *testing.T) {
+func TestReportsLagAndEventsAreDelayedWithGaps(t *testing.T) {
 	settings := DefaultSettings()
 	settings.EventLoss = 0.5
 	d := newDriver(settings)
 	d.submit(0, 160, 200, 1)
 	if d.engine.Load(d.now).Running != 0 {
-		t.Fatal("the report shows the present")
+		t.Fatal("load report has no lag")
 	}
 	for i := range 20 {
 		d.submit(0, 160, 200, i+2)
 		d.finishStep()
 	}
 	if d.engine.Load(d.now.Add(settings.ReportLag)).Running == 0 {
-		t.Fatal("the report never shows the past")
+		t.Fatal("load report does not follow the load")
 	}
 	if len(d.engine.CacheEvents(d.now.Add(-time.Minute), 0)) != 0 {
-		t.Fatal("events are published before their delay")
+		t.Fatal("events were published before their delay")
 	}
 	events := d.engine.CacheEvents(d.now.Add(settings.EventDelay), 0)
 	gaps := 0
@@ -234,7 +234,7 @@
 	}
 }
 
-func TestOlderOrderIsRefused(t *testing.T) {
+func TestStaleOrderIsRejected(t *testing.T) {
 	d := newDriver(DefaultSettings())
 	send := func(epoch uint64, version string) bool {
 		return d.engine.Step(d.now, Order{Epoch: epoch, Version: version})[0].(Answered).Accepted
@@ -247,7 +247,7 @@
 	}
 }
 
-func TestLeavingEngineFinishesAndRefuses(t *testing.T) {
+func TestDrainingEngineFinishesAndRejects(t *testing.T) {
 	d := newDriver(DefaultSettings())
 	d.submit(0, 32, 5, 1)
 	d.step(Leave{Leaving: true})
--- a/internal/standin/engine/model/report.go
+++ b/internal/standin/engine/model/report.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Load is an engine's report of itself.
+// Load is a load report.
 type Load struct {
-	At        time.Time `json:"at"` // when it was true
+	At        time.Time `json:"at"` // time of the report
 	Running   int       `json:"running"`
 	Waiting   int       `json:"waiting"`
-	FreeShare float64   `json:"free_share"` // of the cache's blocks, 0 to 1
+	FreeShare float64   `json:"free_share"` // free fraction of the cache's blocks, 0 to 1
 	Leaving   bool      `json:"leaving"`
 	Version   string    `json:"version,omitempty"`
 }
@@ -20,36 +20,35 @@
 	}
 }
 
-// reportsPerLag bounds how many reports are kept for one lag.
+// reportsPerLag limits the number of reports kept per lag.
 const reportsPerLag = 16
 
-// reports keeps past loads, so that the one shown is old by a set lag.
-type reports struct{ past []Load }
+// reports keeps past loads, so that a load report can be returned with a lag.
+type reports struct{ loads []Load }
 
 func (r *reports) record(now time.Time, load Load, lag time.Duration) {
 	load.At = now
-	last := len(r.past) - 1
-	if last >= 0 && now.Sub(r.past[last].At) < lag/reportsPerLag {
-		r.past[last] = Load{
-			At: r.past[last].At, Running: load.Running, Waiting: load.Waiting,
+	last := len(r.loads) - 1
+	if last >= 0 && now.Sub(r.loads[last].At) < lag/reportsPerLag {
+		r.loads[last] = Load{
+			At: r.loads[last].At, Running: load.Running, Waiting: load.Waiting,
 			FreeShare: load.FreeShare, Leaving: load.Leaving, Version: load.Version,
 		}
 		return
 	}
-	r.past = append(r.past, load)
+	r.loads = append(r.loads, load)
 	keep := 0
-	for keep+1 < len(r.past) && !r.past[keep+1].At.After(now.Add(-lag)) {
+	for keep+1 < len(r.loads) && !r.loads[keep+1].At.After(now.Add(-lag)) {
 		keep++
 	}
-	r.past = append(r.past[:0], r.past[keep:]...)
+	r.loads = append(r.loads[:0], r.loads[keep:]...)
 }
 
-// Load gives the report that is visible at the time: the newest that is older
-// than the lag.
+// Load returns the newest report that is at least Settings.ReportLag old.
 func (e *Engine) Load(now time.Time) Load {
 	visible := now.Add(-e.settings.ReportLag)
 	load := Load{At: visible}
-	for _, past := range e.reports.past {
+	for _, past := range e.reports.loads {
 		if past.At.After(visible) {
 			break
 		}
--- a/internal/standin/engine/model/schedule.go
+++ b/internal/standin/engine/model/schedule.go
@@ -7,18 +7,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// sequence is one execution.
+// sequence is a running or waiting execution.
 type sequence struct {
 	request   Request
 	arrival   uint64
 	active    bool     // in the running batch
-	counted   bool     // its start is in the count of executions
+	counted   bool     // its start was counted
 	produced  int      // output tokens so far
-	prefilled int      // tokens of target that are computed or were cached
-	target    int      // prompt and earlier output to compute before the next token
-	chunk     int      // tokens of prefill in the present step
-	shared    []uint64 // leading blocks held in the prefix cache
-	private   int      // other blocks held
+	prefilled int      // tokens of target that are computed or cached
+	target    int      // prompt and output tokens to compute before the next one
+	chunk     int      // prefill tokens in the current step
+	shared    []uint64 // leading blocks in the prefix cache
+	private   int      // other blocks
 }
 
 func (s *sequence) decoding() bool { return s.prefilled >= s.target }
@@ -50,7 +50,7 @@
 	return list
 }
 
-// startStep fills the batch and starts a step when there is work.
+// startStep fills the batch and starts a step if there is work.
 func (e *Engine) startStep(now time.Time, actions []Action) []Action {
 	e.admitWaiting()
 	if len(e.running) == 0 {
@@ -69,7 +69,8 @@
 	return append(actions, StartStep{Duration: e.settings.StepTime(decoding, context, prefill)})
 }
 
-// planPrefill shares the step's budget out in order of priority.
+// planPrefill divides the step's token budget among prefilling sequences by priority. It returns
+// the total.
 func (e *Engine) planPrefill(budget int) int {
 	total := 0
 	for _, sequence := range e.running {
@@ -82,8 +83,7 @@
 	return total
 }
 
-// admitWaiting moves waiting sequences into the batch, the first ones at the
-// cost of running ones with a lower priority.
+// admitWaiting moves waiting sequences into the batch, preempting running ones of lower priority.
 func (e *Engine) admitWaiting() {
 	for len(e.waiting) > 0 {
 		next := e.waiting[0]
@@ -102,10 +102,9 @@
 	}
 }
 
-// makeRoom preempts lower priorities until the sequence fits; false when it
-// does not fit.
+// makeRoom preempts sequences of lower priority until next fits. It returns false if it does not.
 func (e *Engine) makeRoom(next *sequence) bool {
-	for len(e.running) >= e.settings.MaximumSequences || !e.cache.fits(e.needed(next)) {
+	for len(e.running) >= e.settings.MaximumSequences || !e.cache.canAllocate(e.requiredBlocks(next)) {
 		if len(e.running) == 0 {
 			return false
 		}
@@ -125,10 +124,10 @@
 	e.waiting = insert(e.waiting, victim)
 }
 
-// needed is an upper bound of the blocks that the sequence takes on admission.
-func (e *Engine) needed(next *sequence) int { return e.blocksOf(next.context() + 1) }
+// requiredBlocks returns an upper bound of the blocks that a sequence needs on admission.
+func (e *Engine) requiredBlocks(next *sequence) int { return e.blocksFor(next.context() + 1) }
 
-func (e *Engine) blocksOf(tokens int) int {
+func (e *Engine) blocksFor(tokens int) int {
 	return (tokens + e.settings.BlockTokens - 1) / e.settings.BlockTokens
 }
 
@@ -136,17 +135,16 @@
 	next.active = true
 	next.shared = e.hashes(next)
 	cached := e.cache.acquire(next.shared)
-	next.private = max(e.needed(next)-len(next.shared), 0)
+	next.private = max(e.requiredBlocks(next)-len(next.shared), 0)
 	e.cache.reserve(next.private)
 	next.target = next.context()
-	// The last token is always computed, as it gives the next one.
+	// The last token is always computed, since the next one depends on it.
 	next.prefilled = min(cached*e.settings.BlockTokens, next.target-1)
 	e.running = insert(e.running, next)
 	e.executions.started(next)
 }
 
-// hashes names the full blocks of a sequence: those of its prompt, then those
-// of its output so far.
+// hashes returns the hashes of a sequence's full blocks of prompt and output.
 func (e *Engine) hashes(sequence *sequence) []uint64 {
 	full := sequence.context() / e.settings.BlockTokens
 	blocks := sequence.request.Blocks
@@ -161,24 +159,24 @@
 	return hashes
 }
 
-// outputBlockStride keeps the hashes of an execution's output blocks apart.
+// outputBlockStride separates the hashes of an execution's output blocks.
 const outputBlockStride = 0x9e3779b97f4a7c15
 
-// release gives up what a sequence holds. What it has computed stays cached
-// until it is evicted, its output too when it has not ended.
+// release frees a sequence's blocks. Computed ones stay cached until evicted, including those of the
+// output if the sequence has not ended.
 func (e *Engine) release(sequence *sequence) {
 	sequence.active = false
 	sequence.chunk = 0
 	computed := sequence.prefilled / e.settings.BlockTokens
-	e.cache.releaseBlocks(sequence.shared, computed)
+	e.cache.release(sequence.shared, computed)
 	e.cache.private -= sequence.private
 	if sequence.produced > 0 && sequence.produced < sequence.request.OutputTokens {
-		e.cache.keep(e.hashes(sequence)[len(sequence.shared):])
+		e.cache.insertComputed(e.hashes(sequence)[len(sequence.shared):])
 	}
 	sequence.shared, sequence.private = nil, 0
 }
 
-// finishStep gives the step's tokens and ends sequences that are complete.
+// finishStep emits the step's tokens and removes completed sequences.
 func (e *Engine) finishStep(now time.Time) []Action {
 	if !e.stepping {
 		return nil
@@ -206,7 +204,7 @@
 		if !sequence.decoding() {
 			return
 		}
-		e.cache.computed(now, sequence.shared)
+		e.cache.markComputed(now, sequence.shared)
 	}
 	sequence.produced++
 	sequence.target = sequence.context()
@@ -223,11 +221,11 @@
 	e.grow(sequence)
 }
 
-// grow takes a block when the sequence's context needs one more; where none
-// is left, the last sequence of the batch is preempted.
+// grow allocates a block when the sequence's context needs it. If none is free, the last sequence of
+// the batch is preempted.
 func (e *Engine) grow(sequence *sequence) {
-	for e.needed(sequence) > len(sequence.shared)+sequence.private {
-		if e.cache.fits(1) {
+	for e.requiredBlocks(sequence) > len(sequence.shared)+sequence.private {
+		if e.cache.canAllocate(1) {
 			sequence.private++
 			e.cache.reserve(1)
 			continue
--- a/internal/standin/engine/model/settings.go
+++ b/internal/standin/engine/model/settings.go
@@ -4,28 +4,28 @@
 
 // Settings of an Engine.
 type Settings struct {
-	MaximumSequences int `koanf:"maximum_sequences" validate:"min=1,max=4096"` // running at once
+	MaximumSequences int `koanf:"maximum_sequences" validate:"min=1,max=4096"` // running concurrently
 	MaximumWaiting   int `koanf:"maximum_waiting" validate:"min=1"`
-	StepTokens       int `koanf:"step_tokens" validate:"min=16"` // tokens in a step: one a decoding sequence, the rest prefill
+	StepTokens       int `koanf:"step_tokens" validate:"min=16"` // tokens per step: one per decoding sequence, the rest for prefill
 	BlockTokens      int `koanf:"block_tokens" validate:"min=1"`
-	CacheBlocks      int `koanf:"cache_blocks" validate:"min=16"` // for running sequences and cached prefixes together
+	CacheBlocks      int `koanf:"cache_blocks" validate:"min=16"` // shared by running sequences and cached prefixes
 
-	StepBase     time.Duration `koanf:"step_base" validate:"min=1us"` // reading the weights once
-	StepSequence time.Duration `koanf:"step_sequence"`                // a decoding sequence
-	StepContext  time.Duration `koanf:"step_context"`                 // 1000 tokens of context
-	StepPrefill  time.Duration `koanf:"step_prefill"`                 // 1000 tokens of prefill
+	StepBase     time.Duration `koanf:"step_base" validate:"min=1us"` // fixed cost, for reading the weights
+	StepSequence time.Duration `koanf:"step_sequence"`                // per decoding sequence
+	StepContext  time.Duration `koanf:"step_context"`                 // per 1000 tokens of context
+	StepPrefill  time.Duration `koanf:"step_prefill"`                 // per 1000 tokens of prefill
 
 	ReportLag  time.Duration `koanf:"report_lag"`  // age of load reports
 	EventDelay time.Duration `koanf:"event_delay"` // age of cache events
 	EventLoss  float64       `koanf:"event_loss" validate:"min=0,max=1"`
-	Retention  time.Duration `koanf:"retention"` // how long an ended request is remembered
+	Retention  time.Duration `koanf:"retention"` // time for which ended requests are recorded
 
-	// IgnorePriority is a planted fault: requests run in order of arrival.
+	// IgnorePriority injects a fault for tests: requests run in order of arrival.
 	IgnorePriority bool `koanf:"ignore_priority"`
 }
 
-// DefaultSettings are a model of some ten billion parameters on one
-// accelerator: 10 ms a step, 20,000 prompt tokens a second.
+// DefaultSettings approximates a model of ten billion parameters on one accelerator: 10 ms per step,
+// 20,000 prompt tokens per second.
 func DefaultSettings() Settings {
 	return Settings{
 		MaximumSequences: 48, MaximumWaiting: 4096, StepTokens: 512,
@@ -39,7 +39,8 @@
 
 const perThousand = 1000
 
-// StepTime is how long a step takes.
+// StepTime returns the duration of a step with the given number of decoding sequences, tokens of their
+// context, and prefill tokens.
 func (s Settings) StepTime(decoding, context, prefill int) time.Duration {
 	return s.StepBase +
 		time.Duration(decoding)*s.StepSequence +
--- a/internal/standin/engine/resume.go
+++ b/internal/standin/engine/resume.go
@@ -10,59 +10,60 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// maximumRemembered bounds the requests that an engine can go on with.
-const maximumRemembered = 1 << 16
+// maxRecords limits the requests that can be resumed.
+const maxRecords = 1 << 16
 
-// Executions counts what an engine did under one request id.
+// Executions counts the executions of a request ID.
 type Executions struct {
-	Started   int // requests that arrived with the id
-	Completed int // of those, answered to the end
-	Resumed   int // streams gone on with; no executions
+	Started   int // requests received with the ID
+	Completed int // requests completed
+	Resumed   int // resumed streams, which are not new executions
 }
 
-// memory remembers requests by id, for resume and for the count of executions.
-type memory struct {
+// requestLog records requests by ID for resumption and for the count of executions. The oldest are
+// evicted.
+type requestLog struct {
 	mutex    sync.Mutex
-	requests map[string]*remembered
+	requests map[string]*requestRecord
 	order    []string // oldest first
 }
 
-type remembered struct {
+type requestRecord struct {
 	executions Executions
 	body       []byte
 }
 
-func newMemory() *memory { return &memory{requests: map[string]*remembered{}} }
+func newRequestLog() *requestLog { return &requestLog{requests: map[string]*requestRecord{}} }
 
-func (m *memory) update(id string, change func(*remembered)) {
+func (m *requestLog) update(id string, change func(*requestRecord)) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	known, ok := m.requests[id]
 	if !ok {
-		known = &remembered{}
+		known = &requestRecord{}
 		m.requests[id] = known
 		m.order = append(m.order, id)
 	}
 	change(known)
-	if len(m.order) > maximumRemembered {
+	if len(m.order) > maxRecords {
 		delete(m.requests, m.order[0])
 		m.order = m.order[1:]
 	}
 }
 
-// Executions gives the counts of each request id that the engine remembers.
+// Executions returns the counts of each recorded request ID.
 func (e *Engine) Executions() map[string]Executions {
-	e.memory.mutex.Lock()
-	defer e.memory.mutex.Unlock()
-	counts := make(map[string]Executions, len(e.memory.requests))
-	for id, known := range e.memory.requests {
+	e.log.mutex.Lock()
+	defer e.log.mutex.Unlock()
+	counts := make(map[string]Executions, len(e.log.requests))
+	for id, known := range e.log.requests {
 		counts[id] = known.executions
 	}
 	return counts
 }
 
-// observe counts an execution and echoes the request's id.
-func (e *Engine) observe(w http.ResponseWriter, r *http.Request) {
+// record serves a request, counts its execution and echoes its ID.
+func (e *Engine) record(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(api.HeaderRequestID)
 	if id == "" || r.Method != http.MethodPost {
 		e.mux.ServeHTTP(w, r)
@@ -76,7 +77,7 @@
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	w.Header().Set(api.HeaderRequestID, id)
 	resumed := r.Header.Get(api.HeaderResume) == "true"
-	e.memory.update(id, func(known *remembered) {
+	e.log.update(id, func(known *requestRecord) {
 		if resumed && known.executions.Started > 0 {
 			known.executions.Resumed++
 		} else {
@@ -86,18 +87,17 @@
 	})
 	e.mux.ServeHTTP(w, r)
 	if r.Context().Err() == nil {
-		e.memory.update(id, func(known *remembered) { known.executions.Completed++ })
+		e.log.update(id, func(known *requestRecord) { known.executions.Completed++ })
 	}
 }
 
-// serveResume goes on with a stream from an event on; events are counted from
-// 0, the last one ends the stream.
+// serveResume continues a stream from an event; events are numbered from 0.
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("request")
 	from, err := strconv.Atoi(r.URL.Query().Get("from"))
-	e.memory.mutex.Lock()
-	known, ok := e.memory.requests[id]
-	e.memory.mutex.Unlock()
+	e.log.mutex.Lock()
+	known, ok := e.log.requests[id]
+	e.log.mutex.Unlock()
 	var request chatRequest
 	if err == nil && ok {
 		request, err = e.parse(known.body)
@@ -106,9 +106,9 @@
 		writeEngineError(w, http.StatusNotFound, "no such stream")
 		return
 	}
-	e.memory.update(id, func(known *remembered) { known.executions.Resumed++ })
+	e.log.update(id, func(known *requestRecord) { known.executions.Resumed++ })
 	w.Header().Set(api.HeaderRequestID, id)
-	run := e.shell.start(id, known.body, request, true)
-	defer e.shell.cancel(run)
+	run := e.driver.start(id, known.body, request, true)
+	defer e.driver.cancel(run)
 	e.stream(w, r, run, id, request, from)
 }
--- a/internal/standin/engine/shell.go
+++ b/internal/standin/engine/shell.go
@@ -11,20 +11,20 @@
 	"github.com/dykewing/dykewing/internal/standin/engine/model"
 )
 
-// bytesPerToken is how much prompt text counts as a token.
+// bytesPerToken is the assumed length of a prompt token.
 const bytesPerToken = 4
 
-// shell runs the model in real time.
-type shell struct {
+// driver runs the model in real time. It is safe for concurrent use.
+type driver struct {
 	mutex   sync.Mutex
 	engine  *model.Engine
 	faults  *atomic.Pointer[Faults]
 	runs    map[model.Handle]*run
 	next    model.Handle
-	stalled bool // a step has ended while the engine hangs
+	stalled bool // a step ended while the Hang fault was set
 }
 
-// run is an execution as the HTTP side sees it; its fields are the shell's.
+// run is the state of an execution for the HTTP handlers, guarded by the driver's mutex.
 type run struct {
 	handle   model.Handle
 	produced int
@@ -33,14 +33,14 @@
 	changed  chan struct{} // closed at the next change
 }
 
-func newShell(settings model.Settings, faults *atomic.Pointer[Faults]) *shell {
+func newDriver(settings model.Settings, faults *atomic.Pointer[Faults]) *driver {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	return &shell{engine: model.New(settings, random), faults: faults, runs: map[model.Handle]*run{}}
+	return &driver{engine: model.New(settings, random), faults: faults, runs: map[model.Handle]*run{}}
 }
 
-// start submits an execution; resume goes on where a cancelled one of the id
-// was.
-func (s *shell) start(id string, body []byte, request chatRequest, resume bool) *run {
+// start submits an execution. With resume, it continues after the tokens of a cancelled execution
+// with the same ID.
+func (s *driver) start(id string, body []byte, request chatRequest, resume bool) *run {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.next++
@@ -57,7 +57,7 @@
 	return started
 }
 
-func (s *shell) cancel(stopped *run) {
+func (s *driver) cancel(stopped *run) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if _, ok := s.runs[stopped.handle]; ok {
@@ -66,16 +66,16 @@
 	}
 }
 
-// step runs with the mutex held.
-func (s *shell) step(message model.Message) []model.Action {
+// step passes a message to the model and performs the resulting actions. The mutex must be held.
+func (s *driver) step(message model.Message) []model.Action {
 	actions := s.engine.Step(time.Now(), message)
 	for _, action := range actions {
 		switch action := action.(type) {
 		case model.StartStep:
-			time.AfterFunc(s.faults.Load().slowed(action.Duration), s.stepDone)
+			time.AfterFunc(s.faults.Load().scale(action.Duration), s.stepDone)
 		case model.Emit:
 			for _, token := range action.Tokens {
-				s.produced(token)
+				s.recordToken(token)
 			}
 		case model.Reject:
 			if rejected, ok := s.runs[action.Handle]; ok {
@@ -88,7 +88,7 @@
 	return actions
 }
 
-func (s *shell) stepDone() {
+func (s *driver) stepDone() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.faults.Load().Hang {
@@ -98,7 +98,7 @@
 	s.step(model.StepDone{})
 }
 
-func (s *shell) produced(token model.Token) {
+func (s *driver) recordToken(token model.Token) {
 	if found, ok := s.runs[token.Handle]; ok {
 		found.produced = token.Index + 1
 		if token.Last {
@@ -113,8 +113,8 @@
 	r.changed = make(chan struct{})
 }
 
-// apply brings new faults into force.
-func (s *shell) apply(faults Faults) {
+// applyFaults applies changed faults.
+func (s *driver) applyFaults(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.step(model.Leave{Leaving: faults.Leave})
@@ -132,53 +132,53 @@
 	}
 }
 
-// awaited is how a wait ended.
-type awaited int
+// waitResult is the result of a wait for tokens.
+type waitResult int
 
 const (
-	awaitedTokens awaited = iota
-	awaitedRejection
-	awaitedDeath
-	awaitedNothing // the client is gone
+	waitTokens waitResult = iota
+	waitRejected
+	waitEngineDead
+	waitCancelled // the client disconnected
 )
 
-// await waits until the run has made so many tokens.
-func (s *shell) await(ctx context.Context, waited *run, tokens int) awaited {
+// await waits until the run has generated the given number of tokens, fails, or ctx ends.
+func (s *driver) await(ctx context.Context, waited *run, tokens int) waitResult {
 	for {
 		s.mutex.Lock()
 		produced, rejected, dead, changed := waited.produced, waited.rejected, waited.dead, waited.changed
 		s.mutex.Unlock()
 		switch {
 		case dead:
-			return awaitedDeath
+			return waitEngineDead
 		case rejected != "":
-			return awaitedRejection
+			return waitRejected
 		case produced >= tokens:
-			return awaitedTokens
+			return waitTokens
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return awaitedNothing
+			return waitCancelled
 		}
 	}
 }
 
-func (s *shell) load() model.Load {
+func (s *driver) load() model.Load {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.engine.Load(time.Now())
 }
 
-func (s *shell) leaving() bool { return s.faults.Load().Leave }
+func (s *driver) leaving() bool { return s.faults.Load().Leave }
 
-func (s *shell) cacheEvents(after uint64) []model.CacheEvent {
+func (s *driver) cacheEvents(after uint64) []model.CacheEvent {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.engine.CacheEvents(time.Now(), after)
 }
 
-func (s *shell) order(order model.Order) model.Answered {
+func (s *driver) order(order model.Order) model.Answered {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, action := range s.step(order) {
--- a/internal/standin/keyvalue/faults.go
+++ b/internal/standin/keyvalue/faults.go
@@ -13,35 +13,35 @@
 // Paths of the control port.
 const (
 	PathFaults  = "/control/faults"  // GET, PUT Faults
-	PathCompact = "/control/compact" // POST: forget all past revisions
+	PathCompact = "/control/compact" // POST: drop all past revisions
 	PathStats   = "/control/stats"   // GET Stats
 )
 
-// Faults that the stand-in shows from now on; zero is none.
+// Faults are injected into calls; the zero value injects none.
 type Faults struct {
-	// Outage refuses every call with 503 and breaks the watches.
+	// Outage makes every call fail with 503 and ends watches.
 	Outage bool `json:"outage"`
-	// Hang takes calls and answers none until they are given up.
+	// Hang accepts calls without responding until the client cancels.
 	Hang bool `json:"hang"`
-	// DelayMilliseconds passes before each call takes effect.
+	// DelayMilliseconds delays each call before it takes effect.
 	DelayMilliseconds int `json:"delay_ms"`
-	// LoseAnswers is the chance (0 to 1) that a txn takes effect and its
-	// connection breaks before the answer.
+	// LoseAnswers is the probability (0 to 1) that a txn takes effect and its connection
+	// breaks before the response.
 	LoseAnswers float64 `json:"lose_answers"`
-	// LoseRequests is the chance (0 to 1) that a txn's connection breaks before
-	// it takes effect.
+	// LoseRequests is the probability (0 to 1) that a txn's connection breaks and it has no
+	// effect.
 	LoseRequests float64 `json:"lose_requests"`
-	// LateEffects is the chance (0 to 1) that a txn's connection breaks at once
-	// and it takes effect LateMilliseconds later.
+	// LateEffects is the probability (0 to 1) that a txn's connection breaks immediately and
+	// it takes effect LateMilliseconds later.
 	LateEffects      float64 `json:"late_effects"`
 	LateMilliseconds int     `json:"late_ms"`
-	// RequestsPerSecond refuses calls beyond it with 429; 0 is no limit.
+	// RequestsPerSecond limits the rate of calls; others fail with 429. 0 means no limit.
 	RequestsPerSecond float64 `json:"requests_per_second"`
-	// StuckWatches keeps watches open and delivers nothing.
+	// StuckWatches keeps watches open without delivering anything.
 	StuckWatches bool `json:"stuck_watches"`
 }
 
-// Validate names the first fault that is out of range.
+// Validate returns an error for the first field that is out of range.
 func (f Faults) Validate() error {
 	for _, chance := range []struct {
 		name  string
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// Stats counts the calls that arrived, by path, refused ones among them.
+// Stats holds the number of calls by path, including rejected ones, and the state of the store.
 type Stats struct {
 	Calls    map[string]int `json:"calls"`
 	Revision int64          `json:"revision"`
@@ -65,7 +65,7 @@
 	Watches  int            `json:"watches"`
 }
 
-// SetFaults shows the faults from now on.
+// SetFaults replaces the injected faults and refills the rate limit.
 func (s *Server) SetFaults(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -74,14 +74,14 @@
 	s.notify()
 }
 
-// Faults gives the faults that are shown.
+// Faults returns the injected faults.
 func (s *Server) Faults() Faults {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.faults
 }
 
-// Stats gives the counts so far.
+// Stats returns a snapshot of the statistics.
 func (s *Server) Stats() Stats {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -92,7 +92,7 @@
 	return stats
 }
 
-// Control serves the control port.
+// Control returns the handler of the control port.
 func (s *Server) Control() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathFaults, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Faults()) })
@@ -124,9 +124,10 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// refuse answers a call that a fault keeps from the service; true when it did.
-func (s *Server) refuse(w http.ResponseWriter, r *http.Request) bool {
-	faults, limited := s.arrive(r.URL.Path)
+// injectFault delays or fails a call as the current faults require. It returns true if it has
+// responded.
+func (s *Server) injectFault(w http.ResponseWriter, r *http.Request) bool {
+	faults, limited := s.countCall(r.URL.Path)
 	if faults.Hang {
 		// The server notices that a client has gone only once the body is read.
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -138,23 +139,23 @@
 	}
 	switch {
 	case faults.Outage:
-		writeFailure(w, http.StatusServiceUnavailable, "etcdserver: no leader")
+		writeError(w, http.StatusServiceUnavailable, "etcdserver: no leader")
 	case limited:
-		writeFailure(w, http.StatusTooManyRequests, "etcdserver: too many requests")
+		writeError(w, http.StatusTooManyRequests, "etcdserver: too many requests")
 	default:
 		return false
 	}
 	return true
 }
 
-func writeFailure(w http.ResponseWriter, status int, message string) {
+func writeError(w http.ResponseWriter, status int, message string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(kv.WireError{Code: status, Message: message})
 }
 
-// arrive counts a call and takes its token; limited when there was none.
-func (s *Server) arrive(path string) (Faults, bool) {
+// countCall counts a call and takes a token of the rate limit. It returns true if none was left.
+func (s *Server) countCall(path string) (Faults, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.calls[path]++
@@ -172,33 +173,33 @@
 	return s.faults, false
 }
 
-// fate draws what happens to a txn.
-func (s *Server) fate() fate {
+// drawTxnFault selects the fault of a txn at random.
+func (s *Server) drawTxnFault() txnFault {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	draw := s.random.Float64()
 	for _, candidate := range []struct {
-		fate   fate
+		fault  txnFault
 		chance float64
 	}{
-		{fateAnswerLost, s.faults.LoseAnswers},
-		{fateRequestLost, s.faults.LoseRequests},
-		{fateLate, s.faults.LateEffects},
+		{txnResponseLost, s.faults.LoseAnswers},
+		{txnRequestLost, s.faults.LoseRequests},
+		{txnDelayed, s.faults.LateEffects},
 	} {
 		if draw < candidate.chance {
-			return candidate.fate
+			return candidate.fault
 		}
 		draw -= candidate.chance
 	}
-	return fateDone
+	return txnFaultNone
 }
 
-// fate is what happens to a txn.
-type fate int
+// drawTxnFault is what happens to a txn.
+type txnFault int
 
 const (
-	fateDone fate = iota
-	fateAnswerLost
-	fateRequestLost
-	fateLate
+	txnFaultNone txnFault = iota
+	txnResponseLost
+	txnRequestLost
+	txnDelayed
 )
--- a/internal/standin/keyvalue/keyvalue.go
+++ b/internal/standin/keyvalue/keyvalue.go
@@ -1,5 +1,5 @@
-// Package keyvalue is a stand-in for the platform's key-value service: the part
-// of the etcd v3 HTTP/JSON mapping that dykewing uses, in memory, with faults.
+// Package keyvalue is an in-memory fake of the platform's key-value service. It implements the part
+// of the etcd v3 HTTP/JSON gateway that dykewing uses, with injectable faults.
 package keyvalue
 
 import (
@@ -14,29 +14,28 @@
 	"github.com/dykewing/dykewing/internal/kv"
 )
 
-// maximumHistory bounds the events that are kept for watches; older ones are
-// compacted.
-const maximumHistory = 100_000
+// maxHistory is the number of events kept for watches; older ones are compacted.
+const maxHistory = 100_000
 
-// Server is an http.Handler that holds the pairs.
+// Server is an http.Handler that implements the store. It is safe for concurrent use.
 type Server struct {
 	mux       *http.ServeMux
-	mutex     sync.Mutex // guards all below
+	mutex     sync.Mutex // guards the fields below
 	revision  int64
-	compacted int64 // revisions up to this are gone
+	compacted int64 // revision up to which history was dropped
 	pairs     map[string]kv.WirePair
 	history   []kv.WireEvent // events after compacted, oldest first
 	changed   chan struct{}  // closed and replaced at each change
 	leases    map[int64]*lease
 	faults    Faults
-	tokens    float64 // of the rate limit
+	tokens    float64 // tokens of the rate limit
 	refilled  time.Time
 	random    *rand.Rand
 	calls     map[string]int
 	watches   int
 }
 
-// NewServer starts at revision 1 without pairs.
+// NewServer returns an empty store at revision 1.
 func NewServer() *Server {
 	server := &Server{
 		mux: http.NewServeMux(), revision: 1, pairs: map[string]kv.WirePair{}, changed: make(chan struct{}),
@@ -46,12 +45,12 @@
 	server.handle(kv.PathTxn, server.serveTxn)
 	server.handle(kv.PathWatch, server.serveWatch)
 	server.handle(kv.PathLeaseGrant, server.serveLeaseGrant)
-	server.handle(kv.PathLeaseKeep, server.serveLeaseKeep)
+	server.handle(kv.PathLeaseKeep, server.serveLeaseKeepAlive)
 	server.handle(kv.PathLeaseRevoke, server.serveLeaseRevoke)
 	return server
 }
 
-// Seed sets the source of chance of the faults.
+// Seed seeds the random generator of faults and lease IDs.
 func (s *Server) Seed(seed uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -60,19 +59,19 @@
 
 func (s *Server) handle(path string, handler http.HandlerFunc) {
 	s.mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
-		if !s.refuse(w, r) {
+		if !s.injectFault(w, r) {
 			handler(w, r)
 		}
 	})
 }
 
-// ServeHTTP serves the mapping.
+// ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
 func decode[T any](w http.ResponseWriter, r *http.Request) (T, bool) {
 	var request T
 	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
-		writeFailure(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 		return request, false
 	}
 	return request, true
@@ -93,7 +92,7 @@
 	s.expireLeases()
 	answer := kv.WireRangeAnswer{Header: kv.WireHeader{Revision: kv.Int64(s.revision)}}
 	for key, pair := range s.pairs {
-		if within(key, string(request.Key), string(request.RangeEnd)) {
+		if inRange(key, string(request.Key), string(request.RangeEnd)) {
 			answer.Pairs = append(answer.Pairs, pair)
 		}
 	}
@@ -108,7 +107,7 @@
 	return answer
 }
 
-func within(key, from, end string) bool {
+func inRange(key, from, end string) bool {
 	if end == "" {
 		return key == from
 	}
@@ -120,36 +119,36 @@
 	if !ok {
 		return
 	}
-	fate := s.fate()
-	switch fate {
-	case fateRequestLost:
+	fault := s.drawTxnFault()
+	switch fault {
+	case txnRequestLost:
 		panic(http.ErrAbortHandler)
-	case fateLate:
-		time.AfterFunc(time.Duration(s.Faults().LateMilliseconds)*time.Millisecond, func() { s.transact(txn) })
+	case txnDelayed:
+		time.AfterFunc(time.Duration(s.Faults().LateMilliseconds)*time.Millisecond, func() { s.applyTxn(txn) })
 		panic(http.ErrAbortHandler)
 	}
-	answer := s.transact(txn)
-	if fate == fateAnswerLost {
+	answer := s.applyTxn(txn)
+	if fault == txnResponseLost {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, answer)
 }
 
-func (s *Server) transact(txn kv.WireTxn) kv.WireTxnAnswer {
+func (s *Server) applyTxn(txn kv.WireTxn) kv.WireTxnAnswer {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.expireLeases()
-	answer := kv.WireTxnAnswer{Succeeded: s.holds(txn.Compare)}
+	answer := kv.WireTxnAnswer{Succeeded: s.compare(txn.Compare)}
 	operations := txn.Failure
 	if answer.Succeeded {
 		operations = txn.Success
 	}
-	answer.Responses = s.perform(operations)
+	answer.Responses = s.applyOperations(operations)
 	answer.Header.Revision = kv.Int64(s.revision)
 	return answer
 }
 
-func (s *Server) holds(compares []kv.WireCompare) bool {
+func (s *Server) compare(compares []kv.WireCompare) bool {
 	for _, compare := range compares {
 		if s.pairs[string(compare.Key)].ModRevision != compare.ModRevision {
 			return false
@@ -158,7 +157,7 @@
 	return true
 }
 
-func (s *Server) perform(operations []kv.WireOperation) []kv.WireOperationAnswer {
+func (s *Server) applyOperations(operations []kv.WireOperation) []kv.WireOperationAnswer {
 	var answers []kv.WireOperationAnswer
 	next := s.revision + 1
 	before := len(s.history)
@@ -176,15 +175,15 @@
 		answers = append(answers, answer)
 	}
 	if len(s.history) > before {
-		s.advance(next)
+		s.commit(next)
 	}
 	return answers
 }
 
-// advance ends a change at the revision.
-func (s *Server) advance(revision int64) {
+// commit sets the revision, compacts the history and wakes watches.
+func (s *Server) commit(revision int64) {
 	s.revision = revision
-	if excess := len(s.history) - maximumHistory; excess > 0 {
+	if excess := len(s.history) - maxHistory; excess > 0 {
 		s.compacted = int64(s.history[excess-1].Pair.ModRevision)
 		s.history = slices.Clone(s.history[excess:])
 	}
@@ -217,15 +216,15 @@
 	s.history = append(s.history, kv.WireEvent{Type: kv.WireEventDelete, Pair: deleted})
 }
 
-// Compact forgets all past revisions; watches that ask for them are told so.
+// Compact drops all past revisions. Watches from these are cancelled.
 func (s *Server) Compact() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.compacted, s.history = s.revision, nil
 }
 
-// Put writes a key as another client of the service would.
+// Put writes a key as another client would.
 func (s *Server) Put(key string, value []byte) {
 	put := kv.WirePut{Key: []byte(key), Value: value}
-	s.transact(kv.WireTxn{Success: []kv.WireOperation{{Put: &put}}})
+	s.applyTxn(kv.WireTxn{Success: []kv.WireOperation{{Put: &put}}})
 }
--- a/internal/standin/keyvalue/lease.go
+++ b/internal/standin/keyvalue/lease.go
@@ -8,10 +8,10 @@
 	"github.com/dykewing/dykewing/internal/kv"
 )
 
-// lease ends by itself unless it is kept.
+// lease expires unless it is renewed.
 type lease struct {
-	lifetime time.Duration
-	expires  time.Time
+	ttl     time.Duration
+	expires time.Time
 }
 
 func (s *Server) serveLeaseGrant(w http.ResponseWriter, r *http.Request) {
@@ -25,20 +25,20 @@
 	if id == 0 {
 		id = s.random.Int64()
 	}
-	s.leases[id] = &lease{lifetime: lifetime, expires: time.Now().Add(lifetime)}
+	s.leases[id] = &lease{ttl: lifetime, expires: time.Now().Add(lifetime)}
 	s.mutex.Unlock()
-	// Watches learn of an expiry without waiting for the next call.
-	time.AfterFunc(lifetime, s.sweep)
+	// Watches must be notified of the expiry even without further calls.
+	time.AfterFunc(lifetime, s.expireNow)
 	writeJSON(w, kv.WireLeaseGrant{TTL: request.TTL, ID: kv.Int64(id)})
 }
 
-func (s *Server) sweep() {
+func (s *Server) expireNow() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.expireLeases()
 }
 
-func (s *Server) serveLeaseKeep(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveLeaseKeepAlive(w http.ResponseWriter, r *http.Request) {
 	request, ok := decode[kv.WireLease](w, r)
 	if !ok {
 		return
@@ -47,9 +47,9 @@
 	s.expireLeases()
 	answer := kv.WireLeaseKeepAnswer{Result: kv.WireLeaseGrant{ID: request.ID}}
 	if held, ok := s.leases[int64(request.ID)]; ok {
-		held.expires = time.Now().Add(held.lifetime)
-		answer.Result.TTL = kv.Int64(held.lifetime / time.Second)
-		time.AfterFunc(held.lifetime, s.sweep)
+		held.expires = time.Now().Add(held.ttl)
+		answer.Result.TTL = kv.Int64(held.ttl / time.Second)
+		time.AfterFunc(held.ttl, s.expireNow)
 	}
 	s.mutex.Unlock()
 	writeJSON(w, answer)
@@ -61,12 +61,12 @@
 		return
 	}
 	s.mutex.Lock()
-	s.endLease(int64(request.ID))
+	s.removeLease(int64(request.ID))
 	s.mutex.Unlock()
 	writeJSON(w, struct{}{})
 }
 
-// expireLeases ends the leases that were not kept, with their keys.
+// expireLeases removes expired leases and their keys, in order of ID. The mutex must be held.
 func (s *Server) expireLeases() {
 	now := time.Now()
 	var ended []int64
@@ -77,11 +77,11 @@
 	}
 	slices.Sort(ended)
 	for _, id := range ended {
-		s.endLease(id)
+		s.removeLease(id)
 	}
 }
 
-func (s *Server) endLease(id int64) {
+func (s *Server) removeLease(id int64) {
 	delete(s.leases, id)
 	var keys []string
 	for key, pair := range s.pairs {
@@ -96,5 +96,5 @@
 	for _, key := range keys {
 		s.remove(key, s.revision+1)
 	}
-	s.advance(s.revision + 1)
+	s.commit(s.revision + 1)
 }
--- a/internal/standin/keyvalue/watch.go
+++ b/internal/standin/keyvalue/watch.go
@@ -9,16 +9,16 @@
 	"github.com/dykewing/dykewing/internal/kv"
 )
 
-// progressInterval is the time between progress notices of an idle watch.
+// progressInterval is the time between progress notifications of an idle watch.
 const progressInterval = 5 * time.Second
 
-// watch is one open stream.
+// watch is an open watch stream.
 type watch struct {
 	server     *Server
 	create     kv.WireWatchCreate
 	encoder    *json.Encoder
 	controller *http.ResponseController
-	next       int64 // first revision that is not delivered yet
+	next       int64 // first revision that has not been delivered
 }
 
 func (s *Server) serveWatch(w http.ResponseWriter, r *http.Request) {
@@ -77,8 +77,8 @@
 	return s.controller.Flush()
 }
 
-// collect gives what is new for the watch; end when it has to end. A stuck
-// watch gives no revision.
+// collect returns the undelivered events, a channel that is closed at the next change, and whether
+// the watch must end. A stuck watch gets no revision.
 func (s *watch) collect() (kv.WireWatchResult, <-chan struct{}, bool) {
 	s.server.mutex.Lock()
 	defer s.server.mutex.Unlock()
@@ -100,7 +100,7 @@
 	history := s.server.history
 	first := sort.Search(len(history), func(i int) bool { return int64(history[i].Pair.ModRevision) >= s.next })
 	for _, event := range history[first:] {
-		if within(string(event.Pair.Key), string(s.create.Key), string(s.create.RangeEnd)) {
+		if inRange(string(event.Pair.Key), string(s.create.Key), string(s.create.RangeEnd)) {
 			result.Events = append(result.Events, event)
 		}
 	}
--- a/internal/standin/machinelist/faults.go
+++ b/internal/standin/machinelist/faults.go
@@ -14,38 +14,38 @@
 	PathTargets = "/control/targets" // PUT the list, as service-discovery JSON
 )
 
-// Faults that the stand-in shows from now on; zero is none.
+// Faults are injected into responses; the zero value injects none.
 type Faults struct {
-	Outage    bool `json:"outage"`    // refuse with 503
-	Hang      bool `json:"hang"`      // answer nothing
-	Malformed bool `json:"malformed"` // answer JSON that breaks off
-	Empty     bool `json:"empty"`     // answer a list without machines
-	Frozen    bool `json:"frozen"`    // show no change
+	Outage    bool `json:"outage"`    // respond with 503
+	Hang      bool `json:"hang"`      // do not respond
+	Malformed bool `json:"malformed"` // respond with truncated JSON
+	Empty     bool `json:"empty"`     // respond with an empty list
+	Frozen    bool `json:"frozen"`    // show no further changes
 }
 
-// SetFaults shows the faults from now on.
+// SetFaults replaces the injected faults.
 func (s *Server) SetFaults(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.faults = faults
 }
 
-// Faults gives the faults that are shown.
+// Faults returns the injected faults.
 func (s *Server) Faults() Faults {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.faults
 }
 
-// SetLag changes how late later changes show.
+// SetLag sets the delay until later changes become visible.
 func (s *Server) SetLag(lag time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.lag = lag
 }
 
-// refuse answers a call by the fault that is shown; true when there was one.
-func (s *Server) refuse(w http.ResponseWriter, r *http.Request) bool {
+// injectFault responds as the current fault requires. It returns false if there is none.
+func (s *Server) injectFault(w http.ResponseWriter, r *http.Request) bool {
 	faults := s.Faults()
 	switch {
 	case faults.Hang:
@@ -62,7 +62,7 @@
 	return true
 }
 
-// Control serves the control port.
+// Control returns the handler of the control port.
 func (s *Server) Control() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathFaults, func(w http.ResponseWriter, _ *http.Request) {
@@ -70,13 +70,13 @@
 	})
 	mux.HandleFunc("PUT "+PathFaults, func(w http.ResponseWriter, r *http.Request) {
 		var faults Faults
-		if read(w, r, &faults) {
+		if decode(w, r, &faults) {
 			s.SetFaults(faults)
 		}
 	})
 	mux.HandleFunc("PUT "+PathTargets, func(w http.ResponseWriter, r *http.Request) {
 		var groups []discovery.Group
-		if !read(w, r, &groups) {
+		if !decode(w, r, &groups) {
 			return
 		}
 		workers, err := discovery.WorkersOf(groups)
@@ -89,7 +89,7 @@
 	return mux
 }
 
-func read(w http.ResponseWriter, r *http.Request, value any) bool {
+func decode(w http.ResponseWriter, r *http.Request, value any) bool {
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(value); err != nil {
--- a/internal/standin/machinelist/machinelist.go
+++ b/internal/standin/machinelist/machinelist.go
@@ -1,4 +1,5 @@
-// Package machinelist is a stand-in for the platform's lagging machine list.
+// Package machinelist is a fake of the platform's machine list, in which changes become visible
+// after a delay.
 package machinelist
 
 import (
@@ -15,39 +16,39 @@
 	"github.com/dykewing/dykewing/internal/discovery"
 )
 
-// Server is an http.Handler that shows changes only after Lag.
+// Server is an http.Handler that serves the machine list. It is safe for concurrent use.
 type Server struct {
-	lag     time.Duration
-	mutex   sync.Mutex // guards all below
-	changes []change
-	faults  Faults
+	lag      time.Duration
+	mutex    sync.Mutex // guards the fields below
+	versions []listVersion
+	faults   Faults
 }
 
-type change struct {
+type listVersion struct {
 	at      time.Time
 	workers []api.Worker
 }
 
-// NewServer lists nothing until Set.
+// NewServer returns a server with an empty list, whose changes become visible after lag.
 func NewServer(lag time.Duration) *Server {
-	return &Server{lag: lag, changes: []change{{}}}
+	return &Server{lag: lag, versions: []listVersion{{}}}
 }
 
-// Set replaces the list; it shows after the lag.
+// Set replaces the list. The change becomes visible after the lag.
 func (s *Server) Set(workers []api.Worker) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.changes = append(s.changes, change{at: time.Now().Add(s.lag), workers: workers})
+	s.versions = append(s.versions, listVersion{at: time.Now().Add(s.lag), workers: workers})
 }
 
-// ServeHTTP answers the list as HTTP service-discovery JSON.
+// ServeHTTP serves the visible list as HTTP service-discovery JSON, with an ETag.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if s.refuse(w, r) {
+	if s.injectFault(w, r) {
 		return
 	}
 	groups := []discovery.Group{}
-	for _, worker := range s.shown() {
-		groups = append(groups, groupOf(worker))
+	for _, worker := range s.visible() {
+		groups = append(groups, toGroup(worker))
 	}
 	body, err := json.Marshal(groups)
 	if err != nil {
@@ -64,17 +65,17 @@
 	_, _ = w.Write(body)
 }
 
-func (s *Server) shown() []api.Worker {
+func (s *Server) visible() []api.Worker {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := time.Now()
-	for !s.faults.Frozen && len(s.changes) > 1 && !s.changes[1].at.After(now) {
-		s.changes = s.changes[1:]
+	for !s.faults.Frozen && len(s.versions) > 1 && !s.versions[1].at.After(now) {
+		s.versions = s.versions[1:]
 	}
-	return s.changes[0].workers
+	return s.versions[0].workers
 }
 
-func groupOf(worker api.Worker) discovery.Group {
+func toGroup(worker api.Worker) discovery.Group {
 	state := discovery.StateLive
 	if worker.Leaving {
 		state = discovery.StateLeaving
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,6 +1,5 @@
-// Package platform runs the stand-ins of the whole platform in one process on
-// loopback, and writes settings files for daemons that run as processes of
-// their own beside it.
+// Package platform runs fakes of the whole platform in one process on loopback, and writes settings
+// files for daemons that run as separate processes.
 package platform
 
 import (
@@ -20,7 +19,7 @@
 	"github.com/dykewing/dykewing/table"
 )
 
-// The services and places of the platform's table.
+// Services and places of the initial table.
 const (
 	Model       = api.ServiceName("demo-model")
 	Application = api.ServiceName("demo-calendar")
@@ -30,26 +29,26 @@
 
 const (
 	loopback          = "127.0.0.1"
-	listLag           = 500 * time.Millisecond
+	machineListLag    = 500 * time.Millisecond
 	readHeaderTimeout = 5 * time.Second
 	serviceTimeout    = 2 * time.Second
-	serviceRate       = 1000 // requests a second
+	serviceRate       = 1000 // requests per second
 )
 
 // Options size a Platform and the daemons that it writes settings for.
 type Options struct {
-	Folder         string // where settings and data go
+	Folder         string // for settings and data
 	Routers        int
 	Stores         int
 	Sidecars       int
 	WorkersPerRow  int
-	Zones          int // daemons and workers are dealt out to them
+	Zones          int // daemons and workers are distributed round-robin
 	Heartbeat      time.Duration
 	SuspectTimeout time.Duration
 	Engine         engine.Settings
 }
 
-// DefaultOptions are a small fleet with every role.
+// DefaultOptions returns the options of a small fleet with every role.
 func DefaultOptions(folder string) Options {
 	return Options{
 		Folder: folder, Routers: 2, Stores: 3, Sidecars: 1, WorkersPerRow: 3, Zones: 1,
@@ -57,23 +56,23 @@
 	}
 }
 
-// Platform is the running stand-ins.
+// Platform is a set of running fakes.
 type Platform struct {
 	KeyValueURL    string
 	MachineListURL string
-	Daemons        []Daemon // settings were written for these; routers first
+	Daemons        []Daemon // daemons with a settings file, routers first
 	options        Options
 	servers        []*http.Server
 	keyValue       *keyvalue.Server
-	list           *machinelist.Server
+	machineList    *machinelist.Server
 	workers        []api.Worker
-	given          map[string]bool // addresses for daemons
+	allocated      map[string]bool // addresses allocated to daemons
 }
 
-// Start serves the stand-ins, fills the table and the machine list, and writes
-// the settings files.
+// Start starts the fakes, fills the table and the machine list, and writes the settings files. After
+// an error, everything is stopped.
 func Start(ctx context.Context, options Options) (*Platform, error) {
-	platform := &Platform{options: options, keyValue: keyvalue.NewServer(), list: machinelist.NewServer(listLag), given: map[string]bool{}}
+	platform := &Platform{options: options, keyValue: keyvalue.NewServer(), machineList: machinelist.NewServer(machineListLag), allocated: map[string]bool{}}
 	if err := platform.start(ctx); err != nil {
 		return nil, errors.Join(err, platform.Close())
 	}
@@ -86,7 +85,7 @@
 		return err
 	}
 	p.KeyValueURL = "http://" + address
-	if address, err = p.serve(p.list); err != nil {
+	if address, err = p.serve(p.machineList); err != nil {
 		return err
 	}
 	p.MachineListURL = "http://" + address + "/"
@@ -95,14 +94,14 @@
 			return err
 		}
 	}
-	p.list.Set(p.workers)
+	p.machineList.Set(p.workers)
 	if err := p.writeRows(ctx); err != nil {
 		return err
 	}
 	return p.writeSettings()
 }
 
-// Rows are the table that the platform starts with.
+// Rows returns the rows of the initial table.
 func Rows() []api.Row {
 	return []api.Row{
 		{Service: Model, Place: OldPlace, Weight: 100, BatchAllowance: 16, Priority: 1, Repeatable: true},
@@ -114,7 +113,7 @@
 func (p *Platform) serve(handler http.Handler) (address string, err error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(loopback, "0"))
 	if err != nil {
-		return "", fmt.Errorf("listen for a stand-in: %w", err)
+		return "", fmt.Errorf("listen for a fake: %w", err)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	p.servers = append(p.servers, server)
@@ -156,7 +155,7 @@
 	return nil
 }
 
-// Close ends the stand-ins at once; files stay.
+// Close stops the fakes immediately. Files are kept.
 func (p *Platform) Close() error {
 	var problems []error
 	for _, server := range p.servers {
--- a/internal/standin/platform/settings.go
+++ b/internal/standin/platform/settings.go
@@ -15,7 +15,7 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Daemon is one process that a settings file was written for.
+// Daemon describes a process for which a settings file was written.
 type Daemon struct {
 	Role           api.Role
 	ID             api.NodeID
@@ -24,7 +24,7 @@
 	CallersAddress string // sidecars only
 }
 
-// settingsFile has the keys of package config that the platform sets.
+// settingsFile holds the settings of package config that the platform sets.
 type settingsFile struct {
 	Node            nodeSettings        `yaml:"node"`
 	Peers           []string            `yaml:"peers"`
@@ -50,7 +50,7 @@
 
 const stopTimeout = 30 * time.Second
 
-// writeSettings draws free ports and writes a file for each daemon.
+// writeSettings allocates ports and writes a settings file for each daemon.
 func (p *Platform) writeSettings() error {
 	if err := os.MkdirAll(p.options.Folder, 0o755); err != nil {
 		return fmt.Errorf("make settings folder: %w", err)
@@ -121,28 +121,27 @@
 	return nil
 }
 
-// Ports for daemons are drawn below the range that systems use for outgoing
-// connections, so that none takes one before its daemon starts.
+// Range of the daemons' ports. It is below the usual ephemeral range, so that no outgoing connection
+// takes a port before its daemon starts.
 const (
 	firstPort = 20_000
 	lastPort  = 32_000
 )
 
-// freeAddress gives a loopback address that nobody listens on now and that it
-// has not given before.
+// freeAddress returns a loopback address that is not in use and was not allocated before.
 func (p *Platform) freeAddress() (string, error) {
 	for range lastPort - firstPort {
 		port := firstPort + rand.IntN(lastPort-firstPort)
 		address := net.JoinHostPort(loopback, strconv.Itoa(port))
-		if p.given[address] {
+		if p.allocated[address] {
 			continue
 		}
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
 			continue
 		}
-		p.given[address] = true
+		p.allocated[address] = true
 		return address, listener.Close()
 	}
-	return "", errors.New("find a free port: none is left")
+	return "", errors.New("find a free port: none left")
 }
