--- a/internal/dev/ceiling_test.go
+++ b/internal/dev/ceiling_test.go
@@ -14,8 +14,8 @@
 	"github.com/dykewing/dykewing/internal/logging"
 )
 
-// TestCeilingHoldsAcrossRouters sends far more requests than a row's ceiling
-// lets through, over both routers.
+// TestCeilingHoldsAcrossRouters sends more concurrent requests over both routers than a row's ceiling
+// allows.
 func TestCeilingHoldsAcrossRouters(t *testing.T) {
 	logger, err := logging.New(config.Log{Level: "error", Format: "text"}, t.Output())
 	if err != nil {
@@ -24,7 +24,7 @@
 	const ceiling = 3
 	var running, most atomic.Int64
 	options := DefaultOptions(logger)
-	options.Engine.Running = func(change int64) { raise(&most, running.Add(change)) }
+	options.Engine.Running = func(change int64) { storeMax(&most, running.Add(change)) }
 	fleet, err := Start(t.Context(), options)
 	if err != nil {
 		t.Fatal(err)
@@ -58,8 +58,8 @@
 	}
 }
 
-// raise makes highest at least value.
-func raise(highest *atomic.Int64, value int64) {
+// storeMax raises highest to at least value.
+func storeMax(highest *atomic.Int64, value int64) {
 	for {
 		before := highest.Load()
 		if value <= before || highest.CompareAndSwap(before, value) {
@@ -83,7 +83,7 @@
 	t.Fatal("the ceiling is not in force")
 }
 
-// stream reads one streamed answer; false when it was refused as it must be.
+// stream sends a streamed request and returns false if it was rejected.
 func stream(t *testing.T, fleet *Fleet) bool {
 	body := `{"model":"` + string(ModelService) + `","stream":true,"max_tokens":60,"messages":[{"role":"user","content":"hint"}]}`
 	response, err := http.Post(fleet.URL()+"/chat/completions", "application/json", strings.NewReader(body))
@@ -95,7 +95,7 @@
 	if response.StatusCode != http.StatusOK {
 		if response.StatusCode != http.StatusTooManyRequests || response.Header.Get("Retry-After") == "" ||
 			response.Header.Get(api.HeaderOutcome) != string(api.OutcomeNotRun) {
-			t.Errorf("refused with %d, Retry-After %q, outcome %q", response.StatusCode,
+			t.Errorf("rejected with %d, Retry-After %q, outcome %q", response.StatusCode,
 				response.Header.Get("Retry-After"), response.Header.Get(api.HeaderOutcome))
 		}
 		return false
@@ -106,6 +106,6 @@
 			return true
 		}
 	}
-	t.Error("an answer without its end")
+	t.Error("response without [DONE]")
 	return true
 }
--- a/internal/dev/client_test.go
+++ b/internal/dev/client_test.go
@@ -18,8 +18,8 @@
 	"github.com/dykewing/dykewing/internal/standin/engine"
 )
 
-// clientFleet starts a fleet with stand-ins that are slow enough to cancel.
-func clientFleet(t *testing.T) (*Fleet, openai.Client) {
+// startClientFleet starts a fleet and an OpenAI client for it.
+func startClientFleet(t *testing.T) (*Fleet, openai.Client) {
 	t.Helper()
 	logger, err := logging.New(config.Log{Level: "error", Format: "text"}, io.Discard)
 	if err != nil {
@@ -41,7 +41,7 @@
 }
 
 func TestPublishedClient(t *testing.T) {
-	fleet, client := clientFleet(t)
+	fleet, client := startClientFleet(t)
 	ctx := t.Context()
 	parameters := chatOf(string(ModelService), "hello", answerTokens)
 	raw, _ := json.Marshal(parameters.Messages)
@@ -63,7 +63,7 @@
 			}
 		}
 		if got := started(fleet) - before; got != 1 {
-			t.Fatalf("the engines ran it %d times", got)
+			t.Fatalf("%d executions, want 1", got)
 		}
 	})
 	t.Run("models", func(t *testing.T) {
@@ -92,8 +92,7 @@
 	return total
 }
 
-// cancelStream closes a long stream after its first token; the engine must not
-// run it to its end.
+// cancelStream closes a long stream after its first token and checks that its execution is cancelled.
 func cancelStream(t *testing.T, fleet *Fleet, client openai.Client) {
 	const endless = 20_000 // tokens of a millisecond each
 	ctx, cancel := context.WithCancel(t.Context())
@@ -116,5 +115,5 @@
 		}
 		time.Sleep(heartbeatInterval)
 	}
-	t.Fatal("a cancelled stream still runs")
+	t.Fatal("cancelled stream is still running")
 }
--- a/internal/dev/exercise.go
+++ b/internal/dev/exercise.go
@@ -23,7 +23,7 @@
 	exerciseInterval = 15 * time.Millisecond
 )
 
-// step is a line of the exercise's table.
+// step holds the results of one step of the exercise.
 type step struct {
 	name    string
 	right   int
@@ -49,8 +49,8 @@
 	s.note = err.Error()
 }
 
-// Exercise sends real requests through the fleet and prints what happened; the
-// error says that an answer was wrong.
+// Exercise sends requests through the fleet and prints a table of the results. It returns an error if
+// a response was wrong.
 func Exercise(ctx context.Context, fleet *Fleet, output io.Writer) error {
 	client := openai.NewClient(option.WithBaseURL(fleet.URL()), option.WithAPIKey("dev"), option.WithMaxRetries(0))
 	steps := []*step{
@@ -63,7 +63,7 @@
 	return report(steps, output)
 }
 
-// migrate moves the model's weight from the old place to the new one by cells.
+// migrate moves the model's weight from the old place to the new one.
 func (f *Fleet) migrate(ctx context.Context) {
 	rows := initialRows()
 	rows[0].Weight, rows[1].Weight = 0, 100
@@ -74,7 +74,7 @@
 	}
 }
 
-// exerciseStreamed streams chats side by side; halfway it calls meanwhile.
+// exerciseStreamed runs concurrent streamed chats and calls meanwhile, if not nil, halfway through.
 func exerciseStreamed(ctx context.Context, client openai.Client, name string, meanwhile func()) *step {
 	result := newStep(name)
 	var running sync.WaitGroup
@@ -120,7 +120,7 @@
 		return 0, fmt.Errorf("create batch: %w", err)
 	}
 	if cancel {
-		return cancelPartWay(ctx, client, batch.ID, want)
+		return cancelPartially(ctx, client, batch.ID, want)
 	}
 	if err := awaitCount(ctx, client, batch.ID, exerciseItems); err != nil {
 		return 0, err
@@ -132,7 +132,7 @@
 	return right, err
 }
 
-// awaitCount waits until so many items have ended.
+// awaitCount waits until at least count items have ended, for at most a minute.
 func awaitCount(ctx context.Context, client openai.Client, id string, count int64) error {
 	ctx, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
@@ -148,9 +148,9 @@
 	}
 }
 
-// cancelPartWay cancels after a quarter, sees that no more results come, and
-// reads those that there are.
-func cancelPartWay(ctx context.Context, client openai.Client, id string, want map[string]string) (int, error) {
+// cancelPartially cancels a batch after a quarter of its items, checks that no more items complete,
+// and verifies the available results.
+func cancelPartially(ctx context.Context, client openai.Client, id string, want map[string]string) (int, error) {
 	if err := awaitCount(ctx, client, id, exerciseItems/4); err != nil {
 		return 0, err
 	}
--- a/internal/dev/fleet.go
+++ b/internal/dev/fleet.go
@@ -1,5 +1,5 @@
-// Package dev runs a small fleet of the real roles with stand-ins for the
-// platform in one process on loopback, and exercises it.
+// Package dev runs a small fleet with every role and fakes of the platform in one process on
+// loopback, and sends test traffic through it.
 package dev
 
 import (
@@ -30,7 +30,7 @@
 	readyTimeout      = 20 * time.Second
 )
 
-// The services and places of the development fleet.
+// Services and places of the development fleet.
 const (
 	ModelService       = api.ServiceName("dev-model")
 	ApplicationService = api.ServiceName("dev-calendar")
@@ -38,10 +38,10 @@
 	NewPlace           = api.PlaceName("new")
 )
 
-// Options of a Fleet.
+// Options configure a Fleet.
 type Options struct {
-	CallersAddress string // where callers connect; port 0 is ephemeral
-	// Engine sets the stand-in workers.
+	CallersAddress string // address for clients; port 0 selects a free one
+	// Engine configures the fake workers.
 	Engine        engine.Settings
 	Routers       int
 	Stores        int
@@ -49,7 +49,7 @@
 	Log           *logrus.Logger
 }
 
-// DefaultOptions are the smallest fleet that has every role.
+// DefaultOptions returns the options of a minimal fleet with every role.
 func DefaultOptions(log *logrus.Logger) Options {
 	return Options{CallersAddress: loopback, Routers: 2, Stores: 3, WorkersPerRow: 2, Engine: engine.DefaultSettings(), Log: log}
 }
@@ -60,7 +60,7 @@
 	folder      string
 	servers     []*http.Server
 	daemons     []*daemon.Daemon
-	stops       []context.CancelFunc // one a daemon: planned stop
+	stops       []context.CancelFunc // one per daemon, for a graceful stop
 	running     sync.WaitGroup
 	sidecar     *daemon.Daemon
 	keyValue    kv.Service
@@ -71,7 +71,8 @@
 	list        *machinelist.Server
 }
 
-// Start starts the fleet and returns once it is ready for requests.
+// Start starts a fleet and waits until it is ready for requests. After an error, everything is
+// stopped.
 func Start(ctx context.Context, options Options) (*Fleet, error) {
 	fleet := &Fleet{options: options, engines: map[api.WorkerID]*engine.Engine{}}
 	if err := fleet.start(ctx); err != nil {
@@ -96,11 +97,11 @@
 	return f.awaitReady(ctx)
 }
 
-// serve starts an HTTP server of a stand-in and gives its address.
+// serve starts an HTTP server and returns its address.
 func (f *Fleet) serve(handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
-		return "", fmt.Errorf("listen for a stand-in: %w", err)
+		return "", fmt.Errorf("listen for a fake: %w", err)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: suspectTimeout}
 	f.servers = append(f.servers, server)
@@ -158,7 +159,7 @@
 	return nil
 }
 
-// SetRow writes a row of the table.
+// SetRow writes a row of the table. It retries while the row is changed concurrently.
 func (f *Fleet) SetRow(ctx context.Context, row api.Row) error {
 	value, err := table.Encode(row, fmt.Sprintf("dev-%d", time.Now().UnixNano()))
 	if err != nil {
@@ -226,8 +227,8 @@
 	return nil
 }
 
-// awaitReady waits until the sidecar has a table and a home for every row, and
-// each group has a leader.
+// awaitReady waits until the sidecar has a table, the nodes report all workers, and each group
+// has a leader.
 func (f *Fleet) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -259,20 +260,19 @@
 	return workers == len(f.workers) && len(leaders) == config.Default().Store.Groups
 }
 
-// NodeAddress is the internal address of a router, for operators' tools.
+// NodeAddress returns the internal address of a router, for operator tools.
 func (f *Fleet) NodeAddress() string { return f.daemons[0].Node.Address() }
 
-// CallersAddress is where callers connect.
+// CallersAddress returns the address for clients.
 func (f *Fleet) CallersAddress() string { return f.sidecar.Sidecar.Address() }
 
-// URL is the base URL that callers use.
+// URL returns the base URL for clients.
 func (f *Fleet) URL() string { return "http://" + f.sidecar.Sidecar.Address() + "/v1" }
 
-// StopRouter stops one router as planned.
+// StopRouter starts the graceful stop of a router.
 func (f *Fleet) StopRouter(number int) { f.stops[number]() }
 
-// Stop stops everything: daemons as planned, callers' side first, then the
-// stand-ins, and removes the data.
+// Stop stops the daemons gracefully, the sidecar first, then the fakes, and removes the data folder.
 func (f *Fleet) Stop() {
 	for i := len(f.stops) - 1; i >= 0; i-- {
 		f.stops[i]()
--- a/internal/dev/fleet_test.go
+++ b/internal/dev/fleet_test.go
@@ -9,7 +9,7 @@
 	"github.com/dykewing/dykewing/internal/logging"
 )
 
-func TestExerciseHasOnlyRightAnswers(t *testing.T) {
+func TestExercise(t *testing.T) {
 	logger, err := logging.New(config.Log{Level: "error", Format: "text"}, t.Output())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/dev/jobs_bench_test.go
+++ b/internal/dev/jobs_bench_test.go
@@ -52,7 +52,7 @@
 	return leaders
 }
 
-// BenchmarkBatchAcknowledged uploads and submits jobs, some side by side.
+// BenchmarkBatchAcknowledged measures concurrent uploads and submissions of jobs.
 func BenchmarkBatchAcknowledged(b *testing.B) {
 	const items, uploads = 5000, 4
 	for _, stores := range []int{1, 3} {
@@ -87,8 +87,8 @@
 	return err
 }
 
-// BenchmarkBatchFinished claims and settles items at the stores' HTTP, as
-// routers do, with engines that answer at once.
+// BenchmarkBatchFinished claims and settles items over the stores' HTTP API as routers do, without
+// running them.
 func BenchmarkBatchFinished(b *testing.B) {
 	const items, routers = 20_000, 4
 	for _, stores := range []int{1, 3} {
@@ -111,7 +111,8 @@
 	}
 }
 
-// drainBatch plays routers until all items have ended and counts messages.
+// drainBatch claims and settles items concurrently until all have ended, and returns the number of
+// messages.
 func drainBatch(b *testing.B, fleet *Fleet, items, routers int) int {
 	var running sync.WaitGroup
 	var mutex sync.Mutex
@@ -170,8 +171,8 @@
 	return settled, messages
 }
 
-// BenchmarkBatchThroughRouters runs jobs by the routers and the stand-in
-// engines; admission's pacing at each worker bounds the items a second.
+// BenchmarkBatchThroughRouters runs jobs through routers and fake engines. Its rate is limited by
+// admission at each worker.
 func BenchmarkBatchThroughRouters(b *testing.B) {
 	const items = 400
 	fleet, client := benchmarkFleet(b, 1)
@@ -197,7 +198,7 @@
 	b.ReportMetric((batchMessages(b, fleet)-before)/done, "messages/item")
 }
 
-// batchMessages sums the routers' messages to stores.
+// batchMessages returns the number of messages from routers to stores.
 func batchMessages(b *testing.B, fleet *Fleet) float64 {
 	total := 0.0
 	for _, daemon := range fleet.daemons {
--- a/internal/dev/jobs_test.go
+++ b/internal/dev/jobs_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestRefusedUploadsNameTheLine(t *testing.T) {
+func TestUploadErrorNamesLine(t *testing.T) {
 	_, client := startFleet(t)
 	good := `{"custom_id":"a","method":"POST","url":"/v1/chat/completions","body":{"model":"dev-model","messages":[]}}`
 	cases := map[string]string{
@@ -66,11 +66,11 @@
 	}
 	files, err := client.Files.List(t.Context(), openai.FileListParams{})
 	if err != nil || len(files.Data) != 0 {
-		t.Fatalf("%d files stay after refused uploads, %v", len(files.Data), err)
+		t.Fatalf("%d files after rejected uploads, %v", len(files.Data), err)
 	}
 }
 
-func TestFilesAndBatchesComeInPagesAndTenantsAreApart(t *testing.T) {
+func TestBatchPaginationAndTenantIsolation(t *testing.T) {
 	_, client := startFleet(t)
 	input, _ := verify.BatchInput(ModelService, "mark", 1, answerTokens)
 	var made []string
@@ -96,14 +96,14 @@
 	other := option.WithHeader("Dykewing-Tenant", "other")
 	var refused *openai.Error
 	if _, err := client.Batches.Get(t.Context(), made[0], other); !errors.As(err, &refused) || refused.StatusCode != 404 {
-		t.Fatalf("another tenant reads the batch: %v", err)
+		t.Fatalf("another tenant can read the batch: %v", err)
 	}
 	if _, err := client.Batches.Cancel(t.Context(), made[0], other); !errors.As(err, &refused) || refused.StatusCode != 404 {
-		t.Fatalf("another tenant cancels the batch: %v", err)
+		t.Fatalf("another tenant can cancel the batch: %v", err)
 	}
 }
 
-func TestADeletedFileIsGoneAndItsBatchGoesOn(t *testing.T) {
+func TestBatchSurvivesFileDeletion(t *testing.T) {
 	_, client := startFleet(t)
 	input, want := verify.BatchInput(ModelService, "mark", 20, answerTokens)
 	file, err := upload(t, client, string(input))
@@ -119,7 +119,7 @@
 	}
 	var refused *openai.Error
 	if _, err := client.Files.Get(t.Context(), file.ID); !errors.As(err, &refused) || refused.StatusCode != 404 {
-		t.Fatalf("the deleted file gives %v", err)
+		t.Fatalf("read of a deleted file: %v", err)
 	}
 	if err := awaitCount(t.Context(), client, batch.ID, 20); err != nil {
 		t.Fatal(err)
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestNonRepeatableItemsOfAnApplicationRunOnce(t *testing.T) {
+func TestNonRepeatableItemsRunOnce(t *testing.T) {
 	fleet, client := startFleet(t)
 	row := initialRows()[2]
 	row.BatchAllowance = 4
@@ -164,12 +164,12 @@
 		}
 	}
 	if ran != 20 {
-		t.Fatalf("the back ends ran %d requests for 20 items", ran)
+		t.Fatalf("backends ran %d requests for 20 items", ran)
 	}
 }
 
-// The histories of submit, cancel and read are checked against this model of
-// one job, one partition for each idempotency key.
+// jobInput is an operation of a history that is checked against jobModel, a sequential model of one
+// job, partitioned by idempotency key.
 type jobInput struct {
 	key  string
 	kind string // submit, cancel or read
@@ -186,7 +186,7 @@
 type jobModelState struct {
 	id, body  string
 	completed int64
-	status    string // in_progress until it ended
+	status    string // in_progress until the job has ended
 }
 
 func stepJob(state jobModelState, input jobInput, output jobOutput) (bool, jobModelState) {
@@ -200,14 +200,14 @@
 		}
 		return !output.conflict && output.id == state.id, state
 	case "read", "cancel":
-		return stepSeen(state, input.kind, output)
+		return stepObserved(state, input.kind, output)
 	}
 	return false, state
 }
 
-// stepSeen: counts never fall; once a job was seen ended its state and counts
-// stay, also after its cancel was acknowledged.
-func stepSeen(state jobModelState, kind string, output jobOutput) (bool, jobModelState) {
+// stepObserved checks a read or cancel: counts never decrease, and once a job was observed as ended or
+// its cancellation acknowledged, its state and counts do not change.
+func stepObserved(state jobModelState, kind string, output jobOutput) (bool, jobModelState) {
 	status := output.status
 	if status == "cancelling" {
 		status = "cancelled"
@@ -219,7 +219,7 @@
 		return status == state.status && output.completed == state.completed, state
 	}
 	if kind == "cancel" && status == "in_progress" || kind == "read" && status == "cancelled" {
-		return false, state // a cancel takes effect, and only a cancel does
+		return false, state // a cancellation takes effect at once, and only a cancellation ends a job as cancelled
 	}
 	state.status, state.completed = status, output.completed
 	return true, state
@@ -244,7 +244,7 @@
 	},
 }
 
-func TestTheJobModelRefusesAResultAfterCancel(t *testing.T) {
+func TestJobModelRejectsResultAfterCancel(t *testing.T) {
 	at := int64(0)
 	operation := func(kind string, output jobOutput) porcupine.Operation {
 		at += 2
@@ -255,19 +255,19 @@
 		operation("read", jobOutput{id: "j", status: "cancelled", completed: 3}),
 	}
 	if !porcupine.CheckOperations(jobModel, good) {
-		t.Fatal("a right history is refused")
+		t.Fatal("valid history was rejected")
 	}
 	bad := append(good, operation("read", jobOutput{id: "j", status: "cancelled", completed: 4}))
 	if porcupine.CheckOperations(jobModel, bad) {
-		t.Fatal("a result after the cancel is taken")
+		t.Fatal("history with a result after the cancellation was accepted")
 	}
 	second := append(good[:1:1], operation("submit", jobOutput{id: "k"}))
 	if porcupine.CheckOperations(jobModel, second) {
-		t.Fatal("a resend that gives a second job is taken")
+		t.Fatal("history with a duplicate job was accepted")
 	}
 }
 
-// recorder collects a history of operations.
+// recorder records a history of operations.
 type recorder struct {
 	mutex   sync.Mutex
 	began   time.Time
@@ -288,7 +288,7 @@
 	return nil
 }
 
-func seen(batch *openai.Batch, err error) (jobOutput, error) {
+func observed(batch *openai.Batch, err error) (jobOutput, error) {
 	if err != nil {
 		return jobOutput{}, err
 	}
@@ -309,9 +309,9 @@
 	return jobOutput{id: batch.ID}, nil
 }
 
-// TestHistoriesOfJobsAreLinearisable runs clients side by side against a fleet
-// in which a router and a store stop, and checks what they saw.
-func TestHistoriesOfJobsAreLinearisable(t *testing.T) {
+// TestJobHistoriesAreLinearizable runs concurrent clients against a fleet in which a router and a
+// store stop, and checks their history.
+func TestJobHistoriesAreLinearizable(t *testing.T) {
 	const keys, clients = 6, 4
 	fleet, client := startFleet(t)
 	input, _ := verify.BatchInput(ModelService, "mark", 30, answerTokens)
@@ -324,14 +324,14 @@
 	for key := range keys {
 		for number := range clients {
 			running.Go(func() {
-				if err := recorded.live(t.Context(), client, file.ID, fmt.Sprint("key-", key), number); err != nil {
+				if err := recorded.runClient(t.Context(), client, file.ID, fmt.Sprint("key-", key), number); err != nil {
 					t.Errorf("client %d of key %d: %v", number, key, err)
 				}
 			})
 		}
 	}
 	fleet.StopRouter(1)
-	fleet.stops[fleet.options.Routers]() // the first store: others lead its groups
+	fleet.stops[fleet.options.Routers]() // the first store: others take over its groups
 	running.Wait()
 	if len(recorded.history) < keys*clients {
 		t.Fatalf("only %d operations", len(recorded.history))
@@ -341,8 +341,8 @@
 	}
 }
 
-// live is one client of a key: submit, read some times, and one of them cancels.
-func (r *recorder) live(ctx context.Context, client openai.Client, file, key string, number int) error {
+// runClient runs a client of a key, which submits and reads the job; client 0 also cancels it.
+func (r *recorder) runClient(ctx context.Context, client openai.Client, file, key string, number int) error {
 	body := "same"
 	if number == 3 {
 		body = "other"
@@ -360,9 +360,9 @@
 		}
 		err = r.record(number, jobInput{key: key, kind: kind}, func() (jobOutput, error) {
 			if kind == "cancel" {
-				return seen(client.Batches.Cancel(ctx, id))
+				return observed(client.Batches.Cancel(ctx, id))
 			}
-			return seen(client.Batches.Get(ctx, id))
+			return observed(client.Batches.Get(ctx, id))
 		})
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/internal/dev/latency_test.go
+++ b/internal/dev/latency_test.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	pacedCallers  = 16                    // 1000 requests a second in all
-	halfCallers   = 240                   // 15,000 a second: half of what BenchmarkRequests reaches through both
-	pacedInterval = 16 * time.Millisecond // of one caller
-	pacedSeconds  = 2
-	warmUpTurns   = 2 // not counted: connections are made in them
+	lightLoadClients = 16                    // 1000 requests per second in total
+	halfLoadClients  = 240                   // 15,000 requests per second, about half of the maximum
+	pacedInterval    = 16 * time.Millisecond // per client
+	pacedSeconds     = 2
+	warmUpRounds     = 2 // not counted, since connections are established
 )
 
-// pathFleet serves an application whose answer takes no time, so that
-// what is measured is the path.
+// pathFleet starts a fleet with an application of negligible latency, to measure the request path. It
+// returns the base URLs through the fleet and directly to a worker.
 func pathFleet(b *testing.B) (through, direct string) {
 	b.Helper()
 	logger, err := logging.New(config.Log{Level: "error", Format: "text"}, io.Discard)
@@ -67,11 +67,11 @@
 	return err
 }
 
-// BenchmarkAddedLatency paces requests directly to the stand-in and through
-// sidecar and router, in turns within one run, at a light and at half load.
+// BenchmarkAddedLatency measures the latency added by sidecar and router. It alternates between
+// direct requests and those through the fleet, at a light load and at half load.
 func BenchmarkAddedLatency(b *testing.B) {
 	through, direct := pathFleet(b)
-	for _, callers := range []int{pacedCallers, halfCallers} {
+	for _, callers := range []int{lightLoadClients, halfLoadClients} {
 		rate := callers * int(time.Second) / int(pacedInterval)
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) { compare(b, through, direct, callers) })
 	}
@@ -81,7 +81,7 @@
 	client := transport.NewClient(callers)
 	times := map[string]*hdrhistogram.Histogram{}
 	for turn, base := range []string{direct, through, direct, through, direct, through} {
-		if turn <= warmUpTurns+1 {
+		if turn <= warmUpRounds+1 {
 			times[base] = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 		}
 		pace(b, client, base, callers, times[base])
@@ -128,8 +128,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkRequests runs as many as it can, client and stand-in in the same
-// process; requests a core are of processor time, all parts together.
+// BenchmarkRequests measures the maximum throughput with client, fleet and fakes in one process, and
+// requests per second of CPU time.
 func BenchmarkRequests(b *testing.B) {
 	through, direct := pathFleet(b)
 	for _, c := range []struct{ name, base string }{{"direct", direct}, {"through", through}} {
