--- a/detour/detour.go
+++ b/detour/detour.go
@@ -38,22 +38,22 @@
 	idleTTL = time.Minute
 )
 
-// Way is a path to a process. The zero value is the direct path.
-type Way struct {
-	Via api.NodeID // the relaying peer; empty for the direct path
+// Path is a path to a process. The zero value is the direct path.
+type Path struct {
+	Relay api.NodeID // the relaying peer; empty for the direct path
 }
 
-// Straight reports whether the path is direct.
-func (w Way) Straight() bool { return w.Via == "" }
+// Direct reports whether the path is direct.
+func (w Path) Direct() bool { return w.Relay == "" }
 
 // Result is the outcome of a query on one path.
 type Result int
 
 // Query results.
 const (
-	Answered  Result = iota + 1
-	Silent           // the process or the relay did not answer
-	Unreached        // the relay answered that it cannot reach the process
+	Answered    Result = iota + 1
+	NoAnswer           // the process or the relay did not answer
+	Unreachable        // the relay answered that it cannot reach the process
 )
 
 // Fault is a fault injected by tests.
@@ -61,15 +61,15 @@
 
 // Injected faults.
 const (
-	FaultNone     Fault = ""
-	FaultNoPeer   Fault = "no peer is asked"
-	FaultNoTrial  Fault = "the straight way is not tried again"
-	FaultNoPause  Fault = "peers that fail are asked again at once"
-	FaultNoMemory Fault = "the peer that answered is forgotten"
+	FaultNone      Fault = ""
+	FaultNoRelay   Fault = "no peer is asked"
+	FaultNoProbe   Fault = "the straight way is not tried again"
+	FaultNoBackoff Fault = "peers that fail are asked again at once"
+	FaultNoMemory  Fault = "the peer that answered is forgotten"
 )
 
-// Ways holds the state of one process's paths to others. It is not safe for concurrent use.
-type Ways struct {
+// Paths holds the state of one process's paths to others. It is not safe for concurrent use.
+type Paths struct {
 	targets   map[api.NodeID]*target
 	backoffs  map[api.NodeID]*backoff
 	evictedAt time.Time
@@ -94,30 +94,30 @@
 }
 
 // New returns an empty state, in which every direct path is assumed to work.
-func New() *Ways {
-	return &Ways{targets: map[api.NodeID]*target{}, backoffs: map[api.NodeID]*backoff{}}
+func New() *Paths {
+	return &Paths{targets: map[api.NodeID]*target{}, backoffs: map[api.NodeID]*backoff{}}
 }
 
-// Question is a query in flight.
-type Question struct {
-	ways       *Ways
+// Query is a query in flight.
+type Query struct {
+	ways       *Paths
 	target     api.NodeID
 	startedAt  time.Time
 	probe      bool // probes a failed direct path
 	relayFirst bool // starts with a relay
-	tried      []Way
+	tried      []Path
 	relays     int
 }
 
 // Begin starts a query to a process. Only a repeatable query probes a failed direct path,
 // since it is relayed at the same time and does not wait for the probe.
-func (w *Ways) Begin(now time.Time, id api.NodeID, repeatable bool) *Question {
+func (w *Paths) Begin(now time.Time, id api.NodeID, repeatable bool) *Query {
 	w.evictIdle(now)
 	t := w.target(now, id)
-	q := &Question{ways: w, target: id, startedAt: now}
-	if !t.failedAt.IsZero() && w.fault != FaultNoPeer {
+	q := &Query{ways: w, target: id, startedAt: now}
+	if !t.failedAt.IsZero() && w.fault != FaultNoRelay {
 		q.relayFirst = true
-		q.probe = repeatable && !now.Before(t.probeAt) && w.fault != FaultNoTrial
+		q.probe = repeatable && !now.Before(t.probeAt) && w.fault != FaultNoProbe
 		if q.probe {
 			t.probeAt = now.Add(probeInterval)
 		}
@@ -127,34 +127,34 @@
 
 // Next returns the path to try now, or false if none is left. peers returns the possible
 // relays in order of preference and is called only if one is needed.
-func (q *Question) Next(now time.Time, peers func() []api.NodeID) (Way, bool) {
-	direct := slices.Contains(q.tried, Way{})
+func (q *Query) Next(now time.Time, peers func() []api.NodeID) (Path, bool) {
+	direct := slices.Contains(q.tried, Path{})
 	if !direct && (!q.relayFirst || q.probe) {
-		return q.use(Way{}), true
+		return q.use(Path{}), true
 	}
-	if q.ways.fault != FaultNoPeer && q.relays < maxRelays {
+	if q.ways.fault != FaultNoRelay && q.relays < maxRelays {
 		if peer, ok := q.nextRelay(now, peers()); ok {
 			q.relays++
-			return q.use(Way{Via: peer}), true
+			return q.use(Path{Relay: peer}), true
 		}
 	}
 	if !direct && len(q.tried) == 0 {
-		return q.use(Way{}), true
+		return q.use(Path{}), true
 	}
-	return Way{}, false
+	return Path{}, false
 }
 
-func (q *Question) use(way Way) Way {
+func (q *Query) use(way Path) Path {
 	q.tried = append(q.tried, way)
 	return way
 }
 
 // nextRelay returns the relay of the last answer if it is usable, else the first usable
 // peer.
-func (q *Question) nextRelay(now time.Time, peers []api.NodeID) (api.NodeID, bool) {
+func (q *Query) nextRelay(now time.Time, peers []api.NodeID) (api.NodeID, bool) {
 	t := q.ways.target(now, q.target)
 	usable := func(id api.NodeID) bool {
-		return id != q.target && !slices.Contains(q.tried, Way{Via: id}) && !q.ways.backoffs[id].active(now) && !t.backoffs[id].active(now)
+		return id != q.target && !slices.Contains(q.tried, Path{Relay: id}) && !q.ways.backoffs[id].active(now) && !t.backoffs[id].active(now)
 	}
 	if t.relay != "" && usable(t.relay) && slices.Contains(peers, t.relay) {
 		return t.relay, true
@@ -167,7 +167,7 @@
 }
 
 // Due returns when to try the next path if no answer has arrived by then.
-func (q *Question) Due() time.Time {
+func (q *Query) Due() time.Time {
 	switch {
 	case len(q.tried) == 0, q.probe && len(q.tried) == 1:
 		return q.startedAt
@@ -177,34 +177,34 @@
 	return q.startedAt.Add(time.Duration(q.relays) * hedgeInterval)
 }
 
-// Ended records the result on one path. It reports whether the path to the process changed
+// RecordResult records the result on one path. It reports whether the path to the process changed
 // between direct and relayed, or to another relay.
-func (q *Question) Ended(now time.Time, way Way, result Result) (changed bool) {
+func (q *Query) RecordResult(now time.Time, way Path, result Result) (changed bool) {
 	t := q.ways.target(now, q.target)
-	if way.Straight() {
+	if way.Direct() {
 		return q.ways.recordDirect(now, t, result)
 	}
 	switch result {
 	case Answered:
-		delete(q.ways.backoffs, way.Via)
-		delete(t.backoffs, way.Via)
-		if q.ways.fault == FaultNoMemory || t.relay == way.Via {
+		delete(q.ways.backoffs, way.Relay)
+		delete(t.backoffs, way.Relay)
+		if q.ways.fault == FaultNoMemory || t.relay == way.Relay {
 			return false
 		}
 		if t.relay == "" || q.ways.backoffs[t.relay].active(now) || t.backoffs[t.relay].active(now) {
-			t.relay = way.Via
+			t.relay = way.Relay
 			return t.markChanged(now, !t.failedAt.IsZero())
 		}
-	case Unreached:
-		delete(q.ways.backoffs, way.Via)
-		t.backoffs[way.Via] = t.backoffs[way.Via].extend(now, q.ways.fault)
-	case Silent:
-		q.ways.backoffs[way.Via] = q.ways.backoffs[way.Via].extend(now, q.ways.fault)
+	case Unreachable:
+		delete(q.ways.backoffs, way.Relay)
+		t.backoffs[way.Relay] = t.backoffs[way.Relay].extend(now, q.ways.fault)
+	case NoAnswer:
+		q.ways.backoffs[way.Relay] = q.ways.backoffs[way.Relay].extend(now, q.ways.fault)
 	}
 	return false
 }
 
-func (w *Ways) recordDirect(now time.Time, t *target, result Result) (changed bool) {
+func (w *Paths) recordDirect(now time.Time, t *target, result Result) (changed bool) {
 	failed := !t.failedAt.IsZero()
 	if result == Answered {
 		t.failedAt, t.succeededAt, t.relay = time.Time{}, now, ""
@@ -226,20 +226,20 @@
 
 // Reaches reports whether the direct path to a process is assumed to work. Queries of other
 // processes are relayed only then. A failed path is tried again after probeInterval.
-func (w *Ways) Reaches(now time.Time, id api.NodeID) bool {
+func (w *Paths) Reaches(now time.Time, id api.NodeID) bool {
 	t := w.targets[id]
 	return t == nil || t.failedAt.IsZero() || now.Sub(t.failedAt) > probeInterval
 }
 
-// Passed records the result of a query relayed for another process, and reports whether the
+// RecordRelayed records the result of a query relayed for another process, and reports whether the
 // path to the process changed.
-func (w *Ways) Passed(now time.Time, id api.NodeID, result Result) (changed bool) {
+func (w *Paths) RecordRelayed(now time.Time, id api.NodeID, result Result) (changed bool) {
 	return w.recordDirect(now, w.target(now, id), result)
 }
 
-// Via returns the peer that currently relays queries to a process. It is empty if the direct
+// Relay returns the peer that currently relays queries to a process. It is empty if the direct
 // path is in use or no path works.
-func (w *Ways) Via(id api.NodeID) api.NodeID {
+func (w *Paths) Relay(id api.NodeID) api.NodeID {
 	t := w.targets[id]
 	if t == nil || t.failedAt.IsZero() {
 		return ""
@@ -247,8 +247,8 @@
 	return t.relay
 }
 
-// Changed returns when the path to a process last changed; zero if it never did.
-func (w *Ways) Changed(id api.NodeID) time.Time {
+// ChangedAt returns when the path to a process last changed; zero if it never did.
+func (w *Paths) ChangedAt(id api.NodeID) time.Time {
 	t := w.targets[id]
 	if t == nil {
 		return time.Time{}
@@ -260,9 +260,9 @@
 // exceeds the interval between probes.
 const isolationWindow = 2 * probeInterval
 
-// Apart reports whether this process appears to be isolated: at least two direct paths
+// Isolated reports whether this process appears to be isolated: at least two direct paths
 // failed within isolationWindow and none succeeded.
-func (w *Ways) Apart(now time.Time) bool {
+func (w *Paths) Isolated(now time.Time) bool {
 	failed := 0
 	for _, t := range w.targets {
 		switch {
@@ -279,7 +279,7 @@
 
 // extend returns the backoff after another failure.
 func (p *backoff) extend(now time.Time, fault Fault) *backoff {
-	if fault == FaultNoPause {
+	if fault == FaultNoBackoff {
 		return nil
 	}
 	if p == nil {
@@ -293,7 +293,7 @@
 	return p
 }
 
-func (w *Ways) target(now time.Time, id api.NodeID) *target {
+func (w *Paths) target(now time.Time, id api.NodeID) *target {
 	t := w.targets[id]
 	if t == nil {
 		t = &target{backoffs: map[api.NodeID]*backoff{}}
@@ -304,7 +304,7 @@
 }
 
 // evictIdle removes state that has not been used for idleTTL.
-func (w *Ways) evictIdle(now time.Time) {
+func (w *Paths) evictIdle(now time.Time) {
 	if now.Sub(w.evictedAt) < idleTTL {
 		return
 	}
--- a/detour/detour_test.go
+++ b/detour/detour_test.go
@@ -30,7 +30,7 @@
 		{at: 0, do: "ask", want: "straight"},
 		{at: 20 * ms, do: "next", want: "p"},
 		{at: 24 * ms, do: "p", result: Answered},
-		{at: 60 * ms, do: "straight", result: Silent},
+		{at: 60 * ms, do: "straight", result: NoAnswer},
 	}
 	after := func(steps ...step) []step { return append(slices.Clone(cut), steps...) }
 	tests := []struct {
@@ -63,39 +63,39 @@
 		{"backoff of a peer that does not reach the process", "", []step{
 			{at: 0, do: "ask", want: "straight"},
 			{at: 20 * ms, do: "next", want: "p"},
-			{at: 22 * ms, do: "p", result: Unreached},
+			{at: 22 * ms, do: "p", result: Unreachable},
 			{at: 22 * ms, do: "next", want: "q"},
 			{at: 25 * ms, do: "q", result: Answered},
-			{at: 60 * ms, do: "straight", result: Silent},
+			{at: 60 * ms, do: "straight", result: NoAnswer},
 			{at: 100 * ms, do: "ask", want: "q"},
 		}},
 		{"relay of the last answer preferred after the backoff of a nearer peer", "", []step{
 			{at: 0, do: "ask", want: "straight"},
 			{at: 20 * ms, do: "next", want: "p"},
-			{at: 35 * ms, do: "p", result: Silent},
+			{at: 35 * ms, do: "p", result: NoAnswer},
 			{at: 35 * ms, do: "next", want: "q"},
 			{at: 38 * ms, do: "q", result: Answered},
-			{at: 60 * ms, do: "straight", result: Silent},
+			{at: 60 * ms, do: "straight", result: NoAnswer},
 			{at: 600 * ms, do: "ask", want: "q"},
 		}},
 		{"failover to another relay and back", "", after(
 			step{at: 100 * ms, do: "ask", want: "p"},
-			step{at: 100 * ms, do: "p", result: Silent},
+			step{at: 100 * ms, do: "p", result: NoAnswer},
 			step{at: 100 * ms, do: "next", want: "q"},
 			step{at: 104 * ms, do: "q", result: Answered},
 			step{at: 110 * ms, do: "ask", want: "q"},
-			step{at: 700 * ms, do: "q", result: Silent},
+			step{at: 700 * ms, do: "q", result: NoAnswer},
 			step{at: 700 * ms, do: "next", want: "p"},
 		)},
 		{"query ends after three unreachable relays", "", []step{
 			{at: 0, do: "ask", want: "straight"},
-			{at: 1 * ms, do: "straight", result: Silent},
+			{at: 1 * ms, do: "straight", result: NoAnswer},
 			{at: 1 * ms, do: "next", want: "p"},
-			{at: 2 * ms, do: "p", result: Unreached},
+			{at: 2 * ms, do: "p", result: Unreachable},
 			{at: 2 * ms, do: "next", want: "q"},
-			{at: 3 * ms, do: "q", result: Unreached},
+			{at: 3 * ms, do: "q", result: Unreachable},
 			{at: 3 * ms, do: "next", want: "r"},
-			{at: 4 * ms, do: "r", result: Unreached},
+			{at: 4 * ms, do: "r", result: Unreachable},
 			{at: 4 * ms, do: "next", want: "none"},
 		}},
 		{"direct path if all peers are in backoff", "", []step{
@@ -103,36 +103,36 @@
 			{at: 0, do: "next", want: "p"},
 			{at: 0, do: "next", want: "q"},
 			{at: 0, do: "next", want: "r"},
-			{at: 60 * ms, do: "straight", result: Silent},
-			{at: 60 * ms, do: "p", result: Silent},
-			{at: 60 * ms, do: "q", result: Silent},
-			{at: 60 * ms, do: "r", result: Silent},
+			{at: 60 * ms, do: "straight", result: NoAnswer},
+			{at: 60 * ms, do: "p", result: NoAnswer},
+			{at: 60 * ms, do: "q", result: NoAnswer},
+			{at: 60 * ms, do: "r", result: NoAnswer},
 			{at: 100 * ms, do: "ask", want: "s"},
-			{at: 160 * ms, do: "s", result: Silent},
+			{at: 160 * ms, do: "s", result: NoAnswer},
 			{at: 200 * ms, do: "ask", want: "straight"},
 		}},
-		{"fault: no backoff", FaultNoPause, []step{
+		{"fault: no backoff", FaultNoBackoff, []step{
 			{at: 0, do: "ask", want: "straight"},
 			{at: 20 * ms, do: "next", want: "p"},
-			{at: 22 * ms, do: "p", result: Unreached},
-			{at: 60 * ms, do: "straight", result: Silent},
+			{at: 22 * ms, do: "p", result: Unreachable},
+			{at: 60 * ms, do: "straight", result: NoAnswer},
 			{at: 100 * ms, do: "ask", want: "p"},
 		}},
 		{"backoff of a failed peer", "", []step{
 			{at: 0, do: "ask", want: "straight"},
 			{at: 20 * ms, do: "next", want: "p"},
-			{at: 22 * ms, do: "p", result: Unreached},
-			{at: 60 * ms, do: "straight", result: Silent},
+			{at: 22 * ms, do: "p", result: Unreachable},
+			{at: 60 * ms, do: "straight", result: NoAnswer},
 			{at: 100 * ms, do: "ask", want: "q"},
 		}},
-		{"fault: no probe", FaultNoTrial, after(step{at: 5000 * ms, do: "ask", want: "p"})},
+		{"fault: no probe", FaultNoProbe, after(step{at: 5000 * ms, do: "ask", want: "p"})},
 		{"fault: relay not remembered", FaultNoMemory, []step{
 			{at: 0, do: "ask", want: "straight"},
 			{at: 20 * ms, do: "next", want: "p"},
-			{at: 35 * ms, do: "p", result: Silent},
+			{at: 35 * ms, do: "p", result: NoAnswer},
 			{at: 35 * ms, do: "next", want: "q"},
 			{at: 38 * ms, do: "q", result: Answered},
-			{at: 60 * ms, do: "straight", result: Silent},
+			{at: 60 * ms, do: "straight", result: NoAnswer},
 			{at: 600 * ms, do: "ask", want: "p"},
 		}},
 	}
@@ -140,7 +140,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			w := New()
 			w.fault = test.fault
-			var q *Question
+			var q *Query
 			for i, s := range test.steps {
 				now := testStart.Add(s.at)
 				switch s.do {
@@ -155,23 +155,23 @@
 						t.Errorf("step %d: next path due at %v, want %v", i, q.Due().Sub(testStart), s.due)
 					}
 				case "straight":
-					q.Ended(now, Way{}, s.result)
+					q.RecordResult(now, Path{}, s.result)
 				default:
-					q.Ended(now, Way{Via: api.NodeID(s.do)}, s.result)
+					q.RecordResult(now, Path{Relay: api.NodeID(s.do)}, s.result)
 				}
 			}
 		})
 	}
 }
 
-func pathName(way Way, ok bool) string {
+func pathName(way Path, ok bool) string {
 	switch {
 	case !ok:
 		return "none"
-	case way.Straight():
+	case way.Direct():
 		return "straight"
 	}
-	return string(way.Via)
+	return string(way.Relay)
 }
 
 // The backoff of a peer doubles with each failure and ends with an answer.
@@ -180,14 +180,14 @@
 	now := testStart
 	for _, want := range []time.Duration{250 * ms, 500 * ms, 1000 * ms, 2000 * ms, 4000 * ms, 8000 * ms, 8000 * ms} {
 		q := w.Begin(now, "store", true)
-		q.Ended(now, Way{Via: "p"}, Silent)
-		q.Ended(now, Way{Via: "p"}, Silent)
+		q.RecordResult(now, Path{Relay: "p"}, NoAnswer)
+		q.RecordResult(now, Path{Relay: "p"}, NoAnswer)
 		if got := w.backoffs["p"].until.Sub(now); got != want {
 			t.Errorf("backoff %v, want %v", got, want)
 		}
 		now = w.backoffs["p"].until
 	}
-	w.Begin(now, "store", true).Ended(now, Way{Via: "p"}, Answered)
+	w.Begin(now, "store", true).RecordResult(now, Path{Relay: "p"}, Answered)
 	if w.backoffs["p"].active(now) {
 		t.Error("backoff active after an answer")
 	}
@@ -198,14 +198,14 @@
 	if !w.Reaches(testStart, "store") {
 		t.Error("unknown path not assumed to work")
 	}
-	w.Passed(testStart, "store", Silent)
+	w.RecordRelayed(testStart, "store", NoAnswer)
 	if w.Reaches(testStart.Add(100*ms), "store") {
 		t.Error("direct path used after a failure")
 	}
 	if !w.Reaches(testStart.Add(probeInterval+ms), "store") {
 		t.Error("direct path not tried again")
 	}
-	w.Passed(testStart.Add(probeInterval+ms), "store", Answered)
+	w.RecordRelayed(testStart.Add(probeInterval+ms), "store", Answered)
 	if !w.Reaches(testStart.Add(probeInterval+2*ms), "store") {
 		t.Error("direct path not used after an answer")
 	}
@@ -222,7 +222,7 @@
 	suspected, leaving, store := node("s", at("r", "a")), node("l", at("r", "a")), node("store", at("r", "a"))
 	suspected.Suspected, leaving.Leaving, store.Role = true, true, api.RoleStore
 	view := []api.Node{node("far", at("s", "a")), node("next", at("r", "b")), suspected, self, leaving, store, node("near", at("r", "a"))}
-	if got := Peers(self, view); !slices.Equal(got, []api.NodeID{"near", "next", "far"}) {
+	if got := RelayCandidates(self, view); !slices.Equal(got, []api.NodeID{"near", "next", "far"}) {
 		t.Errorf("%v", got)
 	}
 	zones := map[api.NodeID]string{}
@@ -232,7 +232,7 @@
 		two = append(two, next, near)
 		zones[near.ID], zones[next.ID] = "near", "next"
 	}
-	for i, id := range Peers(self, two) {
+	for i, id := range RelayCandidates(self, two) {
 		if want := []string{"near", "next"}[i%2]; zones[id] != want {
 			t.Errorf("%s at %d", id, i)
 		}
@@ -244,7 +244,7 @@
 	}
 	first := map[api.NodeID]int{}
 	for _, each := range zone {
-		first[Peers(each, zone)[0]]++
+		first[RelayCandidates(each, zone)[0]]++
 	}
 	if len(first) < 6 {
 		t.Errorf("12 processes start with %d different peers", len(first))
@@ -259,7 +259,7 @@
 		for range rapid.IntRange(1, 30).Draw(t, "questions") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * ms)
 			q := w.Begin(now, "store", rapid.Bool().Draw(t, "repeatable"))
-			seen := map[Way]bool{}
+			seen := map[Path]bool{}
 			for {
 				way, ok := q.Next(now, func() []api.NodeID { return peers })
 				if !ok {
@@ -269,25 +269,25 @@
 					t.Fatalf("%v after %v", way, seen)
 				}
 				seen[way] = true
-				result := rapid.SampledFrom([]Result{Answered, Silent, Unreached}).Draw(t, "result")
-				if way.Straight() && result == Unreached {
-					result = Silent
+				result := rapid.SampledFrom([]Result{Answered, NoAnswer, Unreachable}).Draw(t, "result")
+				if way.Direct() && result == Unreachable {
+					result = NoAnswer
 				}
-				q.Ended(now, way, result)
+				q.RecordResult(now, way, result)
 			}
 			if len(seen) == 0 {
 				t.Fatal("no path tried")
 			}
-			w.Passed(now, "other", Answered)
+			w.RecordRelayed(now, "other", Answered)
 		}
 		now = now.Add(2 * probeInterval)
 		q := w.Begin(now, "store", true)
-		if way, _ := q.Next(now, func() []api.NodeID { return peers }); way.Straight() {
-			q.Ended(now, way, Answered)
+		if way, _ := q.Next(now, func() []api.NodeID { return peers }); way.Direct() {
+			q.RecordResult(now, way, Answered)
 		} else {
 			t.Fatalf("path %v, want a probe of the direct path after 2 s", way)
 		}
-		if via := w.Via("store"); via != "" {
+		if via := w.Relay("store"); via != "" {
 			t.Fatalf("still relayed by %s", via)
 		}
 	})
@@ -306,21 +306,21 @@
 		want bool
 	}{
 		{"no results", nil, 0, false},
-		{"one target fails", []end{{0, "a", Silent}, {0, "a", Silent}}, 0, false},
-		{"two targets fail", []end{{0, "a", Silent}, {0, "b", Silent}}, 0, true},
-		{"a third target answers", []end{{0, "a", Silent}, {0, "b", Silent}, {0, "c", Answered}}, 0, false},
-		{"expired success", []end{{0, "c", Answered}, {2500 * ms, "a", Silent}, {2500 * ms, "b", Silent}}, 2500 * ms, true},
-		{"one target recovers", []end{{0, "a", Silent}, {0, "b", Silent}, {500 * ms, "a", Answered}}, 500 * ms, false},
-		{"expired failures", []end{{0, "a", Silent}, {0, "b", Silent}}, 2500 * ms, false},
+		{"one target fails", []end{{0, "a", NoAnswer}, {0, "a", NoAnswer}}, 0, false},
+		{"two targets fail", []end{{0, "a", NoAnswer}, {0, "b", NoAnswer}}, 0, true},
+		{"a third target answers", []end{{0, "a", NoAnswer}, {0, "b", NoAnswer}, {0, "c", Answered}}, 0, false},
+		{"expired success", []end{{0, "c", Answered}, {2500 * ms, "a", NoAnswer}, {2500 * ms, "b", NoAnswer}}, 2500 * ms, true},
+		{"one target recovers", []end{{0, "a", NoAnswer}, {0, "b", NoAnswer}, {500 * ms, "a", Answered}}, 500 * ms, false},
+		{"expired failures", []end{{0, "a", NoAnswer}, {0, "b", NoAnswer}}, 2500 * ms, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			w := New()
 			for _, e := range test.ends {
 				now := testStart.Add(e.at)
-				w.Begin(now, e.target, true).Ended(now, Way{}, e.result)
+				w.Begin(now, e.target, true).RecordResult(now, Path{}, e.result)
 			}
-			if got := w.Apart(testStart.Add(test.at)); got != test.want {
+			if got := w.Isolated(testStart.Add(test.at)); got != test.want {
 				t.Errorf("%t", got)
 			}
 		})
@@ -331,8 +331,8 @@
 	w := New()
 	for i := range 500 {
 		q := w.Begin(testStart, api.NodeID(fmt.Sprint("store-", i)), true)
-		q.Ended(testStart, Way{}, Silent)
-		q.Ended(testStart, Way{Via: api.NodeID(fmt.Sprint("peer-", i))}, Silent)
+		q.RecordResult(testStart, Path{}, NoAnswer)
+		q.RecordResult(testStart, Path{Relay: api.NodeID(fmt.Sprint("peer-", i))}, NoAnswer)
 	}
 	w.Begin(testStart.Add(idleTTL+2*time.Second), "store", true)
 	if len(w.targets) != 1 || len(w.backoffs) != 0 {
--- a/detour/peers.go
+++ b/detour/peers.go
@@ -8,11 +8,11 @@
 	"github.com/dykewing/dykewing/placement"
 )
 
-// Peers lists the processes of this one's role that may relay a query, in order of
+// RelayCandidates lists the processes of this one's role that may relay a query, in order of
 // preference. It alternates between the own zone and others, those in the own region first,
 // since an outage may affect the whole zone. Ties are broken by a hash that differs per
 // process, so that processes isolated together start with different peers.
-func Peers(self api.Node, view []api.Node) []api.NodeID {
+func RelayCandidates(self api.Node, view []api.Node) []api.NodeID {
 	type candidate struct {
 		id       api.NodeID
 		distance int
--- a/detour/replay_test.go
+++ b/detour/replay_test.go
@@ -28,7 +28,7 @@
 type frontend struct {
 	node     api.Node
 	isolated bool
-	ways     *Ways
+	ways     *Paths
 	holder   *ratelimit.Holder
 }
 
@@ -69,32 +69,32 @@
 // pathResult is the result of a query on one path.
 type pathResult struct {
 	at     time.Duration
-	way    Way
+	way    Path
 	result Result
 	grant  ratelimit.Grant
 }
 
 // send sends a query on one path at the given time. An answer later than last is useless.
-func (f *fleet) send(by *frontend, way Way, owner api.NodeID, ask ratelimit.Ask, at, last time.Duration) pathResult {
+func (f *fleet) send(by *frontend, way Path, owner api.NodeID, ask ratelimit.Ask, at, last time.Duration) pathResult {
 	step := func(reached time.Duration) ratelimit.Grant {
 		return f.owners[owner].Step(testStart.Add(reached), ask, false)
 	}
-	if way.Straight() {
+	if way.Direct() {
 		if !f.reaches(by, at) {
-			return pathResult{at: last, way: way, result: Silent}
+			return pathResult{at: last, way: way, result: NoAnswer}
 		}
 		return pathResult{at: at + roundTrip, way: way, result: Answered, grant: step(at + roundTrip/2)}
 	}
-	peer := f.frontends[slices.IndexFunc(f.frontends, func(other *frontend) bool { return other.node.ID == way.Via })]
+	peer := f.frontends[slices.IndexFunc(f.frontends, func(other *frontend) bool { return other.node.ID == way.Relay })]
 	now := testStart.Add(at + roundTrip/2)
 	switch {
 	case !peer.ways.Reaches(now, owner):
-		return pathResult{at: at + roundTrip, way: way, result: Unreached}
+		return pathResult{at: at + roundTrip, way: way, result: Unreachable}
 	case !f.reaches(peer, at):
-		peer.ways.Passed(now, owner, Silent)
-		return pathResult{at: max(last-10*ms, at) + roundTrip/2, way: way, result: Unreached}
+		peer.ways.RecordRelayed(now, owner, NoAnswer)
+		return pathResult{at: max(last-10*ms, at) + roundTrip/2, way: way, result: Unreachable}
 	}
-	peer.ways.Passed(now, owner, Answered)
+	peer.ways.RecordRelayed(now, owner, Answered)
 	return pathResult{at: at + 2*roundTrip, way: way, result: Answered, grant: step(at + roundTrip)}
 }
 
@@ -105,8 +105,8 @@
 	var pending []pathResult
 	more := true
 	next := func() {
-		var way Way
-		if way, more = q.Next(testStart.Add(at), func() []api.NodeID { return Peers(by.node, f.members) }); more {
+		var way Path
+		if way, more = q.Next(testStart.Add(at), func() []api.NodeID { return RelayCandidates(by.node, f.members) }); more {
 			pending = append(pending, f.send(by, way, owner, ask, at, last))
 		}
 	}
@@ -121,7 +121,7 @@
 		}
 		first := pending[0]
 		pending, at = pending[1:], first.at
-		q.Ended(testStart.Add(at), first.way, first.result)
+		q.RecordResult(testStart.Add(at), first.way, first.result)
 		if first.result == Answered && !ok {
 			grant, took, ok, more = first.grant, at-from, true, false
 		} else if more {
@@ -162,7 +162,7 @@
 		result.took += took
 		now = testStart.Add(at + result.took)
 		if ok {
-			result.direct = by.ways.Via(owner.ID) == ""
+			result.direct = by.ways.Relay(owner.ID) == ""
 			result.admitted = by.holder.Granted(now, string(owner.ID), ask, grant, 1) == 1
 			return result
 		}
@@ -205,8 +205,8 @@
 	}{
 		{"a third of each zone", third, FaultNone, ""},
 		{"a whole zone", zone, FaultNone, ""},
-		{"fault: no relay", third, FaultNoPeer, "local"},
-		{"fault: no probe", third, FaultNoTrial, "relayed"},
+		{"fault: no relay", third, FaultNoRelay, "local"},
+		{"fault: no probe", third, FaultNoProbe, "relayed"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/fairness/fairness.go
+++ b/fairness/fairness.go
@@ -45,10 +45,10 @@
 
 // Injected faults.
 const (
-	FaultNone     Fault = ""
-	FaultNoShares Fault = "the order in which they came stands"
-	FaultEqual    Fault = "weights don't count"
-	FaultForgets  Fault = "what was given does not count"
+	FaultNone         Fault = ""
+	FaultNoShares     Fault = "the order in which they came stands"
+	FaultEqualWeights Fault = "weights don't count"
+	FaultIgnoreUsage  Fault = "what was given does not count"
 )
 
 // Shares tracks the recent usage of tenants of one rank by one process. It is not safe for
@@ -77,9 +77,9 @@
 // New returns Shares without usage.
 func New() *Shares { return &Shares{usage: map[string]*decayingCount{}} }
 
-// Served records that a request got a slot, whether it had been queued or not.
-func (s *Shares) Served(now time.Time, request Request) {
-	if s.fault == FaultForgets {
+// RecordPlacement records that a request got a slot, whether it had been queued or not.
+func (s *Shares) RecordPlacement(now time.Time, request Request) {
+	if s.fault == FaultIgnoreUsage {
 		return
 	}
 	s.evict(now)
@@ -127,7 +127,7 @@
 func (s *Shares) Level() float64 { return s.level }
 
 func (s *Shares) weight(request Request) float64 {
-	if request.Weight <= 0 || s.fault == FaultEqual {
+	if request.Weight <= 0 || s.fault == FaultEqualWeights {
 		return 1
 	}
 	return request.Weight
--- a/fairness/fairness_test.go
+++ b/fairness/fairness_test.go
@@ -39,14 +39,14 @@
 		{"two overactive tenants alternate", "ggggggghhhhhhhhh", nil, "hhhgggab", "ggabhghh", ""},
 		{"by weight", "gggghhhhhhhh", map[rune]float64{'g': 10, 'h': 80, 'a': 10}, "ggggghhhhha", "hhhahhggggg", ""},
 		{"fault: arrival order", "hhhhhhhhab", nil, "hhhhhab", "hhhhhab", FaultNoShares},
-		{"fault: usage is ignored", "hhhhhhhhab", nil, "hhhhhab", "hhabhhh", FaultForgets},
+		{"fault: usage is ignored", "hhhhhhhhab", nil, "hhhhhab", "hhabhhh", FaultIgnoreUsage},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			s := New()
 			s.fault = test.fault
 			for _, request := range waiting(test.placed, test.weights) {
-				s.Served(testStart, request)
+				s.RecordPlacement(testStart, request)
 			}
 			list, got := waiting(test.queued, test.weights), ""
 			for _, i := range s.Order(testStart, list) {
@@ -70,7 +70,7 @@
 		return Request{Tenant: name, Weight: weights[name]}
 	}
 	for range rapid.IntRange(0, 60).Draw(t, "given") {
-		s.Served(testStart.Add(-time.Duration(rapid.IntRange(0, 1000).Draw(t, "ago"))*ms), tenant())
+		s.RecordPlacement(testStart.Add(-time.Duration(rapid.IntRange(0, 1000).Draw(t, "ago"))*ms), tenant())
 	}
 	list := make([]Request, rapid.IntRange(0, 40).Draw(t, "waiting"))
 	for i := range list {
@@ -121,7 +121,7 @@
 	tests := []struct {
 		fault Fault
 		seen  bool
-	}{{"", false}, {FaultEqual, true}, {FaultNoShares, true}}
+	}{{"", false}, {FaultEqualWeights, true}, {FaultNoShares, true}}
 	for _, test := range tests {
 		s := New()
 		s.fault = test.fault
@@ -132,7 +132,7 @@
 		for i := range places {
 			now := testStart.Add(time.Duration(i) * 10 * ms)
 			next := list[s.Order(now, list)[0]]
-			s.Served(now, next) // the tenant queues another request
+			s.RecordPlacement(now, next) // the tenant queues another request
 			placedBy[next.Tenant]++
 		}
 		off := 0.0
@@ -161,9 +161,9 @@
 		before := slices.Clone(list)
 		shares := map[int]*Shares{0: New(), 1: New(), 2: New()}
 		for range rapid.IntRange(0, 30).Draw(t, "given") {
-			shares[rapid.IntRange(0, 2).Draw(t, "rank")].Served(testStart, Request{Tenant: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "tenant"))})
+			shares[rapid.IntRange(0, 2).Draw(t, "rank")].RecordPlacement(testStart, Request{Tenant: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "tenant"))})
 		}
-		Within(testStart, list, func(a, b queued) bool { return compare(a, b) == 0 }, func(e queued) *Shares {
+		OrderRuns(testStart, list, func(a, b queued) bool { return compare(a, b) == 0 }, func(e queued) *Shares {
 			if e.class == 0 {
 				return nil
 			}
@@ -187,12 +187,12 @@
 func TestTrackedTenantsAreBounded(t *testing.T) {
 	s := New()
 	for i := range 3 * maxTenants {
-		s.Served(testStart.Add(time.Duration(i)*10*time.Microsecond), Request{Tenant: fmt.Sprint(i)})
+		s.RecordPlacement(testStart.Add(time.Duration(i)*10*time.Microsecond), Request{Tenant: fmt.Sprint(i)})
 	}
 	if n := s.Tenants(); n > maxTenants {
 		t.Errorf("%d tenants", n)
 	}
-	s.Served(testStart.Add(10*time.Second), Request{Tenant: "t"})
+	s.RecordPlacement(testStart.Add(10*time.Second), Request{Tenant: "t"})
 	if n := s.Tenants(); n != 1 {
 		t.Errorf("%d tenants after 10 s", n)
 	}
@@ -235,11 +235,11 @@
 		free = min(free+perSecond/1000, 2)
 		for free >= 1 && len(list) > 0 {
 			now := testStart.Add(at)
-			Within(now, list, func(_, _ request) bool { return true }, func(request) *Shares { return s }, func(r request) Request { return r.Request })
+			OrderRuns(now, list, func(_, _ request) bool { return true }, func(request) *Shares { return s }, func(r request) Request { return r.Request })
 			first := list[0]
 			list = slices.Delete(list, 0, 1)
 			slices.SortStableFunc(list, func(a, b request) int { return cmp.Compare(a.at, b.at) })
-			s.Served(now, first.Request)
+			s.RecordPlacement(now, first.Request)
 			free--
 			placed++
 			switch {
@@ -279,7 +279,7 @@
 				list[i] = Request{Tenant: fmt.Sprint(i * 7 % tenants), Weight: 5}
 			}
 			for i := range tenants {
-				s.Served(testStart, Request{Tenant: fmt.Sprint(i), Weight: 5})
+				s.RecordPlacement(testStart, Request{Tenant: fmt.Sprint(i), Weight: 5})
 			}
 			for i := 0; b.Loop(); i++ {
 				s.Order(testStart.Add(time.Duration(i)*time.Millisecond), list)
--- a/fairness/within.go
+++ b/fairness/within.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Within applies shares to a sorted list, separately in each run of entries for which same
+// OrderRuns applies shares to a sorted list, separately in each run of entries for which same
 // is true, which are those of equal rank and class. shares returns the Shares of an entry's
 // rank; a run for which it returns nil, such as promised retries, keeps its order.
-func Within[T any](now time.Time, list []T, same func(a, b T) bool, shares func(T) *Shares, request func(T) Request) {
+func OrderRuns[T any](now time.Time, list []T, same func(a, b T) bool, shares func(T) *Shares, request func(T) Request) {
 	for begin := 0; begin < len(list); {
 		end := begin + 1
 		for end < len(list) && same(list[begin], list[end]) {
--- a/hold/hold.go
+++ b/hold/hold.go
@@ -26,10 +26,10 @@
 // Request is a queued request.
 type Request struct {
 	Rank Rank
-	// Begin is the latest start at which the request is on time.
-	Begin time.Time
-	// Last is the latest start at which the request can be answered at all.
-	Last time.Time
+	// Target is the latest start at which the request is on time.
+	Target time.Time
+	// Deadline is the latest start at which the request can be answered at all.
+	Deadline time.Time
 	// Promised is the time of the slot promised for this retry; zero if there is none.
 	Promised time.Time
 }
@@ -40,7 +40,7 @@
 // Request classes.
 const (
 	Promised Class = iota // retry whose promised slot is due
-	InTime                // can still start on time
+	OnTime                // can still start on time
 	Late                  // can no longer start on time
 )
 
@@ -49,8 +49,8 @@
 	switch {
 	case !r.Promised.IsZero() && !now.Before(r.Promised):
 		return Promised
-	case !now.After(r.Begin):
-		return InTime
+	case !now.After(r.Target):
+		return OnTime
 	}
 	return Late
 }
@@ -65,8 +65,8 @@
 	switch class {
 	case Promised:
 		return a.Promised.Compare(b.Promised)
-	case InTime:
-		return a.Begin.Compare(b.Begin)
+	case OnTime:
+		return a.Target.Compare(b.Target)
 	}
-	return a.Last.Compare(b.Last)
+	return a.Deadline.Compare(b.Deadline)
 }
--- a/hold/hold_test.go
+++ b/hold/hold_test.go
@@ -12,7 +12,7 @@
 var testStart = time.Unix(1_700_000_000, 0)
 
 func request(begin, last time.Duration) Request {
-	return Request{Begin: testStart.Add(begin), Last: testStart.Add(last)}
+	return Request{Target: testStart.Add(begin), Deadline: testStart.Add(last)}
 }
 
 // promised returns a late request whose promised slot is due at the given time.
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -50,9 +50,9 @@
 	if !ok {
 		return nil, false
 	}
-	p.pool.Begin(choice.Worker.ID, choice.Unread)
-	p.pool.Sent(choice.Worker.ID, query.Parts)
-	return &Ticket{Choice: choice, pool: p, uncachedTokens: choice.Unread}, true
+	p.pool.Begin(choice.Worker.ID, choice.UncachedTokens)
+	p.pool.RecordSent(choice.Worker.ID, query.Parts)
+	return &Ticket{Choice: choice, pool: p, uncachedTokens: choice.UncachedTokens}, true
 }
 
 // Started records that the worker has processed the prompt. Later calls have no effect.
@@ -61,7 +61,7 @@
 		return
 	}
 	t.started = true
-	t.updateWorker(func(pool *worker.Pool) { pool.Started(t.Worker.ID, t.uncachedTokens) })
+	t.updateWorker(func(pool *worker.Pool) { pool.RecordPromptRead(t.Worker.ID, t.uncachedTokens) })
 }
 
 // End records that the request has left the worker. Later calls have no effect.
@@ -73,7 +73,7 @@
 	t.Started()
 	t.updateWorker(func(pool *worker.Pool) {
 		pool.End(t.Worker.ID)
-		pool.Used(time.Now(), t.Worker.ID)
+		pool.RecordUsed(time.Now(), t.Worker.ID)
 	})
 	if t.onEnd != nil {
 		t.onEnd()
@@ -82,14 +82,14 @@
 
 // Report records a load that the worker reported.
 func (t *Ticket) Report(load worker.Load) {
-	t.updateWorker(func(pool *worker.Pool) { pool.Report(time.Now(), t.Worker.ID, load) })
+	t.updateWorker(func(pool *worker.Pool) { pool.RecordLoad(time.Now(), t.Worker.ID, load) })
 }
 
 // do applies change unless the worker has restarted since the ticket was taken, since
 // the ticket then belongs to the previous incarnation.
 func (t *Ticket) updateWorker(change func(*worker.Pool)) {
 	t.pool.withLock(func(pool *worker.Pool) {
-		if current, ok := pool.Current(t.Worker.ID); ok && current != t.Worker.Incarnation() {
+		if current, ok := pool.CurrentIncarnation(t.Worker.ID); ok && current != t.Worker.Incarnation() {
 			return
 		}
 		change(pool)
@@ -98,17 +98,17 @@
 
 // Refused records that no connection could be made.
 func (t *Ticket) Refused() {
-	t.updateWorker(func(pool *worker.Pool) { pool.Refused(time.Now(), t.Worker.ID) })
+	t.updateWorker(func(pool *worker.Pool) { pool.RecordRefused(time.Now(), t.Worker.ID) })
 }
 
 // Broke records that the worker's response was interrupted.
 func (t *Ticket) Broke() {
-	t.updateWorker(func(pool *worker.Pool) { pool.Broke(time.Now(), t.Worker.ID) })
+	t.updateWorker(func(pool *worker.Pool) { pool.RecordInterrupted(time.Now(), t.Worker.ID) })
 }
 
 // Full records that the worker rejected the request for lack of capacity.
 func (t *Ticket) Full() {
-	t.updateWorker(func(pool *worker.Pool) { pool.Full(time.Now(), t.Worker.ID) })
+	t.updateWorker(func(pool *worker.Pool) { pool.RecordFull(time.Now(), t.Worker.ID) })
 }
 
 // Moved removes the worker, whose address now belongs to another one.
@@ -124,13 +124,13 @@
 
 // Current returns the incarnation of a listed worker.
 func (p *Pool) Current(id string) (current worker.Incarnation, ok bool) {
-	p.withLock(func(pool *worker.Pool) { current, ok = pool.Current(id) })
+	p.withLock(func(pool *worker.Pool) { current, ok = pool.CurrentIncarnation(id) })
 	return current, ok
 }
 
 // TellPace records a pace that a worker reported to another process at the given time.
 func (p *Pool) TellPace(at time.Time, id string, pace float64) {
-	p.withLock(func(pool *worker.Pool) { pool.TellPace(at, id, pace) })
+	p.withLock(func(pool *worker.Pool) { pool.RecordPace(at, id, pace) })
 }
 
 // LearnPaces sets the stable paces, by worker ID, that another process computed.
@@ -138,14 +138,14 @@
 	now := time.Now()
 	p.withLock(func(pool *worker.Pool) {
 		for id, pace := range slow {
-			pool.LearnPace(now, id, pace)
+			pool.SetStablePace(now, id, pace)
 		}
 	})
 }
 
 // Paced reports whether the pace of any of a service's workers is known.
 func (p *Pool) Paced(service string) (paced bool) {
-	p.withLock(func(pool *worker.Pool) { paced = pool.Paced(time.Now(), service) })
+	p.withLock(func(pool *worker.Pool) { paced = pool.PaceKnown(time.Now(), service) })
 	return paced
 }
 
@@ -157,7 +157,7 @@
 
 // ObserveStep records the mean time between two events of a worker's stream.
 func (p *Pool) ObserveStep(id string, step time.Duration) {
-	p.withLock(func(pool *worker.Pool) { pool.ObserveStep(time.Now(), id, step) })
+	p.withLock(func(pool *worker.Pool) { pool.RecordEventInterval(time.Now(), id, step) })
 }
 
 // Slowness returns the factor by which a worker is slower than expected; 1 unless it is
@@ -169,8 +169,8 @@
 
 // TakeOutcomes records how requests ended at a worker. It returns true if that ejects
 // or readmits the worker.
-func (p *Pool) TakeOutcomes(id string, outcomes worker.Outcomes) (judgement worker.Judgement, changed bool) {
-	p.withLock(func(pool *worker.Pool) { judgement, changed = pool.TakeOutcomes(time.Now(), id, outcomes) })
+func (p *Pool) TakeOutcomes(id string, outcomes worker.Outcomes) (judgement worker.EjectionChange, changed bool) {
+	p.withLock(func(pool *worker.Pool) { judgement, changed = pool.RecordOutcomes(time.Now(), id, outcomes) })
 	return judgement, changed
 }
 
@@ -192,14 +192,14 @@
 	now := time.Now()
 	p.withLock(func(pool *worker.Pool) {
 		for id, n := range held {
-			pool.SetHeld(now, id, n)
+			pool.SetExactOtherLoad(now, id, n)
 		}
 	})
 }
 
 // ForgetHeld drops the counts of SetHeld, so that other processes' load is estimated
 // again.
-func (p *Pool) ForgetHeld() { p.withLock(func(pool *worker.Pool) { pool.ForgetHeld() }) }
+func (p *Pool) ForgetHeld() { p.withLock(func(pool *worker.Pool) { pool.ClearExactOtherLoads() }) }
 
 // EachOccupancy calls visit with the estimated occupancy of each of a service's workers;
 // nil groups means all. visit runs with the lock held and must not use the pool.
@@ -230,7 +230,7 @@
 
 // Read records that a worker will have the parts of a prompt in its cache.
 func (p *Pool) Read(id string, parts []worker.Part) {
-	p.withLock(func(pool *worker.Pool) { pool.Sent(id, parts) })
+	p.withLock(func(pool *worker.Pool) { pool.RecordSent(id, parts) })
 }
 
 // Prefer chooses a worker without counting a request there.
@@ -242,7 +242,7 @@
 
 // Held returns the number of this process's requests in flight at a worker.
 func (p *Pool) Held(id string) (n int) {
-	p.withLock(func(pool *worker.Pool) { n = pool.Held(id) })
+	p.withLock(func(pool *worker.Pool) { n = pool.InFlight(id) })
 	return n
 }
 
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -23,17 +23,17 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			p := NewPool(worker.DefaultSettings("a"), nil)
-			listed := worker.Worker{ID: "w", Service: "s", Slots: 8, Born: time.UnixMilli(1_000)}
+			listed := worker.Worker{ID: "w", Service: "s", Slots: 8, StartedAt: time.UnixMilli(1_000)}
 			p.Put(listed)
 			old, _ := p.Take(worker.Query{Service: "s"})
-			listed.Born = time.UnixMilli(2_000)
+			listed.StartedAt = time.UnixMilli(2_000)
 			p.Put(listed)
 			if _, ok := p.Take(worker.Query{Service: "s"}); !ok {
 				t.Fatal("no slot at the new incarnation")
 			}
 			test.end(old)
 			seen := p.Occupancies("s")
-			if len(seen) != 1 || seen[0].Taken != 1 || seen[0].Others != 0 || !seen[0].Usable {
+			if len(seen) != 1 || seen[0].InFlight != 1 || seen[0].OtherInFlight != 0 || !seen[0].Usable {
 				t.Errorf("occupancies are %+v, want one usable worker with one request", seen)
 			}
 		})
--- a/internal/batchrun/dispatch.go
+++ b/internal/batchrun/dispatch.go
@@ -160,7 +160,7 @@
 	}
 	query := worker.Query{
 		Service: i.service, Parts: i.parts, Tokens: i.tokens,
-		Only: func(id string) bool {
+		Filter: func(id string) bool {
 			return b.allows(id, i.service, i.standing == fill.Pressed, l.lengths.At(id, left))
 		},
 	}
--- a/internal/batchrun/growth_test.go
+++ b/internal/batchrun/growth_test.go
@@ -79,10 +79,10 @@
 	}
 	others := func(id string) int {
 		seen, _ := l.service.pool.OccupancyOf(id)
-		return seen.Others
+		return seen.OtherInFlight
 	}
 	report(1, map[string]int{"w0": 5})
-	ticket, ok := l.service.pool.Take(worker.Query{Service: "lm", Worker: "w0"})
+	ticket, ok := l.service.pool.Take(worker.Query{Service: "lm", WorkerID: "w0"})
 	if !ok {
 		t.Fatal("no worker available")
 	}
@@ -126,7 +126,7 @@
 		}
 		const running = 150
 		for i := range running {
-			if _, ok := l.service.pool.Take(worker.Query{Service: "lm", Worker: fmt.Sprint("w", i)}); !ok {
+			if _, ok := l.service.pool.Take(worker.Query{Service: "lm", WorkerID: fmt.Sprint("w", i)}); !ok {
 				t.Fatal("no worker available")
 			}
 		}
--- a/internal/batchrun/heard.go
+++ b/internal/batchrun/heard.go
@@ -43,7 +43,7 @@
 func (b *slotBroker) applyObservations(now time.Time, leaders []*Leader, report reservation.Report) {
 	for _, observation := range report.Heard[:min(len(report.Heard), reservation.MaximumWords)] {
 		current, listed := b.service.pool.Current(observation.Worker)
-		if !listed || !ownedByAny(leaders, observation.Worker) || !observation.Born.IsZero() && !current.Born.IsZero() && !observation.Born.Equal(current.Born) {
+		if !listed || !ownedByAny(leaders, observation.Worker) || !observation.Born.IsZero() && !current.StartedAt.IsZero() && !observation.Born.Equal(current.StartedAt) {
 			continue
 		}
 		b.service.metrics.workers.observations.Inc()
@@ -90,13 +90,13 @@
 		return
 	}
 	event, text := "worker_back", "Worker answered its probe and was readmitted."
-	if judgement.Out {
+	if judgement.Ejected {
 		event, text = "worker_left_out", "Worker fails more often than its peers; ejected until a probe."
 		s.metrics.workers.ejections.Inc()
 	}
 	s.log.WithFields(logrus.Fields{
-		"event": event, "worker": id, "peer": by, "pause_ms": judgement.Pause.Milliseconds(),
-		"whole": judgement.Whole, "broken": judgement.Broken, "peers_broken_share": judgement.Peers,
+		"event": event, "worker": id, "peer": by, "pause_ms": judgement.Duration.Milliseconds(),
+		"whole": judgement.Succeeded, "broken": judgement.Failed, "peers_broken_share": judgement.PeerFailureRate,
 	}).Info(text)
 }
 
@@ -119,7 +119,7 @@
 		b.observationLog.nextPace++
 		id := workers[b.observationLog.nextPace%len(workers)].ID
 		if pace, known := b.service.pool.PaceOf(id); known {
-			paces[id] = pace.Slow
+			paces[id] = pace.Stable
 			b.logPace(now, service, id, pace)
 		}
 		if len(paces) == pacesPerAnswer {
@@ -132,7 +132,7 @@
 // logPace logs a worker's pace when it has changed.
 func (b *slotBroker) logPace(now time.Time, service, id string, pace worker.Pace) {
 	last, known := b.observationLog.logged[id]
-	if known && (now.Sub(last.at) < paceLogInterval || pace.Slow < last.slow*paceLogRatio && last.slow < pace.Slow*paceLogRatio) {
+	if known && (now.Sub(last.at) < paceLogInterval || pace.Stable < last.slow*paceLogRatio && last.slow < pace.Stable*paceLogRatio) {
 		return
 	}
 	if b.observationLog.logged == nil {
@@ -144,9 +144,9 @@
 			return !known
 		})
 	}
-	b.observationLog.logged[id] = loggedPace{at: now, slow: pace.Slow}
+	b.observationLog.logged[id] = loggedPace{at: now, slow: pace.Stable}
 	b.service.log.WithFields(logrus.Fields{
-		"event": "worker_pace", "worker": id, "service": service, "pace": pace.Slow, "before": last.slow,
+		"event": "worker_pace", "worker": id, "service": service, "pace": pace.Stable, "before": last.slow,
 		"pace_age_ms": pace.Age.Milliseconds(), "pace_source": pace.Source,
 	}).Info("Worker pace changed.")
 }
--- a/internal/batchrun/heard_test.go
+++ b/internal/batchrun/heard_test.go
@@ -142,7 +142,7 @@
 
 func TestFailingWorkerIsEjected(t *testing.T) {
 	at := func(id string, whole, broken int) reservation.Word {
-		return reservation.Word{Worker: id, Outcomes: worker.Outcomes{Whole: whole, Broken: broken}}
+		return reservation.Word{Worker: id, Outcomes: worker.Outcomes{Succeeded: whole, Failed: broken}}
 	}
 	tests := []struct {
 		name    string
@@ -161,7 +161,7 @@
 			logger, hook := test.NewNullLogger()
 			l.service.log = logrus.NewEntry(logger)
 			for _, id := range []string{"w0", "w2"} {
-				l.service.pool.TakeOutcomes(id, worker.Outcomes{Whole: 9})
+				l.service.pool.TakeOutcomes(id, worker.Outcomes{Succeeded: 9})
 			}
 			for _, report := range each.reports {
 				l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: report})
@@ -226,7 +226,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			l := testLeader(t, 0, 0)
-			l.service.pool.WorkersChanged([]catalog.Change{{ID: "w", Worker: worker.Worker{ID: "w", Service: "lm", Slots: 4, Born: test.listed}}})
+			l.service.pool.WorkersChanged([]catalog.Change{{ID: "w", Worker: worker.Worker{ID: "w", Service: "lm", Slots: 4, StartedAt: test.listed}}})
 			report := observationReport(1, reservation.Word{Worker: "w", Born: test.observed, Pace: 1.7})
 			l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: report})
 			if _, known := l.service.pool.PaceOf("w"); known != test.accepted {
@@ -253,7 +253,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			l := testLeader(t, 0, 3)
 			for _, id := range []string{"w1", "w2"} {
-				l.service.pool.TakeOutcomes(id, worker.Outcomes{Whole: 9})
+				l.service.pool.TakeOutcomes(id, worker.Outcomes{Succeeded: 9})
 			}
 			for range 3 {
 				ticket, _ := l.service.pool.Take(worker.Query{Service: "lm", Excluded: []string{"w1", "w2"}})
--- a/internal/batchrun/hidden.go
+++ b/internal/batchrun/hidden.go
@@ -39,14 +39,14 @@
 // applyLoadReport processes a worker's own load report. A report of a later incarnation than the
 // listed one replaces it; a report of an earlier one is ignored.
 func (s *Service) applyLoadReport(w worker.Worker, report backend.Report) {
-	reported := worker.Incarnation{ID: w.ID, Born: report.Born}
+	reported := worker.Incarnation{ID: w.ID, StartedAt: report.Born}
 	if reported.Before(w.Incarnation()) {
 		return
 	}
-	if reported.Succeeds(w.Incarnation()) {
-		w.Born = reported.Born
+	if reported.Supersedes(w.Incarnation()) {
+		w.StartedAt = reported.StartedAt
 		s.pool.Put(w)
-		s.log.WithFields(logrus.Fields{"event": "worker_restarted", "worker": w.ID, "service": w.Service, "born": reported.Born}).
+		s.log.WithFields(logrus.Fields{"event": "worker_restarted", "worker": w.ID, "service": w.Service, "born": reported.StartedAt}).
 			Info("Worker restarted under the same ID; its recorded state was discarded.")
 	}
 	s.pool.TellPace(time.Now(), w.ID, report.Pace)
--- a/internal/batchrun/hidden_test.go
+++ b/internal/batchrun/hidden_test.go
@@ -27,7 +27,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			s := testLeader(t, 0, 1).service
 			listed := s.pool.Workers("lm")[0]
-			listed.Born = first
+			listed.StartedAt = first
 			s.pool.Put(listed)
 			for _, report := range test.reports {
 				s.applyLoadReport(s.pool.Workers("lm")[0], report)
@@ -35,7 +35,7 @@
 			if got := s.unreported.at(listed.ID); got != test.want {
 				t.Errorf("unreported load %d, want %d", got, test.want)
 			}
-			if current, _ := s.pool.Current(listed.ID); current != (worker.Incarnation{ID: listed.ID, Born: test.born}) {
+			if current, _ := s.pool.Current(listed.ID); current != (worker.Incarnation{ID: listed.ID, StartedAt: test.born}) {
 				t.Errorf("current incarnation: %v", current)
 			}
 		})
--- a/internal/batchrun/leader_test.go
+++ b/internal/batchrun/leader_test.go
@@ -109,5 +109,5 @@
 
 // queryOnly returns a query that only one worker matches.
 func (l *Leader) queryOnly(id string) worker.Query {
-	return worker.Query{Service: "lm", Only: func(other string) bool { return other == id }}
+	return worker.Query{Service: "lm", Filter: func(other string) bool { return other == id }}
 }
--- a/internal/batchrun/near.go
+++ b/internal/batchrun/near.go
@@ -58,12 +58,12 @@
 	query.Groups = []int{int(l.group)}
 	local := l.service.zoneWorkers.ids(now, query.Service, func(service string) []worker.Worker { return l.service.pool.Workers(service) })
 	if standing != fill.Pressed && len(local) > 0 {
-		all := query.Only
-		query.Only = func(id string) bool { return local[id] && all(id) }
+		all := query.Filter
+		query.Filter = func(id string) bool { return local[id] && all(id) }
 		if ticket, ok := l.service.pool.Take(query); ok {
 			return ticket, true
 		}
-		query.Only = all
+		query.Filter = all
 	}
 	return l.service.pool.Take(query)
 }
--- a/internal/batchrun/near_test.go
+++ b/internal/batchrun/near_test.go
@@ -38,7 +38,7 @@
 		free := map[string]int{"w0": test.near, "w1": test.far, "w2": test.far, "w3": test.far}
 		near := 0
 		for n := range test.items {
-			ticket, ok := l.takeWorker(time.Unix(0, 0), test.standing, worker.Query{Service: "lm", Only: func(id string) bool { return free[id] > 0 }})
+			ticket, ok := l.takeWorker(time.Unix(0, 0), test.standing, worker.Query{Service: "lm", Filter: func(id string) bool { return free[id] > 0 }})
 			if !ok {
 				t.Fatalf("%s: no worker for item %d", test.name, n)
 			}
--- a/internal/batchrun/places.go
+++ b/internal/batchrun/places.go
@@ -113,15 +113,15 @@
 		return nil, queue.Full(now, waiter)
 	}
 	verdict := queue.Decide(now, waiter)
-	if verdict.Refuse && ask.Elsewhere {
-		return nil, reservation.Answer{Hopeless: true, Waiting: queue.Len(), Until: verdict.Until}
+	if verdict.Reject && ask.Elsewhere {
+		return nil, reservation.Answer{Hopeless: true, Waiting: queue.Len(), Until: verdict.ExpectedWait}
 	}
 	b.recordArrival(now, queue, waiter)
-	if verdict.Refuse {
+	if verdict.Reject {
 		return nil, b.refuse(now, reservation.Refused{Waiting: waiter, Verdict: verdict})
 	}
 	queue.Add(waiter)
-	queue.Line.Waits(now, true)
+	queue.Line.SetWaiting(now, true)
 	b.waitingCounts.Store(ask.Service, queue.Len())
 	for _, leader := range leaders {
 		leader.wakeUp()
@@ -141,12 +141,12 @@
 	queue := b.queue(r.Ask.Service)
 	b.service.metrics.refused.Inc()
 	b.service.log.WithFields(logrus.Fields{
-		"event": "place_refused", "peer": r.Node, "service": r.Ask.Service, "waiting": queue.Len(), "ahead": r.Verdict.Ahead, "told": r.Verdict.Told,
-		"rate": r.Verdict.PerSecond, "until_ms": r.Verdict.Until.Milliseconds(), "begin_ms": r.Order.Begin.Sub(now).Milliseconds(),
-		"last_ms": r.Order.Last.Sub(now).Milliseconds(), "waited_ms": now.Sub(r.Since).Milliseconds(), "returned": r.Ask.Returned,
-		"promised": !r.Order.Promised.IsZero(), "return_ms": r.Verdict.Return.Milliseconds(),
+		"event": "place_refused", "peer": r.Node, "service": r.Ask.Service, "waiting": queue.Len(), "ahead": r.Verdict.Ahead, "told": r.Verdict.PromisedAhead,
+		"rate": r.Verdict.Rate, "until_ms": r.Verdict.ExpectedWait.Milliseconds(), "begin_ms": r.Order.Target.Sub(now).Milliseconds(),
+		"last_ms": r.Order.Deadline.Sub(now).Milliseconds(), "waited_ms": now.Sub(r.Since).Milliseconds(), "returned": r.Ask.Returned,
+		"promised": !r.Order.Promised.IsZero(), "return_ms": r.Verdict.RetryAfter.Milliseconds(),
 	}).Info("Refused a request that cannot get a slot in time.")
-	return reservation.Answer{Hopeless: true, RetryAfter: r.Verdict.Return, Waiting: queue.Len(), Until: r.Verdict.Until}
+	return reservation.Answer{Hopeless: true, RetryAfter: r.Verdict.RetryAfter, Waiting: queue.Len(), Until: r.Verdict.ExpectedWait}
 }
 
 // await waits until a queued request is answered, the time longest has passed or the client
@@ -195,7 +195,7 @@
 	counted := b.observeSlots(now, leaders)
 	for service, queue := range b.queues {
 		if queue.Len() == 0 {
-			queue.Line.Waits(now, false)
+			queue.Line.SetWaiting(now, false)
 			continue
 		}
 		for _, waiter := range queue.Sorted(now) {
@@ -207,7 +207,7 @@
 			waiter.Place <- answer
 		}
 		if counted {
-			queue.Line.Waits(now, queue.Len() > 0)
+			queue.Line.SetWaiting(now, queue.Len() > 0)
 			for _, refused := range queue.Refuse(now) {
 				refused.Place <- b.refuse(now, refused)
 			}
@@ -284,10 +284,10 @@
 func (b *slotBroker) grant(now time.Time, leaders []*Leader, waiter *reservation.Waiting) (reservation.Answer, bool) {
 	leaving := preemptedItems(leaders)
 	free := func(occupancy worker.Occupancy) bool {
-		return occupancy.Usable && occupancy.Others+occupancy.Taken-leaving[occupancy.ID] < occupancy.Slots
+		return occupancy.Usable && occupancy.OtherInFlight+occupancy.InFlight-leaving[occupancy.ID] < occupancy.Slots
 	}
 	preemptible := func(occupancy worker.Occupancy) bool {
-		return occupancy.Usable && occupancy.Others < occupancy.Slots && occupancy.Taken > leaving[occupancy.ID]
+		return occupancy.Usable && occupancy.OtherInFlight < occupancy.Slots && occupancy.InFlight > leaving[occupancy.ID]
 	}
 	id, ok := b.chooseWorker(leaders, waiter.Ask, free)
 	if !ok {
@@ -318,7 +318,7 @@
 	}
 	choice, ok := pool.Prefer(worker.Query{
 		Service: ask.Service, Parts: ask.Parts, Tokens: ask.Tokens, Zone: ask.Zone, Excluded: ask.Excluded,
-		Groups: groupsOf(leaders), Fits: fits,
+		Groups: groupsOf(leaders), FilterOccupancy: fits,
 	})
 	if ok && choice.Pace.Source != worker.PaceUnknown {
 		b.service.metrics.workers.placePace.Observe(choice.Pace.Value)
--- a/internal/batchrun/plan.go
+++ b/internal/batchrun/plan.go
@@ -119,7 +119,7 @@
 		if !occupancy.Usable {
 			return
 		}
-		w := fill.Worker{Slots: occupancy.Slots, Online: occupancy.Others, Batch: occupancy.Taken}
+		w := fill.Worker{Slots: occupancy.Slots, Online: occupancy.OtherInFlight, Batch: occupancy.InFlight}
 		b.free[occupancy.ID] = w.Free()
 		workers, ids = append(workers, w), append(ids, occupancy.ID)
 		if l.suspects.needsProbe(now, occupancy.ID) {
--- a/internal/batchrun/refuse_test.go
+++ b/internal/batchrun/refuse_test.go
@@ -20,9 +20,9 @@
 	for i := range 240 {
 		at := now.Add(time.Duration(i-240) * time.Second / 12)
 		line.Observe(at, 12, 12, 1)
-		line.Arrived(at, hold.Rank{})
-		line.Arrived(at, hold.Rank{})
-		line.Placed(at, hold.Rank{}, true)
+		line.RecordArrival(at, hold.Rank{})
+		line.RecordArrival(at, hold.Rank{})
+		line.RecordPlacement(at, hold.Rank{}, true)
 	}
 	return l, now, heldReport(1, map[string]int{"w0": 12})
 }
@@ -82,8 +82,8 @@
 	ask := askWithDeadline(-time.Millisecond, time.Second)
 	ask.Wait = 0
 	_, got := l.service.slots.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Ask: ask})
-	if !got.Full || got.Until <= ask.Last || l.service.slots.queue("lm").Line.Told() != 0 {
-		t.Errorf("%+v, %d promises", got, l.service.slots.queue("lm").Line.Told())
+	if !got.Full || got.Until <= ask.Last || l.service.slots.queue("lm").Line.Promises() != 0 {
+		t.Errorf("%+v, %d promises", got, l.service.slots.queue("lm").Line.Promises())
 	}
 }
 
@@ -106,11 +106,11 @@
 	ask := askWithDeadline(-time.Millisecond, 3*time.Second)
 	ask.Elsewhere = true
 	line := &l.service.slots.queue("lm").Line
-	if waiter, got := l.service.slots.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Ask: ask}); waiter != nil || !got.Hopeless || line.Told() != 0 {
-		t.Errorf("%+v, %d promises", got, line.Told())
+	if waiter, got := l.service.slots.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Ask: ask}); waiter != nil || !got.Hopeless || line.Promises() != 0 {
+		t.Errorf("%+v, %d promises", got, line.Promises())
 	}
 	ask.Elsewhere = false
-	if waiter, got := l.service.slots.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Ask: ask}); waiter != nil || !got.Hopeless || line.Told() != 1 {
-		t.Errorf("%+v, %d promises", got, line.Told())
+	if waiter, got := l.service.slots.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Ask: ask}); waiter != nil || !got.Hopeless || line.Promises() != 1 {
+		t.Errorf("%+v, %d promises", got, line.Promises())
 	}
 }
--- a/internal/batchrun/run.go
+++ b/internal/batchrun/run.go
@@ -54,7 +54,7 @@
 		l.log.WithFields(logrus.Fields{
 			"event": "item_send_ended", "request": i.job.ID, "digest": i.digest, "index": i.index, "worker": ticket.Worker.ID, "verdict": verdict,
 			"sends": i.attempts, "failures": i.failures, "last_event": i.lastEventID, "bytes": len(i.text) - sent, "took_ms": time.Since(began).Milliseconds(),
-			"load": ticket.Load, "load_age_ms": ticket.Age.Milliseconds(), "left_ms": time.Until(i.job.Due()).Milliseconds(),
+			"load": ticket.Load, "load_age_ms": ticket.ReportAge.Milliseconds(), "left_ms": time.Until(i.job.Due()).Milliseconds(),
 		}).WithError(err).Info("Item attempt ended before its output was complete.")
 	}
 	l.finishRun(i, verdict, maximumFailures, ticket.Worker.ID, len(i.text)-sent)
@@ -122,9 +122,9 @@
 	guard := l.service.guard
 	switch {
 	case verdict == verdictDone:
-		l.service.recordOutcomes(ticket.Worker.ID, "", worker.Outcomes{Whole: 1})
+		l.service.recordOutcomes(ticket.Worker.ID, "", worker.Outcomes{Succeeded: 1})
 	case verdict == verdictFailed, verdict == verdictInterrupted && !errors.Is(err, context.Canceled):
-		l.service.recordOutcomes(ticket.Worker.ID, "", worker.Outcomes{Broken: 1})
+		l.service.recordOutcomes(ticket.Worker.ID, "", worker.Outcomes{Failed: 1})
 	}
 	switch verdict {
 	case verdictInterrupted:
--- a/internal/catalog/workers.go
+++ b/internal/catalog/workers.go
@@ -90,14 +90,14 @@
 		return v.reject(changes, pair, err)
 	}
 	v.revisions[pair.Key] = pair.Revision
-	if decoded.Born.Before(v.startTimes[pair.Key]) && !decoded.Born.IsZero() {
+	if decoded.StartedAt.Before(v.startTimes[pair.Key]) && !decoded.StartedAt.IsZero() {
 		v.catalog.log.WithFields(logrus.Fields{
-			"event": "worker_outdated", "worker": decoded.ID, "born": decoded.Born, "known_born": v.startTimes[pair.Key], "revision": pair.Revision,
+			"event": "worker_outdated", "worker": decoded.ID, "born": decoded.StartedAt, "known_born": v.startTimes[pair.Key], "revision": pair.Revision,
 		}).Info("Ignored an entry from an earlier start of a worker.")
 		return changes
 	}
-	if !decoded.Born.IsZero() {
-		v.startTimes[pair.Key] = decoded.Born
+	if !decoded.StartedAt.IsZero() {
+		v.startTimes[pair.Key] = decoded.StartedAt
 	}
 	delete(v.retained, pair.Key)
 	return append(changes, Change{ID: decoded.ID, Worker: decoded, reason: entryWritten})
@@ -210,7 +210,7 @@
 	for _, change := range changes {
 		v.catalog.log.WithFields(logrus.Fields{
 			"event": "worker_changed", "worker": change.ID, "service": change.Worker.Service, "address": change.Worker.Address,
-			"leaving": change.Worker.Leaving, "gone": change.Gone, "reason": change.reason,
+			"leaving": change.Worker.Draining, "gone": change.Gone, "reason": change.reason,
 		}).Info("Worker list changed.")
 	}
 }
@@ -225,7 +225,7 @@
 		switch {
 		case change.Gone:
 			removed = append(removed, change.ID)
-		case change.Worker.Leaving:
+		case change.Worker.Draining:
 			leaving = append(leaving, change.ID)
 		case len(others) < maxNamedWorkers:
 			others = append(others, change.ID)
--- a/internal/catalog/workers_test.go
+++ b/internal/catalog/workers_test.go
@@ -29,7 +29,7 @@
 		}
 		decoded := worker.Worker{ID: key[len("workers/"):]}
 		if born > 0 {
-			decoded.Born = time.UnixMilli(born)
+			decoded.StartedAt = time.UnixMilli(born)
 		}
 		return decoded, nil
 	}
@@ -72,7 +72,7 @@
 			}
 			got := int64(-1)
 			if w, ok := r.workers["a"]; ok {
-				got = max(w.Born.UnixMilli(), 0)
+				got = max(w.StartedAt.UnixMilli(), 0)
 			}
 			if got != test.want {
 				t.Errorf("start %d, want %d", got, test.want)
@@ -97,7 +97,7 @@
 	}
 	v.Changes(written(3, "a", "second"))
 	v.expire()
-	if w, ok := r.workers["a"]; !ok || w.Born.UnixMilli() != 2_000 {
+	if w, ok := r.workers["a"]; !ok || w.StartedAt.UnixMilli() != 2_000 {
 		t.Errorf("got worker %+v (%t), want its second start", w, ok)
 	}
 }
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -123,7 +123,7 @@
 	common.Mux.Handle("POST "+relayed.Path, f.relayClient)
 	common.SetSummary(func() api.Summary { return api.Summary{Apart: f.relayClient.Apart()} })
 	f.limiter = limiter.New(common.Settings.Tenants.Tolerance(), common.ID(), f.relayClient, func() []api.Node { return storeclient.Owners(common.Nodes(), registered.With) }, f.admittingFrontends, common.Logger("limits"), common.Registry)
-	f.pool = backend.NewPool(worker.BlindSettings(common.Settings.Node.Zone), nil)
+	f.pool = backend.NewPool(worker.TwoChoiceSettings(common.Settings.Node.Zone), nil)
 	f.pool.SetGroups(f.workerGroup)
 	f.reservations = newReservations(f)
 	f.catalog = catalog.New(source, common.KeyValue, common.Logger("catalog"), f.pool)
--- a/internal/frontend/heard.go
+++ b/internal/frontend/heard.go
@@ -59,7 +59,7 @@
 		if len(o.pending) >= maxPendingObservations {
 			return
 		}
-		p = &pendingObservation{createdAt: now, Word: reservation.Word{Worker: w.ID, Born: w.Born}}
+		p = &pendingObservation{createdAt: now, Word: reservation.Word{Worker: w.ID, Born: w.StartedAt}}
 		o.pending[w] = p
 	}
 	change(p)
@@ -86,9 +86,9 @@
 func (o *observations) recordOutcome(now time.Time, w worker.Incarnation, failed bool) {
 	o.update(now, w, func(p *pendingObservation) {
 		if failed {
-			p.Broken++
+			p.Failed++
 		} else {
-			p.Whole++
+			p.Succeeded++
 		}
 	})
 }
--- a/internal/frontend/heard_test.go
+++ b/internal/frontend/heard_test.go
@@ -83,7 +83,7 @@
 	}
 	r.observations.recordOutcome(now, incarnation("wb"), true)
 	r.observations.recordOutcome(now.Add(-time.Minute), incarnation("old"), true)
-	for _, want := range []worker.Outcomes{{Whole: 1, Broken: 2}, {}} {
+	for _, want := range []worker.Outcomes{{Succeeded: 1, Failed: 2}, {}} {
 		if _, refusal := r.reserve(context.Background(), worker.Query{Service: "s", Excluded: []string{"wb"}}, startWithin(time.Second), attemptInfo{}, nil); refusal != nil {
 			t.Fatal(refusal)
 		}
@@ -164,7 +164,7 @@
 				return
 			}
 			ticket, _ := r.pool.Take(worker.Query{Service: "s"})
-			if ticket.Worker.ID != "wb" || ticket.Pace.Source != worker.PaceGathered {
+			if ticket.Worker.ID != "wb" || ticket.Pace.Source != worker.PaceFromLeader {
 				t.Errorf("%+v", ticket.Choice)
 			}
 		})
--- a/internal/frontend/memory.go
+++ b/internal/frontend/memory.go
@@ -45,14 +45,14 @@
 
 	mutex   sync.Mutex // guards the fields below
 	budget  *pressure.Budget
-	cancels map[*pressure.Hold]func() // abort the write of a response
-	freed   chan struct{}             // closed when memory is released
+	cancels map[*pressure.Allocation]func() // abort the write of a response
+	freed   chan struct{}                   // closed when memory is released
 }
 
 // newMemoryBudget returns a budget of memoryFraction of heapBytes; unbounded if
 // heapBytes is 0.
 func newMemoryBudget(heapBytes int64, log *logrus.Entry, registry prometheus.Registerer) *memoryBudget {
-	m := &memoryBudget{log: log, metrics: newMemoryMetrics(registry), cancels: map[*pressure.Hold]func(){}, freed: make(chan struct{})}
+	m := &memoryBudget{log: log, metrics: newMemoryMetrics(registry), cancels: map[*pressure.Allocation]func(){}, freed: make(chan struct{})}
 	if heapBytes > 0 {
 		m.budget = pressure.New(int64(memoryFraction * float64(heapBytes)))
 	}
@@ -63,17 +63,17 @@
 // reserves nothing.
 type allocation struct {
 	memory *memoryBudget
-	hold   *pressure.Hold
+	hold   *pressure.Allocation
 }
 
 // allocate reserves memory for a new body. It returns false if the budget is exhausted.
-func (m *memoryBudget) allocate(use pressure.Use, bytes int64) (allocation, bool) {
+func (m *memoryBudget) allocate(use pressure.Kind, bytes int64) (allocation, bool) {
 	if m == nil || m.budget == nil {
 		return allocation{}, true
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	hold, ok := m.budget.Begin(use, bytes)
+	hold, ok := m.budget.Allocate(use, bytes)
 	if !ok {
 		m.metrics.refused.WithLabelValues(use.String()).Inc()
 		return allocation{}, false
@@ -84,8 +84,8 @@
 
 // updateGauges updates the gauges of held bytes. The caller holds the mutex.
 func (m *memoryBudget) updateGauges() {
-	for _, use := range []pressure.Use{pressure.Body, pressure.Job, pressure.Answer} {
-		m.metrics.heldBytes.WithLabelValues(use.String()).Set(float64(m.budget.Held(use)))
+	for _, use := range []pressure.Kind{pressure.Body, pressure.Job, pressure.Response} {
+		m.metrics.heldBytes.WithLabelValues(use.String()).Set(float64(m.budget.Allocated(use)))
 	}
 }
 
@@ -96,12 +96,12 @@
 	}
 	a.memory.mutex.Lock()
 	defer a.memory.mutex.Unlock()
-	a.memory.budget.End(a.hold)
+	a.memory.budget.Release(a.hold)
 	a.memory.notifyFreed(a.hold)
 }
 
 // notifyFreed wakes the goroutines that wait for memory. The caller holds the mutex.
-func (m *memoryBudget) notifyFreed(hold *pressure.Hold) {
+func (m *memoryBudget) notifyFreed(hold *pressure.Allocation) {
 	if hold != nil {
 		delete(m.cancels, hold)
 	}
@@ -140,19 +140,19 @@
 	m := a.memory
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.budget.Wait(a.hold, false)
+	m.budget.SetWaiting(a.hold, false)
 	if m.budget.Grow(a.hold, bytes) {
 		m.updateGauges()
 		return nil, nil
 	}
-	if m.budget.Never(a.hold, bytes) {
+	if m.budget.NeverFits(a.hold, bytes) {
 		return nil, errMemoryBudget
 	}
-	m.budget.Wait(a.hold, true)
+	m.budget.SetWaiting(a.hold, true)
 	m.metrics.waits.Inc()
 	if slowest := m.budget.Slowest(time.Now()); slowest != nil {
 		m.cancelSlow(slowest)
-	} else if m.budget.Stuck() == a.hold {
+	} else if m.budget.Deadlocked() == a.hold {
 		return nil, errMemoryBudget
 	}
 	return m.freed, nil
@@ -160,14 +160,14 @@
 
 // cancelSlow aborts the write of a response that its caller does not read. The caller
 // holds the mutex.
-func (m *memoryBudget) cancelSlow(slowest *pressure.Hold) {
+func (m *memoryBudget) cancelSlow(slowest *pressure.Allocation) {
 	m.metrics.slowReadersCut.Inc()
 	m.log.WithFields(logrus.Fields{"event": "slow_reader_cut", "bytes": slowest.Bytes(), "free": m.budget.Free(), "limit": m.budget.Limit()}).
 		Warn("Response to a slow reader aborted; other responses wait for its memory.")
 	if cancel := m.cancels[slowest]; cancel != nil {
 		cancel()
 	}
-	m.budget.End(slowest)
+	m.budget.Release(slowest)
 	m.notifyFreed(slowest)
 }
 
@@ -180,7 +180,7 @@
 	a.memory.mutex.Lock()
 	defer a.memory.mutex.Unlock()
 	a.memory.cancels[a.hold] = cancel
-	a.memory.budget.Writing(time.Now(), a.hold)
+	a.memory.budget.RecordProgress(time.Now(), a.hold)
 }
 
 // beginEvent notes that the write of a stream event has begun and reserves memory if
@@ -212,7 +212,7 @@
 	}
 	a.memory.mutex.Lock()
 	defer a.memory.mutex.Unlock()
-	a.memory.budget.Writing(time.Time{}, a.hold)
+	a.memory.budget.RecordProgress(time.Time{}, a.hold)
 }
 
 // growNow reserves more bytes without waiting. It returns false if none are available.
@@ -232,7 +232,7 @@
 	}
 	a.memory.mutex.Lock()
 	defer a.memory.mutex.Unlock()
-	a.memory.budget.Writing(time.Now(), a.hold)
+	a.memory.budget.RecordProgress(time.Now(), a.hold)
 	a.memory.budget.Shrink(a.hold, int64(bytes))
 	a.memory.notifyFreed(nil)
 }
--- a/internal/frontend/memory_test.go
+++ b/internal/frontend/memory_test.go
@@ -38,7 +38,7 @@
 func (m *memoryBudget) responseBytes() int64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.budget.Held(pressure.Answer)
+	return m.budget.Allocated(pressure.Response)
 }
 
 // hasPendingWrite tells whether a response is being written.
@@ -137,7 +137,7 @@
 	eventually(t, "a response that is left unread", func() bool { return m.responseBytes() > mebibyte && m.hasPendingWrite() })
 	m.mutex.Lock()
 	for hold := range m.cancels {
-		m.budget.Writing(time.Now().Add(-time.Hour), hold)
+		m.budget.RecordProgress(time.Now().Add(-time.Hour), hold)
 	}
 	m.mutex.Unlock()
 	response, err := http.Get(server.URL + "/" + fmt.Sprint(mebibyte))
@@ -161,7 +161,7 @@
 	holding.Add(2)
 	for range 2 {
 		go func() {
-			a, _ := m.allocate(pressure.Answer, 0)
+			a, _ := m.allocate(pressure.Response, 0)
 			err := a.grow(ctx, mebibyte/2)
 			holding.Done()
 			holding.Wait()
--- a/internal/frontend/online.go
+++ b/internal/frontend/online.go
@@ -105,7 +105,7 @@
 			break
 		}
 		x.logEntry("request_retried", last.failure).WithField("worker", ticket.Worker.ID).WithField("load", ticket.Load).
-			WithField("load_age_ms", ticket.Age.Milliseconds()).WithFields(paceFields(ticket)).Info("A request goes to another worker.")
+			WithField("load_age_ms", ticket.ReportAge.Milliseconds()).WithFields(paceFields(ticket)).Info("A request goes to another worker.")
 	}
 	if x.refusal != nil && last.status != attemptWorkerError && x.runs == 0 {
 		last.failure = x.refusal
@@ -278,7 +278,7 @@
 // allocation.
 func (x *exchange) allocateResponse() allocation {
 	x.responseMemory.free()
-	x.responseMemory, _ = x.frontend.memory.allocate(pressure.Answer, 0)
+	x.responseMemory, _ = x.frontend.memory.allocate(pressure.Response, 0)
 	return x.responseMemory
 }
 
@@ -361,8 +361,8 @@
 	if x.sends == 1 && !x.frontend.successLogs.Allow() {
 		return
 	}
-	x.logEntry("request_served", nil).WithField("worker", ticket.Worker.ID).WithField("load", ticket.Load).WithField("unread", ticket.Unread).
-		WithField("load_age_ms", ticket.Age.Milliseconds()).WithField("first_ms", x.timeToFirstByte.Milliseconds()).WithFields(paceFields(ticket)).Info("A request was served.")
+	x.logEntry("request_served", nil).WithField("worker", ticket.Worker.ID).WithField("load", ticket.Load).WithField("unread", ticket.UncachedTokens).
+		WithField("load_age_ms", ticket.ReportAge.Milliseconds()).WithField("first_ms", x.timeToFirstByte.Milliseconds()).WithFields(paceFields(ticket)).Info("A request was served.")
 }
 
 func (s attemptStatus) String() string {
--- a/internal/frontend/order.go
+++ b/internal/frontend/order.go
@@ -26,9 +26,9 @@
 func (x *exchange) queueEntry() hold.Request {
 	left := x.timeLimit()
 	latestStart := x.arrived.Add(left - time.Duration(responseTimeFraction*float64(left)))
-	entry := hold.Request{Rank: hold.Rank{Tenant: x.identity.tenant.Priority, Route: x.route.Priority}, Begin: latestStart, Last: latestStart}
+	entry := hold.Request{Rank: hold.Rank{Tenant: x.identity.tenant.Priority, Route: x.route.Priority}, Target: latestStart, Deadline: latestStart}
 	if x.route.Target > 0 {
-		entry.Begin = x.arrived.Add(x.route.Target - x.waitedBefore() - startMargin)
+		entry.Target = x.arrived.Add(x.route.Target - x.waitedBefore() - startMargin)
 	}
 	return entry
 }
--- a/internal/frontend/places.go
+++ b/internal/frontend/places.go
@@ -273,7 +273,7 @@
 // can't wait any longer. The queue length alone is no criterion: it is 0 at a leader
 // that has lost its workers and refuses all requests.
 func (r *reservations) chooseQueue(query worker.Query, full map[api.NodeID]bool, entry hold.Request, refusedBy api.NodeID) (*backend.Ticket, time.Duration, bool) {
-	wait := min(time.Until(entry.Last), maxReservationWait)
+	wait := min(time.Until(entry.Deadline), maxReservationWait)
 	if wait <= 0 {
 		return nil, 0, false
 	}
@@ -311,7 +311,7 @@
 func (r *reservations) requestSlot(ctx context.Context, peer api.Node, ticket *backend.Ticket, query worker.Query, entry hold.Request, ask reservation.Ask) (reservation.Answer, error) {
 	wait := ask.Wait
 	ask.Service, ask.Worker, ask.Parts, ask.Tokens, ask.Excluded = query.Service, ticket.Worker.ID, query.Parts, query.Tokens, query.Excluded
-	ask.Zone, ask.Rank, ask.Begin, ask.Last = r.zone, entry.Rank, time.Until(entry.Begin), time.Until(entry.Last)
+	ask.Zone, ask.Rank, ask.Begin, ask.Last = r.zone, entry.Rank, time.Until(entry.Target), time.Until(entry.Deadline)
 	if !entry.Promised.IsZero() {
 		due := time.Until(entry.Promised)
 		ask.Promise = &due
@@ -361,7 +361,7 @@
 // here or not usable, the frontend's own choice is kept.
 func (r *reservations) acceptGrant(peer api.Node, ticket *backend.Ticket, query worker.Query, answer reservation.Answer) *backend.Ticket {
 	if answer.Worker != ticket.Worker.ID {
-		query.Worker = answer.Worker
+		query.WorkerID = answer.Worker
 		if other, ok := r.pool.Take(query); ok {
 			ticket.End()
 			ticket = other
--- a/internal/frontend/places_test.go
+++ b/internal/frontend/places_test.go
@@ -114,7 +114,7 @@
 // startWithin returns a request that may wait that long.
 func startWithin(within time.Duration) hold.Request {
 	now := time.Now()
-	return hold.Request{Begin: now.Add(within), Last: now.Add(within)}
+	return hold.Request{Target: now.Add(within), Deadline: now.Add(within)}
 }
 
 func TestReserveFollowsLeaderAnswers(t *testing.T) {
@@ -204,7 +204,7 @@
 			a := &fakeLeader{}
 			r := newTestReservations(t, a, b)
 			a.rule = func(reservation.Ask) (reservation.Answer, bool) {
-				r.pool.WorkersChanged([]catalog.Change{{ID: "wa", Gone: test.removed, Worker: worker.Worker{ID: "wa", Service: "s", Zone: "z", Slots: 4, Leaving: true}}})
+				r.pool.WorkersChanged([]catalog.Change{{ID: "wa", Gone: test.removed, Worker: worker.Worker{ID: "wa", Service: "s", Zone: "z", Slots: 4, Draining: true}}})
 				return test.answer, true
 			}
 			r.pool.WorkersChanged([]catalog.Change{{ID: "wb", Gone: true}}) // added again when wa is dropped
--- a/internal/frontend/room.go
+++ b/internal/frontend/room.go
@@ -40,7 +40,7 @@
 
 // serviceCapacity is the estimate for one service.
 type serviceCapacity struct {
-	estimator overload.Line
+	estimator overload.Controller
 	inFlight  int // requests of this frontend at workers
 	waiting   int // requests of this frontend that wait for capacity
 	slots     int // of all workers, at the last call of decide
@@ -88,7 +88,7 @@
 // decide decides whether a request that workers have rejected waits or is refused. The
 // requests ahead of it are those beyond the slots of the workers and those that wait in
 // this frontend.
-func (c *capacityTracker) decide(now time.Time, service string, workers []worker.Occupancy, entry hold.Request) overload.Verdict {
+func (c *capacityTracker) decide(now time.Time, service string, workers []worker.Occupancy, entry hold.Request) overload.Decision {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	s := c.service(service)
@@ -96,12 +96,12 @@
 	ahead := s.waiting
 	for _, w := range workers {
 		s.slots += w.Slots
-		ahead += max(w.Taken+w.Others-w.Slots, 0)
+		ahead += max(w.InFlight+w.OtherInFlight-w.Slots, 0)
 	}
 	s.estimator.Observe(now, s.slots, s.inFlight, 0)
-	use := overload.Use{Rank: entry.Rank, Begin: entry.Begin.Sub(now), Last: entry.Last.Sub(now)}
-	if use.Begin <= 0 && now.Before(s.exhaustedUntil) {
-		use.Last = 0
+	use := overload.Request{Rank: entry.Rank, TimeToTarget: entry.Target.Sub(now), TimeToDeadline: entry.Deadline.Sub(now)}
+	if use.TimeToTarget <= 0 && now.Before(s.exhaustedUntil) {
+		use.TimeToDeadline = 0
 	}
 	return s.estimator.Decide(now, use, ahead)
 }
@@ -146,21 +146,21 @@
 	capacity, entry := &x.frontend.capacity, x.queueEntry()
 	x.stopWaiting(wait) // the request must not count as ahead of itself
 	verdict := capacity.decide(time.Now(), x.service, x.frontend.pool.Occupancies(x.service), entry)
-	if verdict.Refuse {
+	if verdict.Reject {
 		x.refusal = api.NewError("wait for room", "", api.CodeNoCapacity, api.OutcomeNotRun,
-			"%d requests ahead, %.1f slots freed per second, %d retries promised a slot", verdict.Ahead, verdict.PerSecond, verdict.Told)
-		x.refusal.RetryAfter = verdict.Return
+			"%d requests ahead, %.1f slots freed per second, %d retries promised a slot", verdict.Ahead, verdict.Rate, verdict.PromisedAhead)
+		x.refusal.RetryAfter = verdict.RetryAfter
 		return false
 	}
 	pause := wait.nextBackoff()
-	if until := time.Now().Add(pause); until.After(entry.Last) || until.After(x.arrived.Add(maxCapacityWait)) {
+	if until := time.Now().Add(pause); until.After(entry.Deadline) || until.After(x.arrived.Add(maxCapacityWait)) {
 		capacity.markExhausted(time.Now(), x.service)
 		return false
 	}
 	wait.counted = true
 	capacity.addWaiting(x.service, 1)
-	x.logEntry("room_awaited", last.failure).WithField("pause_ms", pause.Milliseconds()).WithField("ahead", verdict.Ahead).WithField("rate", verdict.PerSecond).
-		WithField("until_ms", verdict.Until.Milliseconds()).Info("All tried workers are full; the request waits before the next attempt.")
+	x.logEntry("room_awaited", last.failure).WithField("pause_ms", pause.Milliseconds()).WithField("ahead", verdict.Ahead).WithField("rate", verdict.Rate).
+		WithField("until_ms", verdict.ExpectedWait.Milliseconds()).Info("All tried workers are full; the request waits before the next attempt.")
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -216,7 +216,7 @@
 		return false
 	}
 	current, ok := g.current(w.ID)
-	return ok && current.Succeeds(w.Incarnation())
+	return ok && current.Supersedes(w.Incarnation())
 }
 
 // Survived records that a run of a request completed with its worker still alive, which
--- a/internal/guard/restart_test.go
+++ b/internal/guard/restart_test.go
@@ -30,9 +30,9 @@
 			w := resettingWorker(t, "w")
 			request, other := digestOf("request"), digestOf("other")
 			for i := range int64(3) {
-				w.Born = time.UnixMilli(100 + i)
+				w.StartedAt = time.UnixMilli(100 + i)
 				g.mutex.Lock()
-				inForce.Born = time.UnixMilli(test.next(100 + i))
+				inForce.StartedAt = time.UnixMilli(test.next(100 + i))
 				g.mutex.Unlock()
 				g.Broke(w, request, false)
 				f.await("the probe", func() bool {
--- a/internal/relayed/relayed.go
+++ b/internal/relayed/relayed.go
@@ -41,7 +41,7 @@
 	slots    chan struct{} // holds a token per forwarded request
 
 	mutex        sync.Mutex // guards all below
-	paths        *detour.Ways
+	paths        *detour.Paths
 	peers        []api.NodeID
 	peersUpdated time.Time
 }
@@ -96,12 +96,12 @@
 func (a *Asker) Apart() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return a.paths.Apart(clock.Now())
+	return a.paths.Isolated(clock.Now())
 }
 
 // attemptResult is the result of one attempt.
 type attemptResult struct {
-	path   detour.Way
+	path   detour.Path
 	status detour.Result
 	body   json.RawMessage
 	err    error
@@ -129,11 +129,11 @@
 		return "", api.NewError(request.Step, request.Target.Address, api.CodeUpstream, api.OutcomeUnknown, "decode answer: %w", err)
 	}
 	a.metrics.requests.WithLabelValues(label(first.path)).Inc()
-	return first.path.Via, nil
+	return first.path.Relay, nil
 }
 
-func label(path detour.Way) string {
-	if path.Straight() {
+func label(path detour.Path) string {
+	if path.Direct() {
 		return "straight"
 	}
 	return "peer"
@@ -150,7 +150,7 @@
 	body     []byte
 	results  chan attemptResult
 	ctx      context.Context
-	attempts *detour.Question
+	attempts *detour.Query
 	started  int // attempts
 	pending  int // attempts in progress
 }
@@ -225,7 +225,7 @@
 // record records the result of an attempt.
 func (r *call) record(result attemptResult) {
 	r.pending--
-	r.updatePath(r.request.Target.ID, result, func(now time.Time) bool { return r.attempts.Ended(now, result.path, result.status) })
+	r.updatePath(r.request.Target.ID, result, func(now time.Time) bool { return r.attempts.RecordResult(now, result.path, result.status) })
 }
 
 // updatePath calls apply, which reports whether the path to target has changed, and logs a
@@ -233,14 +233,14 @@
 func (a *Asker) updatePath(target api.NodeID, result attemptResult, apply func(now time.Time) bool) {
 	now := clock.Now()
 	a.mutex.Lock()
-	before := a.paths.Changed(target)
+	before := a.paths.ChangedAt(target)
 	changed := apply(now)
 	a.mutex.Unlock()
 	if !changed {
 		return
 	}
 	entry := a.settings.Log.WithFields(logrus.Fields{
-		"event": "way_changed", "target": target, "via": result.path.Via, "answered": result.status == detour.Answered,
+		"event": "way_changed", "target": target, "via": result.path.Relay, "answered": result.status == detour.Answered,
 	})
 	if !before.IsZero() {
 		entry = entry.WithField("age_ms", now.Sub(before).Milliseconds())
@@ -259,36 +259,36 @@
 // listPeers returns the peers in order of preference; the mutex must be held.
 func (a *Asker) listPeers(now time.Time) []api.NodeID {
 	if now.Sub(a.peersUpdated) > peersTTL || a.peers == nil {
-		a.peers, a.peersUpdated = detour.Peers(a.settings.Self(), a.settings.Nodes()), now
+		a.peers, a.peersUpdated = detour.RelayCandidates(a.settings.Self(), a.settings.Nodes()), now
 	}
 	return a.peers
 }
 
 // send makes one attempt.
-func (a *Asker) send(ctx context.Context, path detour.Way, request Question, body json.RawMessage) attemptResult {
+func (a *Asker) send(ctx context.Context, path detour.Path, request Question, body json.RawMessage) attemptResult {
 	result := attemptResult{path: path}
-	if path.Straight() {
+	if path.Direct() {
 		result.err = transport.Call(ctx, a.client, request.Step, request.Target.Address, request.Path, body, &result.body)
 		result.status = resultOf(result.err)
 		return result
 	}
-	peer, known := findNode(a.settings.Nodes(), path.Via)
+	peer, known := findNode(a.settings.Nodes(), path.Relay)
 	if !known {
-		result.status, result.err = detour.Silent, api.NewError(request.Step, string(path.Via), api.CodeNoContact, api.OutcomeNotRun, "peer is no longer a member")
+		result.status, result.err = detour.NoAnswer, api.NewError(request.Step, string(path.Relay), api.CodeNoContact, api.OutcomeNotRun, "peer is no longer a member")
 		return result
 	}
 	deadline, _ := ctx.Deadline()
 	message := Message{Target: request.Target.ID, Path: request.Path, Body: body, Within: max(time.Until(deadline)-forwardMargin, 0)}
 	var reply Reply
 	if result.err = transport.Call(ctx, a.client, request.Step, peer.Address, Path, message, &reply); result.err != nil {
-		result.status = detour.Silent
+		result.status = detour.NoAnswer
 		return result
 	}
 	result.status, result.body = detour.Answered, reply.Body
 	switch {
 	case !reply.Reached:
-		result.status = detour.Unreached
-		result.err = api.NewError(request.Step, string(path.Via), api.CodeNoContact, reply.outcomeOrUnknown(), "peer does not reach %s: %s", request.Target.ID, reply.Failure)
+		result.status = detour.Unreachable
+		result.err = api.NewError(request.Step, string(path.Relay), api.CodeNoContact, reply.outcomeOrUnknown(), "peer does not reach %s: %s", request.Target.ID, reply.Failure)
 	case reply.Failure != "":
 		result.err = api.NewError(request.Step, string(request.Target.ID), api.CodeUpstream, reply.outcomeOrUnknown(), "%s", reply.Failure)
 	}
@@ -302,7 +302,7 @@
 	if err == nil || errors.As(err, &failure) && failure.Code != api.CodeUpstream && failure.Code != api.CodeDeadline && failure.Code != api.CodeClientCancelled {
 		return detour.Answered
 	}
-	return detour.Silent
+	return detour.NoAnswer
 }
 
 func findNode(nodes []api.Node, id api.NodeID) (api.Node, bool) {
--- a/internal/relayed/relayed_test.go
+++ b/internal/relayed/relayed_test.go
@@ -268,7 +268,7 @@
 func TestDisconnectedPeerRepliesImmediately(t *testing.T) {
 	f := newFixture(t)
 	a := f.newClient("peer", f.answeringStore())
-	a.recordForwarded("store", detour.Silent)
+	a.recordForwarded("store", detour.NoAnswer)
 	var reply Reply
 	if err := json.Unmarshal(post(a, Message{Target: "store", Path: testPath, Body: []byte("1"), Within: testTimeout}).Body.Bytes(), &reply); err != nil || reply.Reached || reply.Outcome != api.OutcomeNotRun || f.received.Load() != 0 {
 		t.Errorf("got reply %+v, error %v and %d requests to the target", reply, err, f.received.Load())
--- a/internal/relayed/serve.go
+++ b/internal/relayed/serve.go
@@ -92,7 +92,7 @@
 	ctx, cancel := context.WithTimeout(ctx, min(message.Within, maxForwardTime))
 	defer cancel()
 	request := Question{Step: "pass on question", Target: target, Path: message.Path}
-	result := a.send(ctx, detour.Way{}, request, message.Body)
+	result := a.send(ctx, detour.Path{}, request, message.Body)
 	conclusive := ctx.Err() == nil || errors.Is(ctx.Err(), context.DeadlineExceeded) && message.Within >= minConclusiveTime
 	if conclusive || result.status == detour.Answered {
 		a.recordForwarded(message.Target, result.status)
@@ -106,7 +106,7 @@
 
 // recordForwarded records the result of a forwarded request.
 func (a *Asker) recordForwarded(target api.NodeID, result detour.Result) {
-	a.updatePath(target, attemptResult{status: result}, func(now time.Time) bool { return a.paths.Passed(now, target, result) })
+	a.updatePath(target, attemptResult{status: result}, func(now time.Time) bool { return a.paths.RecordRelayed(now, target, result) })
 }
 
 // outcomeOf returns the outcome of an *api.Error; unknown for other errors.
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -44,9 +44,9 @@
 	minSpareShare = 0.1
 )
 
-// Line is the load state of one service as seen by one process. The zero value is ready to
+// Controller is the load state of one service as seen by one process. The zero value is ready to
 // use. It is not safe for concurrent use.
-type Line struct {
+type Controller struct {
 	at          time.Time
 	slots       float64
 	held        int
@@ -69,7 +69,7 @@
 
 // Observe records the number of slots, how many are held, and how many requests have ended
 // since the last call.
-func (l *Line) Observe(now time.Time, slots, held, ended int) {
+func (l *Controller) Observe(now time.Time, slots, held, ended int) {
 	elapsed := now.Sub(l.at)
 	if l.at.IsZero() {
 		elapsed = 0
@@ -85,8 +85,8 @@
 	l.at, l.held = now, held
 }
 
-// Waits sets whether requests are queued from now on.
-func (l *Line) Waits(now time.Time, waits bool) {
+// SetWaiting sets whether requests are queued from now on.
+func (l *Controller) SetWaiting(now time.Time, waits bool) {
 	elapsed := max(now.Sub(l.waitingAt), 0)
 	if l.waitingAt.IsZero() {
 		elapsed = 0
@@ -103,7 +103,7 @@
 // slots divided by the mean holding time), limited to the placements made while requests
 // were queued, since some free slots cannot be used. It returns false if there are too few
 // observations; the rate is then unknown, not low.
-func (l *Line) Rate() (float64, bool) {
+func (l *Controller) Rate() (float64, bool) {
 	if l.ended < minEnded || l.slotSeconds <= 0 {
 		return 0, false
 	}
@@ -114,13 +114,13 @@
 	return rate, true
 }
 
-// Arrived records the first attempt of a request.
-func (l *Line) Arrived(now time.Time, rank hold.Rank) {
+// RecordArrival records the first attempt of a request.
+func (l *Controller) RecordArrival(now time.Time, rank hold.Rank) {
 	l.state(now, rank).arrivals.add(now, shortDecay)
 }
 
-// Placed records that a request got a slot, and whether it did in time.
-func (l *Line) Placed(now time.Time, rank hold.Rank, inTime bool) {
+// RecordPlacement records that a request got a slot, and whether it did in time.
+func (l *Controller) RecordPlacement(now time.Time, rank hold.Rank, inTime bool) {
 	if inTime {
 		l.state(now, rank).onTime.add(now, longDecay)
 	}
@@ -132,12 +132,12 @@
 // Claim redeems the oldest promise of a rank for a retry and returns the time of its slot.
 // It returns false if the slot is due less than claimMargin before last, the time left to
 // start.
-func (l *Line) Claim(now time.Time, rank hold.Rank, last time.Duration) (time.Time, bool) {
+func (l *Controller) Claim(now time.Time, rank hold.Rank, last time.Duration) (time.Time, bool) {
 	return l.state(now, rank).retries.claim(now, now.Add(last-claimMargin))
 }
 
-// Told returns the number of open promises.
-func (l *Line) Told() (n int) {
+// Promises returns the number of open promises.
+func (l *Controller) Promises() (n int) {
 	for i := range l.ranks {
 		n += len(l.ranks[i].retries.promises)
 	}
@@ -145,7 +145,7 @@
 }
 
 // state returns the state of a rank and creates it if needed, evicting inactive ranks.
-func (l *Line) state(now time.Time, rank hold.Rank) *rankState {
+func (l *Controller) state(now time.Time, rank hold.Rank) *rankState {
 	compare := func(r rankState, rank hold.Rank) int { return r.rank.Compare(rank) }
 	i, found := slices.BinarySearchFunc(l.ranks, rank, compare)
 	if !found {
@@ -160,7 +160,7 @@
 
 // promisedBy counts the promises of a rank and of more urgent ones that are due before a
 // time.
-func (l *Line) promisedBy(rank hold.Rank, by time.Time) (n int) {
+func (l *Controller) promisedBy(rank hold.Rank, by time.Time) (n int) {
 	for i := range l.ranks {
 		if l.ranks[i].rank.Compare(rank) > 0 {
 			break
@@ -175,7 +175,7 @@
 
 // rates returns the rate of first attempts per second of the ranks before this one, the same
 // including this one, and the rate of on-time placements of the latter.
-func (l *Line) rates(now time.Time, rank hold.Rank) (before, with, onTime float64) {
+func (l *Controller) rates(now time.Time, rank hold.Rank) (before, with, onTime float64) {
 	for i := range l.ranks {
 		r := &l.ranks[i]
 		order := r.rank.Compare(rank)
@@ -192,84 +192,84 @@
 	return before, with, onTime
 }
 
-// Use describes the request to decide for.
-type Use struct {
+// Request describes the request to decide for.
+type Request struct {
 	Rank hold.Rank
 	// Time left to start on time, and to start at all.
-	Begin, Last time.Duration
+	TimeToTarget, TimeToDeadline time.Duration
 	// Promised is set for a retry that has claimed a slot, which is due after Due.
 	Promised bool
 	Due      time.Duration
-	// Waits is set if the request is already queued. It is then rejected only if no slot is
+	// Queued is set if the request is already queued. It is then rejected only if no slot is
 	// expected in the time left.
-	Waits bool
+	Queued bool
 }
 
-// Verdict is a decision with the estimates behind it.
-type Verdict struct {
-	Refuse bool
+// Decision is a decision with the estimates behind it.
+type Decision struct {
+	Reject bool
 	// Maximum wait, after which to decide again, and delay until the retry of a rejected
 	// request.
-	Bound, Return time.Duration
+	MaxWait, RetryAfter time.Duration
 
-	Until     time.Duration // expected wait for a slot
-	Ahead     int           // queued requests that go first
-	Told      int           // promised retries due by then
-	PerSecond float64       // free slots per second for its rank; 0 if unknown
-	Known     bool          // whether the rate is known
+	ExpectedWait  time.Duration // expected wait for a slot
+	Ahead         int           // queued requests that go first
+	PromisedAhead int           // promised retries due by then
+	Rate          float64       // free slots per second for its rank; 0 if unknown
+	RateKnown     bool          // whether the rate is known
 }
 
 // Decide decides for a request that finds no slot, with ahead queued requests that go first.
 // A rejected request is promised a slot for its retry if the rate is known.
-func (l *Line) Decide(now time.Time, use Use, ahead int) Verdict {
-	v := l.Look(now, use, ahead)
-	if !v.Refuse {
+func (l *Controller) Decide(now time.Time, use Request, ahead int) Decision {
+	v := l.Evaluate(now, use, ahead)
+	if !v.Reject {
 		return v
 	}
-	v.Return = defaultRetryAfter
+	v.RetryAfter = defaultRetryAfter
 	if total, known := l.Rate(); known {
 		_, with, _ := l.rates(now, use.Rank)
-		v.Return = l.state(now, use.Rank).retries.schedule(now, max(total-with, minSpareShare*total), waitFor(ahead+1, total))
+		v.RetryAfter = l.state(now, use.Rank).retries.schedule(now, max(total-with, minSpareShare*total), waitFor(ahead+1, total))
 	}
 	return v
 }
 
-// Look returns the same decision as Decide without promising a slot.
-func (l *Line) Look(now time.Time, use Use, ahead int) Verdict {
-	v := Verdict{Ahead: ahead, Bound: use.Last, Refuse: use.Last <= 0}
+// Evaluate returns the same decision as Decide without promising a slot.
+func (l *Controller) Evaluate(now time.Time, use Request, ahead int) Decision {
+	v := Decision{Ahead: ahead, MaxWait: use.TimeToDeadline, Reject: use.TimeToDeadline <= 0}
 	total, known := l.Rate()
 	if !known {
 		return v
 	}
-	v.Known = true
-	use.Begin = min(use.Begin, use.Last)
+	v.RateKnown = true
+	use.TimeToTarget = min(use.TimeToTarget, use.TimeToDeadline)
 	before, with, onTime := l.rates(now, use.Rank)
 	own := max(total-before, minSpareShare*total)
 	spare := max(total-with, total-onTime)
 	share := maxWaitShare
-	if use.Waits {
+	if use.Queued {
 		share = 1
 	}
-	v.PerSecond = own
+	v.Rate = own
 	switch {
 	case use.Promised:
-		v.Until = max(use.Due, waitFor(ahead+1, own))
-		v.Refuse = v.Refuse || v.Until > use.Last
-	case use.Begin > 0:
-		v.Told = l.promisedBy(use.Rank, now.Add(use.Begin))
-		v.Until = waitFor(ahead+v.Told+1, own)
-		if !v.Refuse && v.Until <= scale(use.Begin, share) {
-			v.Bound = use.Begin
+		v.ExpectedWait = max(use.Due, waitFor(ahead+1, own))
+		v.Reject = v.Reject || v.ExpectedWait > use.TimeToDeadline
+	case use.TimeToTarget > 0:
+		v.PromisedAhead = l.promisedBy(use.Rank, now.Add(use.TimeToTarget))
+		v.ExpectedWait = waitFor(ahead+v.PromisedAhead+1, own)
+		if !v.Reject && v.ExpectedWait <= scale(use.TimeToTarget, share) {
+			v.MaxWait = use.TimeToTarget
 			return v
 		}
 		fallthrough
 	default: // late now or later: gets only slots that on-time requests leave free
-		v.Told = l.promisedBy(use.Rank, now.Add(use.Last))
-		v.Until = use.Last + 1
+		v.PromisedAhead = l.promisedBy(use.Rank, now.Add(use.TimeToDeadline))
+		v.ExpectedWait = use.TimeToDeadline + 1
 		if spare > 0 {
-			v.PerSecond, v.Until = spare, waitFor(ahead+v.Told+1, spare)
+			v.Rate, v.ExpectedWait = spare, waitFor(ahead+v.PromisedAhead+1, spare)
 		}
-		v.Refuse = v.Refuse || v.Until > scale(use.Last, share)
+		v.Reject = v.Reject || v.ExpectedWait > scale(use.TimeToDeadline, share)
 	}
 	return v
 }
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -16,17 +16,17 @@
 // busyLine returns a line with a hundred slots, all held for a second each, and the time.
 // First attempts of rank 1 arrive at the given rate per second; inTime of them are placed on
 // time.
-func busyLine(arrivals, inTime int) (*Line, time.Time) {
-	l := &Line{}
+func busyLine(arrivals, inTime int) (*Controller, time.Time) {
+	l := &Controller{}
 	now := testStart
 	for i := range 2000 {
 		now = testStart.Add(time.Duration(i) * 10 * ms)
 		l.Observe(now, 100, 100, 1)
 		for n := i * arrivals / 100; n < (i+1)*arrivals/100; n++ {
-			l.Arrived(now, hold.Rank{Route: 1})
+			l.RecordArrival(now, hold.Rank{Route: 1})
 		}
 		for n := i * inTime / 100; n < (i+1)*inTime/100; n++ {
-			l.Placed(now, hold.Rank{Route: 1}, true)
+			l.RecordPlacement(now, hold.Rank{Route: 1}, true)
 		}
 	}
 	return l, now
@@ -40,23 +40,23 @@
 	tests := []struct {
 		name             string
 		arrivals, inTime int // per second
-		use              Use
+		use              Request
 		ahead            int
 		want             decision
 	}{
-		{"on time behind a few", 150, 90, Use{Begin: 200 * ms, Last: 3000 * ms}, 5, decision{false, 55 * ms, 75 * ms}},
-		{"not on time, no slots left for late requests", 150, 100, Use{Begin: 200 * ms, Last: 3000 * ms}, 40, decision{true, 3000 * ms, time.Hour}},
-		{"not on time, arrivals below the rate", 50, 50, Use{Begin: 200 * ms, Last: 3000 * ms}, 40, decision{false, 700 * ms, 1000 * ms}},
-		{"not on time, short peak", 150, 60, Use{Begin: 200 * ms, Last: 3000 * ms}, 40, decision{false, 900 * ms, 1200 * ms}},
-		{"late on arrival, no slots left", 150, 100, Use{Begin: -ms, Last: 3000 * ms}, 0, decision{true, 3000 * ms, time.Hour}},
-		{"late on arrival, slots left", 50, 50, Use{Begin: -ms, Last: 3000 * ms}, 0, decision{false, 10 * ms, 30 * ms}},
-		{"no time left", 50, 50, Use{Begin: -ms, Last: 0}, 0, decision{true, 0, time.Hour}},
-		{"more urgent than other arrivals", 150, 100, Use{Rank: hold.Rank{Route: 0}, Begin: 200 * ms, Last: 3000 * ms}, 5, decision{false, 55 * ms, 75 * ms}},
-		{"less urgent than other arrivals", 150, 100, Use{Rank: hold.Rank{Route: 2}, Begin: 200 * ms, Last: 3000 * ms}, 10, decision{true, 3000 * ms, time.Hour}},
-		{"promised retry", 150, 100, Use{Begin: -ms, Last: 1500 * ms, Promised: true, Due: 300 * ms}, 0, decision{false, 300 * ms, 301 * ms}},
-		{"promised retry, slot too late", 150, 100, Use{Begin: -ms, Last: 200 * ms, Promised: true, Due: 300 * ms}, 0, decision{true, 300 * ms, 301 * ms}},
-		{"barely on time on arrival", 150, 100, Use{Rank: hold.Rank{Route: 1}, Begin: 200 * ms, Last: 3000 * ms}, 17, decision{true, 0, time.Hour}},
-		{"barely on time while queued", 150, 100, Use{Rank: hold.Rank{Route: 1}, Begin: 200 * ms, Last: 3000 * ms, Waits: true}, 17, decision{false, 150 * ms, 200 * ms}},
+		{"on time behind a few", 150, 90, Request{TimeToTarget: 200 * ms, TimeToDeadline: 3000 * ms}, 5, decision{false, 55 * ms, 75 * ms}},
+		{"not on time, no slots left for late requests", 150, 100, Request{TimeToTarget: 200 * ms, TimeToDeadline: 3000 * ms}, 40, decision{true, 3000 * ms, time.Hour}},
+		{"not on time, arrivals below the rate", 50, 50, Request{TimeToTarget: 200 * ms, TimeToDeadline: 3000 * ms}, 40, decision{false, 700 * ms, 1000 * ms}},
+		{"not on time, short peak", 150, 60, Request{TimeToTarget: 200 * ms, TimeToDeadline: 3000 * ms}, 40, decision{false, 900 * ms, 1200 * ms}},
+		{"late on arrival, no slots left", 150, 100, Request{TimeToTarget: -ms, TimeToDeadline: 3000 * ms}, 0, decision{true, 3000 * ms, time.Hour}},
+		{"late on arrival, slots left", 50, 50, Request{TimeToTarget: -ms, TimeToDeadline: 3000 * ms}, 0, decision{false, 10 * ms, 30 * ms}},
+		{"no time left", 50, 50, Request{TimeToTarget: -ms, TimeToDeadline: 0}, 0, decision{true, 0, time.Hour}},
+		{"more urgent than other arrivals", 150, 100, Request{Rank: hold.Rank{Route: 0}, TimeToTarget: 200 * ms, TimeToDeadline: 3000 * ms}, 5, decision{false, 55 * ms, 75 * ms}},
+		{"less urgent than other arrivals", 150, 100, Request{Rank: hold.Rank{Route: 2}, TimeToTarget: 200 * ms, TimeToDeadline: 3000 * ms}, 10, decision{true, 3000 * ms, time.Hour}},
+		{"promised retry", 150, 100, Request{TimeToTarget: -ms, TimeToDeadline: 1500 * ms, Promised: true, Due: 300 * ms}, 0, decision{false, 300 * ms, 301 * ms}},
+		{"promised retry, slot too late", 150, 100, Request{TimeToTarget: -ms, TimeToDeadline: 200 * ms, Promised: true, Due: 300 * ms}, 0, decision{true, 300 * ms, 301 * ms}},
+		{"barely on time on arrival", 150, 100, Request{Rank: hold.Rank{Route: 1}, TimeToTarget: 200 * ms, TimeToDeadline: 3000 * ms}, 17, decision{true, 0, time.Hour}},
+		{"barely on time while queued", 150, 100, Request{Rank: hold.Rank{Route: 1}, TimeToTarget: 200 * ms, TimeToDeadline: 3000 * ms, Queued: true}, 17, decision{false, 150 * ms, 200 * ms}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -65,11 +65,11 @@
 				test.use.Rank = hold.Rank{Route: 1}
 			}
 			v := l.Decide(now, test.use, test.ahead)
-			if v.Refuse != test.want.refuse || v.Until < test.want.lower || v.Until > test.want.upper || !v.Known {
+			if v.Reject != test.want.refuse || v.ExpectedWait < test.want.lower || v.ExpectedWait > test.want.upper || !v.RateKnown {
 				t.Errorf("%+v", v)
 			}
-			if v.Refuse != (v.Return > 0) {
-				t.Errorf("retry after %v", v.Return)
+			if v.Reject != (v.RetryAfter > 0) {
+				t.Errorf("retry after %v", v.RetryAfter)
 			}
 		})
 	}
@@ -92,7 +92,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			l := Line{}
+			l := Controller{}
 			for i := range 100 {
 				l.Observe(testStart.Add(time.Duration(i)*100*ms), test.slots, test.held, test.ended)
 			}
@@ -108,8 +108,8 @@
 
 // An unknown rate must not be treated as low: no request with time left is rejected.
 func TestUnknownRateRejectsNothing(t *testing.T) {
-	l := Line{}
-	if v := l.Decide(testStart, Use{Begin: 200 * ms, Last: 3000 * ms}, 500); v.Refuse || v.Known || v.Bound != 3000*ms {
+	l := Controller{}
+	if v := l.Decide(testStart, Request{TimeToTarget: 200 * ms, TimeToDeadline: 3000 * ms}, 500); v.Reject || v.RateKnown || v.MaxWait != 3000*ms {
 		t.Errorf("%+v", v)
 	}
 }
@@ -120,11 +120,11 @@
 	rank := hold.Rank{Route: 1}
 	var delays []time.Duration
 	for range 30 {
-		v := l.Decide(now, Use{Rank: rank, Begin: 200 * ms, Last: 3000 * ms}, 100)
-		if !v.Refuse {
+		v := l.Decide(now, Request{Rank: rank, TimeToTarget: 200 * ms, TimeToDeadline: 3000 * ms}, 100)
+		if !v.Reject {
 			t.Fatalf("%+v", v)
 		}
-		delays = append(delays, v.Return)
+		delays = append(delays, v.RetryAfter)
 	}
 	for i := 1; i < len(delays); i++ {
 		if step := delays[i] - delays[i-1]; step < 95*ms || step > 105*ms {
@@ -139,21 +139,21 @@
 	if _, ok := l.Claim(now, rank, delays[5]+claimMargin-ms); ok {
 		t.Error("claimed a slot due after the deadline")
 	}
-	if _, ok := l.Claim(now.Add(time.Hour), rank, time.Hour); ok || l.Told() != 0 {
-		t.Errorf("%d promises left after an hour", l.Told())
+	if _, ok := l.Claim(now.Add(time.Hour), rank, time.Hour); ok || l.Promises() != 0 {
+		t.Errorf("%d promises left after an hour", l.Promises())
 	}
 }
 
 // Guards against giving a promised slot to a request that arrives before the retry.
 func TestPromisesDelayLaterArrivals(t *testing.T) {
 	l, now := busyLine(200, 100)
-	use := Use{Rank: hold.Rank{Route: 1}, Begin: 200 * ms, Last: 3000 * ms}
-	before := l.Look(now, use, 2)
+	use := Request{Rank: hold.Rank{Route: 1}, TimeToTarget: 200 * ms, TimeToDeadline: 3000 * ms}
+	before := l.Evaluate(now, use, 2)
 	for range 20 {
 		l.Decide(now, use, 100)
 	}
-	after := l.Look(now.Add(time.Second), use, 2)
-	if before.Told != 0 || after.Told < 2 || after.Until <= before.Until {
+	after := l.Evaluate(now.Add(time.Second), use, 2)
+	if before.PromisedAhead != 0 || after.PromisedAhead < 2 || after.ExpectedWait <= before.ExpectedWait {
 		t.Errorf("%+v, then %+v", before, after)
 	}
 }
@@ -190,9 +190,9 @@
 }
 
 func TestInactiveRanksAreEvicted(t *testing.T) {
-	l := Line{}
+	l := Controller{}
 	for i := range 10_000 {
-		l.Arrived(testStart.Add(time.Duration(i)*time.Second), hold.Rank{Tenant: i})
+		l.RecordArrival(testStart.Add(time.Duration(i)*time.Second), hold.Rank{Tenant: i})
 	}
 	if n := len(l.ranks); n > 20 {
 		t.Errorf("%d ranks kept", n)
@@ -215,13 +215,13 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			l := Line{}
+			l := Controller{}
 			for i := range 100 {
 				now := testStart.Add(time.Duration(i) * 100 * ms)
 				l.Observe(now, 100, 100, 10)
-				l.Waits(now, test.waits)
+				l.SetWaiting(now, test.waits)
 				for range test.placed {
-					l.Placed(now, hold.Rank{}, true)
+					l.RecordPlacement(now, hold.Rank{}, true)
 				}
 			}
 			if got, _ := l.Rate(); got < test.lower || got > test.upper {
--- a/pressure/pressure.go
+++ b/pressure/pressure.go
@@ -13,18 +13,18 @@
 
 import "time"
 
-// Use is what an allocation is used for.
-type Use int
+// Kind is what an allocation is used for.
+type Kind int
 
 // Kinds of use.
 const (
-	Body   Use = iota // body of an online request, from arrival to answer
-	Job               // body of a batch job, until the job is accepted
-	Answer            // response of a worker, until the caller has read it
+	Body     Kind = iota // body of an online request, from arrival to answer
+	Job                  // body of a batch job, until the job is accepted
+	Response             // response of a worker, until the caller has read it
 )
 
 // String returns the name used in metrics and logs.
-func (u Use) String() string { return [...]string{"body", "job", "answer"}[u] }
+func (u Kind) String() string { return [...]string{"body", "job", "answer"}[u] }
 
 const numUses = 3
 
@@ -41,9 +41,9 @@
 	unreadTimeout = 2 * time.Second
 )
 
-// Hold is the allocation of one exchange.
-type Hold struct {
-	use      Use
+// Allocation is the allocation of one exchange.
+type Allocation struct {
+	use      Kind
 	bytes    int64
 	lastRead time.Time // when the caller last read; zero if nothing has been sent
 	waiting  bool      // waiting for bytes
@@ -51,23 +51,23 @@
 }
 
 // Bytes returns the allocated size.
-func (h *Hold) Bytes() int64 { return h.bytes }
+func (h *Allocation) Bytes() int64 { return h.bytes }
 
 // Budget is the memory budget of one process. Use New to create one.
 type Budget struct {
 	limit  int64
 	held   [numUses]int64
-	active map[*Hold]bool
+	active map[*Allocation]bool
 }
 
 // New returns a budget of limit bytes.
-func New(limit int64) *Budget { return &Budget{limit: limit, active: map[*Hold]bool{}} }
+func New(limit int64) *Budget { return &Budget{limit: limit, active: map[*Allocation]bool{}} }
 
 // Limit returns the size of the budget in bytes.
 func (b *Budget) Limit() int64 { return b.limit }
 
-// Held returns the number of bytes allocated for a use.
-func (b *Budget) Held(use Use) int64 { return b.held[use] }
+// Allocated returns the number of bytes allocated for a use.
+func (b *Budget) Allocated(use Kind) int64 { return b.held[use] }
 
 // Free returns the number of unallocated bytes.
 func (b *Budget) Free() int64 {
@@ -78,13 +78,13 @@
 	return max(free, 0)
 }
 
-// Begin allocates the bytes of a new exchange. It returns false if they are refused.
-func (b *Budget) Begin(use Use, bytes int64) (*Hold, bool) {
+// Allocate allocates the bytes of a new exchange. It returns false if they are refused.
+func (b *Budget) Allocate(use Kind, bytes int64) (*Allocation, bool) {
 	free := float64(b.Free()) - answerReserve*float64(b.limit)
-	if use != Answer && float64(bytes) > maxNewShare[use]*free {
+	if use != Response && float64(bytes) > maxNewShare[use]*free {
 		return nil, false
 	}
-	h := &Hold{use: use}
+	h := &Allocation{use: use}
 	b.active[h] = true
 	b.add(h, bytes)
 	return h, true
@@ -92,9 +92,9 @@
 
 // Grow allocates more bytes. It returns false if there are too few: only responses may use
 // the reserve. A response larger than the whole budget never fits.
-func (b *Budget) Grow(h *Hold, bytes int64) bool {
+func (b *Budget) Grow(h *Allocation, bytes int64) bool {
 	free := b.Free()
-	if h.use != Answer {
+	if h.use != Response {
 		free -= int64(answerReserve * float64(b.limit))
 	}
 	if h.released || bytes > free {
@@ -104,21 +104,23 @@
 	return true
 }
 
-// Never reports whether a hold could not grow by so many bytes even if it were the only one.
-func (b *Budget) Never(h *Hold, bytes int64) bool { return h.released || h.bytes+bytes > b.limit }
+// NeverFits reports whether a hold could not grow by so many bytes even if it were the only one.
+func (b *Budget) NeverFits(h *Allocation, bytes int64) bool {
+	return h.released || h.bytes+bytes > b.limit
+}
 
 // Shrink releases part of the bytes.
-func (b *Budget) Shrink(h *Hold, bytes int64) {
+func (b *Budget) Shrink(h *Allocation, bytes int64) {
 	if !h.released {
 		b.add(h, -min(bytes, h.bytes))
 	}
 }
 
-// Writing records that sending to the caller starts, or that the caller has read some bytes.
-func (b *Budget) Writing(now time.Time, h *Hold) { h.lastRead = now }
+// RecordProgress records that sending to the caller starts, or that the caller has read some bytes.
+func (b *Budget) RecordProgress(now time.Time, h *Allocation) { h.lastRead = now }
 
-// End releases all bytes. Calling it again has no effect.
-func (b *Budget) End(h *Hold) {
+// Release releases all bytes. Calling it again has no effect.
+func (b *Budget) Release(h *Allocation) {
 	if h.released {
 		return
 	}
@@ -129,7 +131,7 @@
 
 // Slowest returns the hold that its caller has left unread longest, if longer than
 // unreadTimeout, or nil. It should be aborted if others wait for bytes.
-func (b *Budget) Slowest(now time.Time) (slowest *Hold) {
+func (b *Budget) Slowest(now time.Time) (slowest *Allocation) {
 	for h := range b.active {
 		if h.lastRead.IsZero() || now.Sub(h.lastRead) < unreadTimeout {
 			continue
@@ -141,15 +143,15 @@
 	return slowest
 }
 
-// Wait sets whether a hold waits for bytes.
-func (b *Budget) Wait(h *Hold, waiting bool) { h.waiting = waiting }
+// SetWaiting sets whether a hold waits for bytes.
+func (b *Budget) SetWaiting(h *Allocation, waiting bool) { h.waiting = waiting }
 
-// Stuck returns the response to abort on a deadlock, in which all responses wait for bytes
+// Deadlocked returns the response to abort on a deadlock, in which all responses wait for bytes
 // and none is being sent. It is the smallest one, which wastes the least. It returns nil if
 // there is no deadlock.
-func (b *Budget) Stuck() (smallest *Hold) {
+func (b *Budget) Deadlocked() (smallest *Allocation) {
 	for h := range b.active {
-		if h.use != Answer {
+		if h.use != Response {
 			continue
 		}
 		if !h.waiting {
@@ -162,7 +164,7 @@
 	return smallest
 }
 
-func (b *Budget) add(h *Hold, bytes int64) {
+func (b *Budget) add(h *Allocation, bytes int64) {
 	h.bytes += bytes
 	b.held[h.use] += bytes
 }
--- a/pressure/pressure_test.go
+++ b/pressure/pressure_test.go
@@ -15,7 +15,7 @@
 	tests := []struct {
 		name  string
 		held  int64 // by others, of 100 MiB
-		use   Use
+		use   Kind
 		bytes int64
 		want  bool
 	}{
@@ -28,12 +28,12 @@
 		{"a small body, budget mostly used", 60 * mib, Body, 7 * mib, true},
 		{"a job as large as an accepted body, budget mostly used", 60 * mib, Job, 7 * mib, false},
 		{"the smallest body, only the reserve left", 75 * mib, Body, 1, false},
-		{"a response uses the reserve", 75 * mib, Answer, 20 * mib, true},
+		{"a response uses the reserve", 75 * mib, Response, 20 * mib, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			b := New(100 * mib)
-			others, _ := b.Begin(Answer, 0)
+			others, _ := b.Allocate(Response, 0)
 			if !b.Grow(others, test.held) {
 				t.Fatal("initial allocation refused")
 			}
@@ -45,12 +45,12 @@
 }
 
 // allocate reports whether bytes for something new fit. A response grows as it is read.
-func allocate(b *Budget, use Use, bytes int64) bool {
-	if use != Answer {
-		_, ok := b.Begin(use, bytes)
+func allocate(b *Budget, use Kind, bytes int64) bool {
+	if use != Response {
+		_, ok := b.Allocate(use, bytes)
 		return ok
 	}
-	h, ok := b.Begin(use, 0)
+	h, ok := b.Allocate(use, 0)
 	return ok && b.Grow(h, bytes)
 }
 
@@ -72,11 +72,11 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			b := New(100)
-			var holds []*Hold
+			var holds []*Allocation
 			for _, r := range test.readers {
-				h, _ := b.Begin(Answer, r.bytes)
+				h, _ := b.Allocate(Response, r.bytes)
 				if r.writing >= 0 {
-					b.Writing(testStart.Add(-r.writing), h)
+					b.RecordProgress(testStart.Add(-r.writing), h)
 				}
 				holds = append(holds, h)
 			}
@@ -102,7 +102,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			b := New(40 * mib)
 			type caller struct {
-				hold *Hold
+				hold *Allocation
 				slow bool
 			}
 			callers := make([]caller, test.callers)
@@ -114,22 +114,22 @@
 					c.slow = i%4 == 0
 					switch {
 					case c.hold == nil:
-						h, _ := b.Begin(Answer, 0)
+						h, _ := b.Allocate(Response, 0)
 						if !b.Grow(h, answer) {
-							b.End(h)
+							b.Release(h)
 							if slowest := b.Slowest(now); slowest != nil {
-								b.End(slowest)
+								b.Release(slowest)
 							}
 							continue
 						}
 						c.hold = h
-						b.Writing(now, h)
+						b.RecordProgress(now, h)
 					case c.hold.released && !c.slow:
 						t.Fatalf("caller %d reads but was aborted", i)
 					case c.hold.released:
 						c.hold = nil
 					case !c.slow:
-						b.End(c.hold)
+						b.Release(c.hold)
 						c.hold = nil
 						delivered++
 					}
@@ -151,15 +151,15 @@
 func TestAllocatedBytesMatchHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(1000)
-		var holds []*Hold
+		var holds []*Allocation
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			bytes := rapid.Int64Range(0, 600).Draw(t, "bytes")
 			if len(holds) == 0 || rapid.Bool().Draw(t, "new") {
-				use := Use(rapid.IntRange(0, numUses-1).Draw(t, "use"))
-				if use == Answer {
+				use := Kind(rapid.IntRange(0, numUses-1).Draw(t, "use"))
+				if use == Response {
 					bytes = 0
 				}
-				if h, ok := b.Begin(use, bytes); ok {
+				if h, ok := b.Allocate(use, bytes); ok {
 					holds = append(holds, h)
 				}
 				continue
@@ -171,7 +171,7 @@
 			case 1:
 				b.Shrink(h, bytes)
 			case 2:
-				b.End(h)
+				b.Release(h)
 			}
 			total := int64(0)
 			for _, each := range holds {
--- a/reservation/born_test.go
+++ b/reservation/born_test.go
@@ -10,8 +10,8 @@
 // Guards against counting requests of an earlier incarnation of a worker, which left its
 // slots unused until every frontend had reported again.
 func TestWorkerRestartReleasesEarlierRequests(t *testing.T) {
-	first := worker.Incarnation{ID: "w", Born: start}
-	second := worker.Incarnation{ID: "w", Born: start.Add(time.Minute)}
+	first := worker.Incarnation{ID: "w", StartedAt: start}
+	second := worker.Incarnation{ID: "w", StartedAt: start.Add(time.Minute)}
 	report := func(sequence uint64, w worker.Incarnation, n int) Report {
 		r := Report{Node: "f", Sequence: sequence}
 		r.Add(w, n)
--- a/reservation/queue.go
+++ b/reservation/queue.go
@@ -24,7 +24,7 @@
 func Wait(now time.Time, node api.NodeID, ask Ask) *Waiting {
 	w := &Waiting{
 		Node: node, Ask: ask, Since: now, Place: make(chan Answer, 1),
-		Order: hold.Request{Rank: ask.Rank, Begin: now.Add(ask.Begin), Last: now.Add(ask.Last)},
+		Order: hold.Request{Rank: ask.Rank, Target: now.Add(ask.Begin), Deadline: now.Add(ask.Last)},
 	}
 	if ask.Promise != nil {
 		w.Order.Promised = now.Add(*ask.Promise)
@@ -35,7 +35,7 @@
 // Queue holds the waiting requests of one service and the overload controller that bounds
 // their wait. The zero value is ready to use.
 type Queue struct {
-	Line    overload.Line
+	Line    overload.Controller
 	waiters []*Waiting
 }
 
@@ -49,18 +49,18 @@
 	case w.Ask.Returned:
 		w.Order.Promised, _ = q.Line.Claim(now, w.Ask.Rank, w.Ask.Last)
 	default:
-		q.Line.Arrived(now, w.Ask.Rank)
+		q.Line.RecordArrival(now, w.Ask.Rank)
 	}
 }
 
 // Placed records that a request was granted a slot.
 func (q *Queue) Placed(now time.Time, w *Waiting) {
-	q.Line.Placed(now, w.Order.Rank, w.Order.Class(now) == hold.InTime)
+	q.Line.RecordPlacement(now, w.Order.Rank, w.Order.Class(now) == hold.OnTime)
 }
 
 // Full returns the response for a request that got no slot and no longer waits.
 func (q *Queue) Full(now time.Time, w *Waiting) Answer {
-	answer := Answer{Full: true, Waiting: q.Len(), Until: q.Line.Look(now, overloadRequest(now, w, false), q.countAhead(now, w)).Until}
+	answer := Answer{Full: true, Waiting: q.Len(), Until: q.Line.Evaluate(now, overloadRequest(now, w, false), q.countAhead(now, w)).ExpectedWait}
 	if !w.Order.Promised.IsZero() {
 		due := w.Order.Promised.Sub(now)
 		answer.Promise = &due
@@ -84,9 +84,9 @@
 }
 
 // Decide decides whether a request that finds no free slot waits or is rejected.
-func (q *Queue) Decide(now time.Time, w *Waiting) overload.Verdict {
+func (q *Queue) Decide(now time.Time, w *Waiting) overload.Decision {
 	if w.Ask.Elsewhere {
-		return q.Line.Look(now, overloadRequest(now, w, false), q.countAhead(now, w))
+		return q.Line.Evaluate(now, overloadRequest(now, w, false), q.countAhead(now, w))
 	}
 	return q.Line.Decide(now, overloadRequest(now, w, false), q.countAhead(now, w))
 }
@@ -95,7 +95,7 @@
 // promised slot is due before w must start.
 func (q *Queue) countAhead(now time.Time, w *Waiting) (ahead int) {
 	for _, other := range q.waiters {
-		due := !other.Order.Promised.IsZero() && !other.Order.Promised.After(w.Order.Begin) && other.Order.Rank.Compare(w.Order.Rank) <= 0
+		due := !other.Order.Promised.IsZero() && !other.Order.Promised.After(w.Order.Target) && other.Order.Rank.Compare(w.Order.Rank) <= 0
 		if other != w && (due || hold.Compare(now, other.Order, w.Order) <= 0) {
 			ahead++
 		}
@@ -106,14 +106,14 @@
 // Refused is a request that was removed from the queue, with the reason.
 type Refused struct {
 	*Waiting
-	Verdict overload.Verdict
+	Verdict overload.Decision
 }
 
 // Refuse removes and returns the requests that are not expected to get a slot in time.
 func (q *Queue) Refuse(now time.Time) (refused []Refused) {
 	ahead := 0
 	for _, w := range q.Sorted(now) {
-		if verdict := q.Line.Decide(now, overloadRequest(now, w, true), ahead); verdict.Refuse {
+		if verdict := q.Line.Decide(now, overloadRequest(now, w, true), ahead); verdict.Reject {
 			q.Remove(w)
 			refused = append(refused, Refused{Waiting: w, Verdict: verdict})
 			continue
@@ -126,9 +126,9 @@
 // overloadRequest describes a request to the overload controller. A returning request counts as
 // waiting: it is assumed to have no further attempt, so it is rejected only when no slot is
 // expected in time.
-func overloadRequest(now time.Time, w *Waiting, waits bool) overload.Use {
-	return overload.Use{
-		Rank: w.Order.Rank, Begin: w.Order.Begin.Sub(now), Last: w.Order.Last.Sub(now), Waits: waits || w.Ask.Returned,
+func overloadRequest(now time.Time, w *Waiting, waits bool) overload.Request {
+	return overload.Request{
+		Rank: w.Order.Rank, TimeToTarget: w.Order.Target.Sub(now), TimeToDeadline: w.Order.Deadline.Sub(now), Queued: waits || w.Ask.Returned,
 		Promised: !w.Order.Promised.IsZero(), Due: w.Order.Promised.Sub(now),
 	}
 }
--- a/reservation/replay_test.go
+++ b/reservation/replay_test.go
@@ -222,7 +222,7 @@
 func shedExpired(retryAfter time.Duration) func(time.Time, []*caller) []shedCaller {
 	return func(now time.Time, waiting []*caller) (list []shedCaller) {
 		for _, c := range waiting {
-			if now.After(c.Order.Last) {
+			if now.After(c.Order.Deadline) {
 				list = append(list, shedCaller{c, retryAfter})
 			}
 		}
@@ -254,17 +254,17 @@
 			return false, 0
 		}
 		v := q.Decide(now, c.Waiting)
-		return v.Refuse, v.Return
+		return v.Reject, v.RetryAfter
 	}
 	p.shed = func(now time.Time, waiting []*caller) (list []shedCaller) {
 		q.waiters = nil
 		for _, c := range waiting {
 			q.Add(c.Waiting)
 		}
-		q.Line.Waits(now, len(waiting) > 0)
+		q.Line.SetWaiting(now, len(waiting) > 0)
 		for _, r := range q.Refuse(now) {
 			i := slices.IndexFunc(waiting, func(c *caller) bool { return c.Waiting == r.Waiting })
-			list = append(list, shedCaller{waiting[i], r.Verdict.Return})
+			list = append(list, shedCaller{waiting[i], r.Verdict.RetryAfter})
 		}
 		return list
 	}
@@ -280,7 +280,7 @@
 		rate, at = rate*math.Exp(-now.Sub(at).Seconds())+1, now
 	}
 	expiring := func(now time.Time, c *caller) bool {
-		return now.After(c.Order.Begin) && now.Add(300*time.Millisecond).After(c.Order.Last)
+		return now.After(c.Order.Target) && now.Add(300*time.Millisecond).After(c.Order.Deadline)
 	}
 	p.compare = func(now time.Time, a, b *caller) int {
 		if x, y := expiring(now, a), expiring(now, b); x != y {
@@ -355,7 +355,7 @@
 func earliestDeadlinePolicy() *policy {
 	p := fifoPolicy()
 	p.compare = func(_ time.Time, a, b *caller) int {
-		return cmp.Compare(a.Order.Last.UnixNano(), b.Order.Last.UnixNano())
+		return cmp.Compare(a.Order.Deadline.UnixNano(), b.Order.Deadline.UnixNano())
 	}
 	return p
 }
--- a/reservation/reservation.go
+++ b/reservation/reservation.go
@@ -56,13 +56,13 @@
 		r.Held = map[string]int{}
 	}
 	r.Held[w.ID] += n
-	if w.Born.IsZero() {
+	if w.StartedAt.IsZero() {
 		return
 	}
 	if r.Born == nil {
 		r.Born = map[string]time.Time{}
 	}
-	r.Born[w.ID] = w.Born
+	r.Born[w.ID] = w.StartedAt
 }
 
 // Ask is a request for a slot at a worker of a service.
@@ -183,11 +183,11 @@
 // Began records the start time of a worker. Requests and grants of an earlier incarnation
 // no longer count.
 func (b *Book) Began(w worker.Incarnation) {
-	if !w.Born.After(b.startedAt[w.ID]) {
+	if !w.StartedAt.After(b.startedAt[w.ID]) {
 		return
 	}
 	_, restarted := b.startedAt[w.ID]
-	b.startedAt[w.ID] = w.Born
+	b.startedAt[w.ID] = w.StartedAt
 	for _, f := range b.frontends {
 		if b.isStale(f.startedAt, w.ID) {
 			b.add(w.ID, -f.held[w.ID])
--- a/reservation/reservation_test.go
+++ b/reservation/reservation_test.go
@@ -126,7 +126,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := q.Decide(now, test.request).Until; got < test.min || got > test.max {
+			if got := q.Decide(now, test.request).ExpectedWait; got < test.min || got > test.max {
 				t.Errorf("expected wait %v is out of range", got)
 			}
 		})
@@ -186,9 +186,9 @@
 		now = start.Add(time.Duration(i) * 10 * time.Millisecond)
 		q.Line.Observe(now, 100, 100, 1)
 		for n := i * arrivals / 100; n < (i+1)*arrivals/100; n++ {
-			q.Line.Arrived(now, hold.Rank{})
+			q.Line.RecordArrival(now, hold.Rank{})
 		}
-		q.Line.Placed(now, hold.Rank{}, true)
+		q.Line.RecordPlacement(now, hold.Rank{}, true)
 	}
 	return q, now
 }
@@ -203,7 +203,7 @@
 		t.Errorf("%d requests wait and %d were rejected, want 18 to 20 of 30 to wait", q.Len(), len(refused))
 	}
 	for _, r := range refused {
-		if r.Verdict.Return <= 0 {
+		if r.Verdict.RetryAfter <= 0 {
 			t.Errorf("rejected without a retry delay: %+v", r.Verdict)
 		}
 	}
@@ -220,18 +220,18 @@
 		q.Add(Wait(now, "f", Ask{Begin: 200 * time.Millisecond, Last: 3 * time.Second}))
 	}
 	verdict := q.Decide(now, Wait(now, "f", Ask{Begin: 200 * time.Millisecond, Last: 3 * time.Second}))
-	if !verdict.Refuse || verdict.Return <= 0 {
+	if !verdict.Reject || verdict.RetryAfter <= 0 {
 		t.Fatalf("want a rejection with a retry delay, got %+v", verdict)
 	}
-	later := now.Add(verdict.Return)
+	later := now.Add(verdict.RetryAfter)
 	back := Wait(later, "f", Ask{Begin: -time.Millisecond, Last: 2 * time.Second, Returned: true})
 	q.Arrived(later, back)
-	if v := q.Decide(later, back); v.Refuse {
+	if v := q.Decide(later, back); v.Reject {
 		t.Fatalf("returning request was rejected: %+v", v)
 	}
-	early := q.countAhead(now, Wait(now, "f", Ask{Begin: verdict.Return + time.Second, Last: 3 * time.Second}))
+	early := q.countAhead(now, Wait(now, "f", Ask{Begin: verdict.RetryAfter + time.Second, Last: 3 * time.Second}))
 	q.Add(back)
-	if q.countAhead(now, Wait(now, "f", Ask{Begin: verdict.Return + time.Second, Last: 3 * time.Second})) != early+1 {
+	if q.countAhead(now, Wait(now, "f", Ask{Begin: verdict.RetryAfter + time.Second, Last: 3 * time.Second})) != early+1 {
 		t.Error("a promise that is due earlier does not count as ahead")
 	}
 	q.Add(Wait(later, "f", Ask{Begin: time.Millisecond, Last: 3 * time.Second}))
@@ -252,12 +252,12 @@
 // Requests that queue again and probes do not count as new arrivals.
 func TestArrivalRateCountsOnlyNewCallers(t *testing.T) {
 	q, now := saturatedQueue(50)
-	before := q.Line.Look(now, overloadRequest(now, Wait(now, "f", Ask{Rank: hold.Rank{Route: 1}, Begin: time.Second, Last: time.Second}), false), 0).PerSecond
+	before := q.Line.Evaluate(now, overloadRequest(now, Wait(now, "f", Ask{Rank: hold.Rank{Route: 1}, Begin: time.Second, Last: time.Second}), false), 0).Rate
 	for range 100 {
 		q.Arrived(now, Wait(now, "f", Ask{Again: true, Begin: time.Second, Last: time.Second}))
 		q.Full(now, Wait(now, "f", Ask{Begin: time.Second, Last: time.Second}))
 	}
-	after := q.Line.Look(now, overloadRequest(now, Wait(now, "f", Ask{Rank: hold.Rank{Route: 1}, Begin: time.Second, Last: time.Second}), false), 0).PerSecond
+	after := q.Line.Evaluate(now, overloadRequest(now, Wait(now, "f", Ask{Rank: hold.Rank{Route: 1}, Begin: time.Second, Last: time.Second}), false), 0).Rate
 	if before != after || before < 40 || before > 60 {
 		t.Errorf("rate left for later ranks is %.1f per second, was %.1f, want 40 to 60 unchanged", after, before)
 	}
@@ -271,7 +271,7 @@
 		q.Add(Wait(now, "f", Ask{Begin: time.Millisecond, Last: 3 * time.Second}))
 	}
 	late := func(returned bool) bool {
-		return q.Decide(now, Wait(now, "f", Ask{Begin: -time.Millisecond, Last: 1500 * time.Millisecond, Returned: returned})).Refuse
+		return q.Decide(now, Wait(now, "f", Ask{Begin: -time.Millisecond, Last: 1500 * time.Millisecond, Returned: returned})).Reject
 	}
 	if !late(false) || late(true) {
 		t.Errorf("rejected: new request %t, returning request %t; want true, false", late(false), late(true))
--- a/worker/choose.go
+++ b/worker/choose.go
@@ -16,17 +16,17 @@
 	Parts    []Part // prompt parts in order
 	Tokens   int    // length of the whole prompt; 0 if unknown
 	Excluded []string
-	// Worker restricts the choice to one worker; empty allows any.
-	Worker string
+	// WorkerID restricts the choice to one worker; empty allows any.
+	WorkerID string
 	// Groups restricts the choice to workers of these groups; nil allows all.
 	Groups []int
-	// Only excludes the workers for which it returns false; nil excludes none.
-	Only func(id string) bool
-	// Fits excludes workers by their estimated occupancy; nil excludes none.
-	Fits func(Occupancy) bool
-	// Limit is the maximum utilization, including this request, as a fraction of a worker's
+	// Filter excludes the workers for which it returns false; nil excludes none.
+	Filter func(id string) bool
+	// FilterOccupancy excludes workers by their estimated occupancy; nil excludes none.
+	FilterOccupancy func(Occupancy) bool
+	// MaxUtilization is the maximum utilization, including this request, as a fraction of a worker's
 	// slots; 0 means no limit.
-	Limit float64
+	MaxUtilization float64
 	// Zone is the origin of the request; empty means the pool's zone.
 	Zone string
 }
@@ -34,11 +34,11 @@
 // Choice is a chosen worker with the estimates behind the choice.
 type Choice struct {
 	Worker Worker
-	// Unread is the estimated number of prompt tokens that are not cached there.
-	Unread int
-	Load   float64       // requests there, including those of this process
-	Slots  int           // slots of the worker
-	Age    time.Duration // age of the load report; negative if there is none
+	// UncachedTokens is the estimated number of prompt tokens that are not cached there.
+	UncachedTokens int
+	Load           float64       // requests there, including those of this process
+	Slots          int           // slots of the worker
+	ReportAge      time.Duration // age of the load report; negative if there is none
 	// Pace is the expected pace. Its source is PaceUnknown if no worker of the service has a
 	// known pace.
 	Pace Pace
@@ -107,7 +107,7 @@
 // candidates returns the workers to compare: all of a small service, a sample of a large
 // one.
 func (p *Pool) candidates(now time.Time, query Query, random *rand.Rand) []*entry {
-	if query.Worker != "" {
+	if query.WorkerID != "" {
 		return p.namedWorker(now, query)
 	}
 	lists := p.index(query.Service).lists(query.Groups)
@@ -125,7 +125,7 @@
 		listUsable, listFallback := p.classify(now, query, list)
 		usable, fallback = append(usable, listUsable...), append(fallback, listFallback...)
 	}
-	if len(usable) == 0 && query.Limit == 0 {
+	if len(usable) == 0 && query.MaxUtilization == 0 {
 		return fallback
 	}
 	return usable
@@ -133,7 +133,7 @@
 
 // namedWorker returns the worker named by the query, if it is eligible.
 func (p *Pool) namedWorker(now time.Time, query Query) []*entry {
-	e, ok := p.entries[query.Worker]
+	e, ok := p.entries[query.WorkerID]
 	if !ok || e.Service != query.Service {
 		return nil
 	}
@@ -147,9 +147,9 @@
 	for _, e := range list {
 		switch {
 		case !p.accepts(e) || slices.Contains(query.Excluded, e.ID):
-		case query.Only != nil && !query.Only(e.ID):
-		case query.Fits != nil && !query.Fits(p.occupancy(now, e)):
-		case query.Limit > 0 && p.estimateLoad(now, e)+1 > query.Limit*float64(e.slots):
+		case query.Filter != nil && !query.Filter(e.ID):
+		case query.FilterOccupancy != nil && !query.FilterOccupancy(p.occupancy(now, e)):
+		case query.MaxUtilization > 0 && p.estimateLoad(now, e)+1 > query.MaxUtilization*float64(e.slots):
 		case now.Before(e.downUntil) || now.Before(e.fullUntil) || e.outlier.ejected(now):
 			fallback = append(fallback, e)
 		case e.outlier.probing(now) && p.estimateLoad(now, e) >= 1:
@@ -173,8 +173,8 @@
 		age = now.Sub(e.reportedAt)
 	}
 	return Choice{
-		Worker: e.Worker, Unread: max(total-e.parts.cachedTokens(query.Parts), 0),
-		Load: p.estimateLoad(now, e), Slots: e.slots, Age: age,
+		Worker: e.Worker, UncachedTokens: max(total-e.parts.cachedTokens(query.Parts), 0),
+		Load: p.estimateLoad(now, e), Slots: e.slots, ReportAge: age,
 	}
 }
 
@@ -198,7 +198,7 @@
 // affinity worker of a large prompt part and a worker with most of the prompt cached are
 // always included if reading that much would cost more than the request itself.
 func (p *Pool) drawCandidates(now time.Time, candidates []*entry, mean float64, query Query, random *rand.Rand) []*entry {
-	if p.settings.Draw == 0 || len(candidates) <= p.settings.Draw {
+	if p.settings.SampleSize == 0 || len(candidates) <= p.settings.SampleSize {
 		return candidates
 	}
 	cumulative := make([]float64, len(candidates))
@@ -211,14 +211,14 @@
 		sum += 1 / pace
 		cumulative[i] = sum
 	}
-	kept := make([]*entry, 0, p.settings.Draw+1)
+	kept := make([]*entry, 0, p.settings.SampleSize+1)
 	if affinity := p.affinityWorker(query, candidates, requestCost); affinity != nil {
 		kept = append(kept, affinity)
 	}
 	if cached := mostCached(query.Parts, candidates, random); cached != nil && !slices.Contains(kept, cached) {
 		kept = append(kept, cached)
 	}
-	for range p.settings.Draw {
+	for range p.settings.SampleSize {
 		i, _ := slices.BinarySearch(cumulative, sum*random.Float64())
 		if e := candidates[min(i, len(candidates)-1)]; !slices.Contains(kept, e) {
 			kept = append(kept, e)
@@ -248,7 +248,7 @@
 
 // cost returns the cost of sending a request to a worker.
 func (p *Pool) cost(e *entry, choice Choice, affinity bool, zone string) float64 {
-	unread := float64(choice.Unread)
+	unread := float64(choice.UncachedTokens)
 	if affinity {
 		unread *= affinityDiscount
 	}
@@ -267,7 +267,7 @@
 		cost += otherZoneCost
 	}
 	cost += brokenCost * float64(e.consecutiveBroken)
-	if e.ColdFor > 0 {
+	if e.WarmupTime > 0 {
 		cost += coldCost
 	}
 	return cost
@@ -314,8 +314,8 @@
 	return id
 }
 
-// Sent records that a request with these prompt parts was sent to a worker.
-func (p *Pool) Sent(id string, parts []Part) {
+// RecordSent records that a request with these prompt parts was sent to a worker.
+func (p *Pool) RecordSent(id string, parts []Part) {
 	e, ok := p.entries[id]
 	if !ok {
 		return
@@ -324,7 +324,7 @@
 	if len(parts) == 0 {
 		return
 	}
-	bound := int(float64(p.capacity[e.Service]) * p.settings.CacheShare)
+	bound := int(float64(p.capacity[e.Service]) * p.settings.CacheFraction)
 	if e.parts == nil {
 		e.parts = newPartSet()
 	}
--- a/worker/growth_test.go
+++ b/worker/growth_test.go
@@ -77,7 +77,7 @@
 
 // poolOf returns a pool of a process in the given zone that lists the workers.
 func poolOf(list []Worker, zone string) *Pool {
-	p := NewPool(BlindSettings(zone))
+	p := NewPool(TwoChoiceSettings(zone))
 	for _, w := range list {
 		p.Put(w)
 	}
@@ -88,7 +88,7 @@
 func TestChooseComparesBoundedSample(t *testing.T) {
 	compared := func(n int) int {
 		p, count := poolOf(testWorkers(n), "z0"), 0
-		query := Query{Service: "s", Only: func(string) bool { count++; return true }}
+		query := Query{Service: "s", Filter: func(string) bool { count++; return true }}
 		if _, ok := p.Choose(testStart, query, newRand()); !ok {
 			t.Fatal("no worker is chosen")
 		}
@@ -117,7 +117,7 @@
 	p, last := poolOf(list, "z0"), list[1234].ID
 	for _, w := range list {
 		if w.ID != last {
-			p.Full(testStart, w.ID)
+			p.RecordFull(testStart, w.ID)
 		}
 	}
 	for range 20 {
@@ -125,7 +125,7 @@
 			t.Fatalf("chose %q", choice.Worker.ID)
 		}
 	}
-	if _, ok := p.Choose(testStart, Query{Service: "s", Excluded: []string{last}, Limit: 1}, newRand()); ok {
+	if _, ok := p.Choose(testStart, Query{Service: "s", Excluded: []string{last}, MaxUtilization: 1}, newRand()); ok {
 		t.Error("a full worker is chosen")
 	}
 }
@@ -139,7 +139,7 @@
 	for i := range processes {
 		p := poolOf(list, fmt.Sprint("z", i%5))
 		for _, w := range list[1:] {
-			p.SetOthers(testStart, w.ID, 4)
+			p.SetOtherLoad(testStart, w.ID, 4)
 		}
 		choice, ok := p.Choose(testStart, Query{Service: "s"}, rand.New(rand.NewPCG(uint64(i), 1)))
 		if !ok {
@@ -213,8 +213,8 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			p := poolOf(list, list[7].Zone)
-			p.Sent(list[7].ID, nil)
-			p.Used(testStart, list[7].ID)
+			p.RecordSent(list[7].ID, nil)
+			p.RecordUsed(testStart, list[7].ID)
 			for range test.held {
 				p.Begin(list[7].ID, 0)
 			}
--- a/worker/incarnation_test.go
+++ b/worker/incarnation_test.go
@@ -27,19 +27,19 @@
 		t.Run(test.name, func(t *testing.T) {
 			p := NewPool(DefaultSettings("a"))
 			p.SetCapacity("s", 100_000)
-			p.Put(Worker{ID: "w", Service: "s", Slots: 4, Born: test.listed})
+			p.Put(Worker{ID: "w", Service: "s", Slots: 4, StartedAt: test.listed})
 			p.Begin("w", 300)
-			p.Sent("w", parts)
-			p.Report(testStart, "w", Load{Running: 4, Slots: 4})
-			p.Refused(testStart, "w")
-			p.Put(Worker{ID: "w", Service: "s", Slots: 4, Born: test.next})
+			p.RecordSent("w", parts)
+			p.RecordLoad(testStart, "w", Load{Running: 4, Slots: 4})
+			p.RecordRefused(testStart, "w")
+			p.Put(Worker{ID: "w", Service: "s", Slots: 4, StartedAt: test.next})
 			e := p.entries["w"]
 			forgotten := e.inFlight == 0 && e.pendingTokens == 0 && e.otherInFlight == 0 && e.failures == 0 && e.downUntil.IsZero() && e.parts.cachedTokens(parts) == 0
 			if forgotten != test.forgets {
 				t.Errorf("state reset: %t, %+v", forgotten, e)
 			}
-			if current, ok := p.Current("w"); !ok || !current.Born.Equal(test.born) {
-				t.Errorf("start time %v, want %v", current.Born, test.born)
+			if current, ok := p.CurrentIncarnation("w"); !ok || !current.StartedAt.Equal(test.born) {
+				t.Errorf("start time %v, want %v", current.StartedAt, test.born)
 			}
 		})
 	}
@@ -49,7 +49,7 @@
 	if got := (Incarnation{ID: "w"}).String(); got != "w" {
 		t.Error(got)
 	}
-	if got := (Incarnation{ID: "w", Born: time.UnixMilli(12)}).String(); got != "w@12" {
+	if got := (Incarnation{ID: "w", StartedAt: time.UnixMilli(12)}).String(); got != "w@12" {
 		t.Error(got)
 	}
 }
--- a/worker/observed.go
+++ b/worker/observed.go
@@ -42,9 +42,9 @@
 	hasOutlier bool    // at least one worker exceeds slownessThreshold
 }
 
-// ObserveStep records the mean time between two events of a stream from a worker.
+// RecordEventInterval records the mean time between two events of a stream from a worker.
 // Non-positive values are ignored.
-func (p *Pool) ObserveStep(at time.Time, id string, step time.Duration) {
+func (p *Pool) RecordEventInterval(at time.Time, id string, step time.Duration) {
 	e, ok := p.entries[id]
 	if !ok || step <= 0 {
 		return
--- a/worker/observed_test.go
+++ b/worker/observed_test.go
@@ -32,10 +32,10 @@
 			for i, step := range test.steps {
 				id := fmt.Sprint("w", i)
 				if test.paces != nil {
-					p.TellPace(testStart, id, test.paces[i])
+					p.RecordPace(testStart, id, test.paces[i])
 				}
 				for range test.streams {
-					p.ObserveStep(testStart, id, step)
+					p.RecordEventInterval(testStart, id, step)
 				}
 			}
 			now := testStart.Add(test.at)
@@ -56,7 +56,7 @@
 	p := testPool(4)
 	for i, step := range []time.Duration{200, 35, 33, 31} {
 		for range 8 {
-			p.ObserveStep(testStart, fmt.Sprint("w", i), step*time.Millisecond)
+			p.RecordEventInterval(testStart, fmt.Sprint("w", i), step*time.Millisecond)
 		}
 	}
 	var order []string
@@ -74,7 +74,7 @@
 		choice, _ := p.Choose(testStart, Query{Service: "s"}, newRand())
 		p.Begin(choice.Worker.ID, 0)
 	}
-	if p.Held("w0") == 0 {
+	if p.InFlight("w0") == 0 {
 		t.Error("slow worker gets no requests while others queue")
 	}
 }
--- a/worker/outlier.go
+++ b/worker/outlier.go
@@ -32,8 +32,8 @@
 
 // Outcomes counts how requests to a worker ended since the last report.
 type Outcomes struct {
-	Whole  int `json:"whole,omitempty"`  // answered
-	Broken int `json:"broken,omitempty"` // failed, interrupted, not connected or timed out
+	Succeeded int `json:"whole,omitempty"`  // answered
+	Failed    int `json:"broken,omitempty"` // failed, interrupted, not connected or timed out
 }
 
 // outlier is the ejection state of a worker. The zero value has no outcomes.
@@ -68,20 +68,20 @@
 	o.ejectedUntil = now.Add(o.ejectionTime)
 }
 
-// Judgement is the ejection or reinstatement of a worker.
-type Judgement struct {
-	Out           bool          // false if reinstated
-	Pause         time.Duration // how long it is ejected
-	Whole, Broken float64       // decayed outcomes of the worker
-	Peers         float64       // failure rate of its peers
+// EjectionChange is the ejection or reinstatement of a worker.
+type EjectionChange struct {
+	Ejected           bool          // false if reinstated
+	Duration          time.Duration // how long it is ejected
+	Succeeded, Failed float64       // decayed outcomes of the worker
+	PeerFailureRate   float64       // failure rate of its peers
 }
 
-// TakeOutcomes records how requests to a worker ended and ejects it if it is an outlier of
+// RecordOutcomes records how requests to a worker ended and ejects it if it is an outlier of
 // its service. It returns true if the worker was ejected or reinstated.
-func (p *Pool) TakeOutcomes(now time.Time, id string, outcomes Outcomes) (Judgement, bool) {
+func (p *Pool) RecordOutcomes(now time.Time, id string, outcomes Outcomes) (EjectionChange, bool) {
 	e, ok := p.entries[id]
-	if !ok || outcomes.Whole < 0 || outcomes.Broken < 0 {
-		return Judgement{}, false
+	if !ok || outcomes.Succeeded < 0 || outcomes.Failed < 0 {
+		return EjectionChange{}, false
 	}
 	o := &e.outlier
 	if o.updatedAt.IsZero() {
@@ -89,27 +89,27 @@
 		r.withOutcomes = append(r.withOutcomes, e)
 	}
 	o.decay(now)
-	o.succeeded += float64(outcomes.Whole)
-	o.failed += float64(outcomes.Broken)
-	judgement := Judgement{Whole: o.succeeded, Broken: o.failed}
+	o.succeeded += float64(outcomes.Succeeded)
+	o.failed += float64(outcomes.Failed)
+	judgement := EjectionChange{Succeeded: o.succeeded, Failed: o.failed}
 	switch {
 	case o.ejected(now): // outcomes of requests sent before the ejection
-		return Judgement{}, false
-	case o.probing(now) && outcomes.Broken > 0:
+		return EjectionChange{}, false
+	case o.probing(now) && outcomes.Failed > 0:
 		o.eject(now)
-	case o.probing(now) && outcomes.Whole > 0:
+	case o.probing(now) && outcomes.Succeeded > 0:
 		*o = outlier{updatedAt: now}
 		return judgement, true
 	case o.ejectionTime > 0 || o.failed < minFailures || o.failureRate() < minFailureRate:
-		return Judgement{}, false
+		return EjectionChange{}, false
 	default:
 		var allowed bool
-		if judgement.Peers, allowed = p.peerFailureRate(now, e); !allowed || o.failureRate() < peerFailureFactor*judgement.Peers {
-			return Judgement{}, false
+		if judgement.PeerFailureRate, allowed = p.peerFailureRate(now, e); !allowed || o.failureRate() < peerFailureFactor*judgement.PeerFailureRate {
+			return EjectionChange{}, false
 		}
 		o.eject(now)
 	}
-	judgement.Out, judgement.Pause = true, o.ejectionTime
+	judgement.Ejected, judgement.Duration = true, o.ejectionTime
 	return judgement, true
 }
 
--- a/worker/outlier_test.go
+++ b/worker/outlier_test.go
@@ -46,7 +46,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			p := testPool(8)
 			for _, report := range test.reports {
-				p.TakeOutcomes(testStart.Add(report.at), report.id, Outcomes{Whole: report.whole, Broken: report.broken})
+				p.RecordOutcomes(testStart.Add(report.at), report.id, Outcomes{Succeeded: report.whole, Failed: report.broken})
 			}
 			now := testStart.Add(test.at)
 			if got := p.Occupancies(now, "s")[0].Usable; got == test.ejected {
@@ -69,10 +69,10 @@
 func TestEjectionLimitCountsKnownWorkers(t *testing.T) {
 	p := testPool(40)
 	for i := range 8 {
-		p.TakeOutcomes(testStart, fmt.Sprint("w", i), Outcomes{Whole: 30})
+		p.RecordOutcomes(testStart, fmt.Sprint("w", i), Outcomes{Succeeded: 30})
 	}
 	for n := range 6 {
-		p.TakeOutcomes(testStart, fmt.Sprint("w", n), Outcomes{Broken: 90})
+		p.RecordOutcomes(testStart, fmt.Sprint("w", n), Outcomes{Failed: 90})
 	}
 	out := 0
 	for _, each := range p.Occupancies(testStart, "s") {
@@ -89,7 +89,7 @@
 	p := testPool(8)
 	for n := range 20 {
 		for i := range 8 {
-			p.TakeOutcomes(testStart.Add(time.Duration(n)*100*time.Millisecond), fmt.Sprint("w", i), Outcomes{Whole: 1, Broken: 2})
+			p.RecordOutcomes(testStart.Add(time.Duration(n)*100*time.Millisecond), fmt.Sprint("w", i), Outcomes{Succeeded: 1, Failed: 2})
 		}
 	}
 	for _, each := range p.Occupancies(testStart.Add(2*time.Second), "s") {
@@ -101,9 +101,9 @@
 
 func TestProbingWorkerGetsOneRequest(t *testing.T) {
 	p := testPool(4)
-	p.TakeOutcomes(testStart, "w1", Outcomes{Whole: 5})
-	p.TakeOutcomes(testStart, "w2", Outcomes{Whole: 5})
-	p.TakeOutcomes(testStart, "w0", Outcomes{Broken: 3})
+	p.RecordOutcomes(testStart, "w1", Outcomes{Succeeded: 5})
+	p.RecordOutcomes(testStart, "w2", Outcomes{Succeeded: 5})
+	p.RecordOutcomes(testStart, "w0", Outcomes{Failed: 3})
 	now := testStart.Add(minEjectionTime)
 	n := 0
 	for range 40 {
@@ -124,7 +124,7 @@
 	if slots := p.Occupancies(now, "s")[0].Slots; slots != 3 {
 		t.Errorf("%d slots offered while probing with 3 requests in flight", slots)
 	}
-	if judgement, changed := p.TakeOutcomes(now, "w0", Outcomes{Whole: 1}); !changed || judgement.Out {
+	if judgement, changed := p.RecordOutcomes(now, "w0", Outcomes{Succeeded: 1}); !changed || judgement.Ejected {
 		t.Errorf("%+v, changed %t after a successful probe", judgement, changed)
 	}
 	if slots := p.Occupancies(now, "s")[0].Slots; slots != 10 {
@@ -134,9 +134,9 @@
 
 func TestEjectedWorkerIsChosenAsLastResort(t *testing.T) {
 	p := testPool(4)
-	p.TakeOutcomes(testStart, "w1", Outcomes{Whole: 5})
-	p.TakeOutcomes(testStart, "w2", Outcomes{Whole: 5})
-	p.TakeOutcomes(testStart, "w0", Outcomes{Broken: 3})
+	p.RecordOutcomes(testStart, "w1", Outcomes{Succeeded: 5})
+	p.RecordOutcomes(testStart, "w2", Outcomes{Succeeded: 5})
+	p.RecordOutcomes(testStart, "w0", Outcomes{Failed: 3})
 	if got := choose(t, p, testStart, Query{Excluded: []string{"w1", "w2", "w3"}}); got != "w0" {
 		t.Errorf("chose %q", got)
 	}
@@ -150,8 +150,8 @@
 		now := testStart
 		for range rapid.IntRange(1, 100).Draw(t, "words") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "later")) * time.Millisecond)
-			p.TakeOutcomes(now, fmt.Sprint("w", rapid.IntRange(0, n).Draw(t, "worker")), Outcomes{
-				Whole: rapid.IntRange(0, 3).Draw(t, "whole"), Broken: rapid.IntRange(0, 9).Draw(t, "broken"),
+			p.RecordOutcomes(now, fmt.Sprint("w", rapid.IntRange(0, n).Draw(t, "worker")), Outcomes{
+				Succeeded: rapid.IntRange(0, 3).Draw(t, "whole"), Failed: rapid.IntRange(0, 9).Draw(t, "broken"),
 			})
 			out := 0
 			for _, each := range p.Occupancies(now, "s") {
--- a/worker/pace.go
+++ b/worker/pace.go
@@ -34,17 +34,17 @@
 
 // Sources of a pace.
 const (
-	PaceUnknown  PaceSource = ""          // no information
-	PaceTold     PaceSource = "worker"    // reported by the worker to this process
-	PaceReported PaceSource = "frontend"  // reported by the worker to another process
-	PaceGathered PaceSource = "leader"    // average collected by another process
-	PaceUsual    PaceSource = "its_peers" // mean of the service; the worker itself is unknown
+	PaceUnknown      PaceSource = ""          // no information
+	PaceFromWorker   PaceSource = "worker"    // reported by the worker to this process
+	PaceFromFrontend PaceSource = "frontend"  // reported by the worker to another process
+	PaceFromLeader   PaceSource = "leader"    // average collected by another process
+	PaceFromPeers    PaceSource = "its_peers" // mean of the service; the worker itself is unknown
 )
 
 // Pace is the estimated service time of a worker as a multiple of the usual one.
 type Pace struct {
 	Value  float64       // expected for a request that starts now
-	Slow   float64       // stable component, which depends on the machine
+	Stable float64       // stable component, which depends on the machine
 	Age    time.Duration // age of the latest report; negative if there is none
 	Source PaceSource    // source of the latest report
 }
@@ -87,11 +87,11 @@
 // set replaces the average by one collected by another process from more reports.
 func (e *paceEstimate) set(now time.Time, stable float64) {
 	e.stable, e.samples = min(max(stable, minPace), maxPace), maxPaceSamples
-	e.updatedAt, e.source = now, PaceGathered
+	e.updatedAt, e.source = now, PaceFromLeader
 }
 
 func (e *paceEstimate) at(now time.Time) Pace {
-	pace := Pace{Value: e.stable, Slow: e.stable, Age: now.Sub(e.updatedAt), Source: e.source}
+	pace := Pace{Value: e.stable, Stable: e.stable, Age: now.Sub(e.updatedAt), Source: e.source}
 	if e.last > 0 {
 		age := max(now.Sub(e.lastAt), 0)
 		pace.Value += (e.last - e.stable) * math.Exp(-float64(age)/float64(transientDecay))
@@ -100,16 +100,16 @@
 	return pace
 }
 
-// TellPace records a pace that the worker reported to another process at the given time.
-func (p *Pool) TellPace(at time.Time, id string, pace float64) {
+// RecordPace records a pace that the worker reported to another process at the given time.
+func (p *Pool) RecordPace(at time.Time, id string, pace float64) {
 	if e, ok := p.entries[id]; ok && pace > 0 {
 		p.trackPace(e)
-		e.pace.observe(at, pace, PaceReported)
+		e.pace.observe(at, pace, PaceFromFrontend)
 	}
 }
 
-// LearnPace sets the stable component of a worker's pace, as collected by another process.
-func (p *Pool) LearnPace(now time.Time, id string, stable float64) {
+// SetStablePace sets the stable component of a worker's pace, as collected by another process.
+func (p *Pool) SetStablePace(now time.Time, id string, stable float64) {
 	if e, ok := p.entries[id]; ok && stable > 0 {
 		p.trackPace(e)
 		e.pace.set(now, stable)
@@ -124,8 +124,8 @@
 	}
 }
 
-// Paced reports whether the pace of any worker of a service is known.
-func (p *Pool) Paced(now time.Time, service string) bool {
+// PaceKnown reports whether the pace of any worker of a service is known.
+func (p *Pool) PaceKnown(now time.Time, service string) bool {
 	return slices.ContainsFunc(p.index(service).withPace, func(e *entry) bool { return e.pace.known(now) })
 }
 
@@ -159,7 +159,7 @@
 	if e.pace.known(now) {
 		return e.pace.at(now)
 	}
-	return Pace{Value: mean, Slow: mean, Age: -time.Millisecond, Source: PaceUsual}
+	return Pace{Value: mean, Stable: mean, Age: -time.Millisecond, Source: PaceFromPeers}
 }
 
 // markSeen records the workers of a service that Choose considers for the first time.
--- a/worker/pace_test.go
+++ b/worker/pace_test.go
@@ -44,10 +44,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			p := testPool(1)
 			for _, w := range test.words {
-				p.TellPace(testStart.Add(w.at), "w0", w.pace)
+				p.RecordPace(testStart.Add(w.at), "w0", w.pace)
 			}
 			got, known := p.PaceOf(testStart.Add(test.at), "w0")
-			if known != (test.value > 0) || math.Abs(got.Value-test.value) > 0.03 || math.Abs(got.Slow-test.slow) > 0.03 {
+			if known != (test.value > 0) || math.Abs(got.Value-test.value) > 0.03 || math.Abs(got.Stable-test.slow) > 0.03 {
 				t.Errorf("%+v, known %t", got, known)
 			}
 		})
@@ -65,11 +65,11 @@
 			pace := rapid.Float64Range(0.3, 7).Draw(t, "pace")
 			least, most = min(least, pace), max(most, pace)
 			if rapid.Bool().Draw(t, "learned") {
-				p.LearnPace(now, "w0", pace)
+				p.SetStablePace(now, "w0", pace)
 			} else {
-				p.TellPace(now, "w0", pace)
+				p.RecordPace(now, "w0", pace)
 			}
-			if got, known := p.PaceOf(now, "w0"); known && (got.Slow < least-1e-9 || got.Slow > most+1e-9 || got.Value < least-1e-9 || got.Value > most+1e-9) {
+			if got, known := p.PaceOf(now, "w0"); known && (got.Stable < least-1e-9 || got.Stable > most+1e-9 || got.Value < least-1e-9 || got.Value > most+1e-9) {
 				t.Fatalf("%+v for reports from %v to %v", got, least, most)
 			}
 		}
@@ -81,7 +81,7 @@
 	p := testPool(3)
 	for i, pace := range []float64{0.7, 1, 1.7} {
 		for range maxPaceSamples {
-			p.TellPace(testStart, fmt.Sprint("w", i), pace)
+			p.RecordPace(testStart, fmt.Sprint("w", i), pace)
 		}
 	}
 	return p
@@ -118,7 +118,7 @@
 
 func TestTransientSlowdownIsAvoided(t *testing.T) {
 	p := pacedPool()
-	p.Report(testStart, "w0", Load{Slots: 10, Pace: 4})
+	p.RecordLoad(testStart, "w0", Load{Slots: 10, Pace: 4})
 	if got := choose(t, p, testStart, Query{}); got != "w1" {
 		t.Errorf("chose %s during a transient of w0", got)
 	}
@@ -136,13 +136,13 @@
 	if got := ask(); got != PaceUnknown {
 		t.Errorf("source without a report: %q", got)
 	}
-	p.LearnPace(testStart, "w0", 0.7)
-	if got := ask(); got != PaceGathered {
+	p.SetStablePace(testStart, "w0", 0.7)
+	if got := ask(); got != PaceFromLeader {
 		t.Errorf("source after LearnPace: %q", got)
 	}
 	p.Put(Worker{ID: "w1", Service: "s", Zone: "a", Slots: 10})
 	choice, _ := p.Choose(testStart, Query{Service: "s", Excluded: []string{"w0"}}, newRand())
-	if choice.Pace.Source != PaceUsual || choice.Pace.Value != 0.7 || choice.Pace.Age >= 0 {
+	if choice.Pace.Source != PaceFromPeers || choice.Pace.Value != 0.7 || choice.Pace.Age >= 0 {
 		t.Errorf("pace of an unknown worker: %+v", choice.Pace)
 	}
 }
@@ -152,14 +152,14 @@
 	source := newRand()
 	newWorkerRequests := func(within time.Duration) (n int) {
 		for range 60 {
-			p := NewPool(BlindSettings("a"))
+			p := NewPool(TwoChoiceSettings("a"))
 			for i := range 20 {
 				p.Put(Worker{ID: fmt.Sprint("w", i), Service: "s", Zone: "a", Slots: 8})
-				p.LearnPace(testStart, fmt.Sprint("w", i), 1)
+				p.SetStablePace(testStart, fmt.Sprint("w", i), 1)
 			}
 			p.Choose(testStart, Query{Service: "s"}, source)
 			for i := range 20 {
-				p.Report(testStart, fmt.Sprint("w", i), Load{Running: 6, Slots: 8, Pace: 1})
+				p.RecordLoad(testStart, fmt.Sprint("w", i), Load{Running: 6, Slots: 8, Pace: 1})
 			}
 			p.Put(Worker{ID: "new", Service: "s", Zone: "a", Slots: 8})
 			p.Choose(testStart, Query{Service: "s"}, source)
@@ -180,10 +180,10 @@
 }
 
 func TestSlowStartKeepsOnlyCandidate(t *testing.T) {
-	p := NewPool(BlindSettings("a"))
+	p := NewPool(TwoChoiceSettings("a"))
 	p.Put(Worker{ID: "w0", Service: "s", Zone: "a", Slots: 8})
 	p.Choose(testStart, Query{Service: "s"}, newRand())
-	p.LearnPace(testStart, "w0", 1)
+	p.SetStablePace(testStart, "w0", 1)
 	p.Put(Worker{ID: "w1", Service: "s", Zone: "a", Slots: 8})
 	choice, ok := p.Choose(testStart, Query{Service: "s", Excluded: []string{"w0"}}, newRand())
 	if !ok || choice.Worker.ID != "w1" {
@@ -197,10 +197,10 @@
 	source := rand.New(rand.NewPCG(3, 4))
 	agreed := map[string]int{}
 	for range 40 {
-		p := NewPool(BlindSettings("a"))
+		p := NewPool(TwoChoiceSettings("a"))
 		for i := range 20 {
 			p.Put(Worker{ID: fmt.Sprint("w", i), Service: "s", Zone: "a", Slots: 8})
-			p.LearnPace(testStart, fmt.Sprint("w", i), 1)
+			p.SetStablePace(testStart, fmt.Sprint("w", i), 1)
 		}
 		choice, _ := p.Choose(testStart, Query{Service: "s", Parts: []Part{{ID: "large", Tokens: 10_000}, {ID: "own", Tokens: 100}}}, source)
 		agreed[choice.Worker.ID]++
@@ -212,13 +212,13 @@
 
 func BenchmarkChoose(b *testing.B) {
 	for _, paced := range []bool{false, true} {
-		for name, settings := range map[string]Settings{"all": DefaultSettings("a"), "two": BlindSettings("a")} {
+		for name, settings := range map[string]Settings{"all": DefaultSettings("a"), "two": TwoChoiceSettings("a")} {
 			p := NewPool(settings)
 			for i := range 417 {
 				id := fmt.Sprint("w", i)
 				p.Put(Worker{ID: id, Service: "s", Zone: "a", Slots: 8})
 				if paced {
-					p.TellPace(testStart, id, 1)
+					p.RecordPace(testStart, id, 1)
 				}
 			}
 			query := Query{Service: "s", Parts: []Part{{ID: "shared", Tokens: 600}, {ID: "own", Tokens: 200}}}
--- a/worker/replay_test.go
+++ b/worker/replay_test.go
@@ -68,7 +68,7 @@
 			}
 			held[r.worker]--
 			r.pool.End(r.worker)
-			r.pool.Report(now, r.worker, Load{Running: held[r.worker], Slots: 8})
+			r.pool.RecordLoad(now, r.worker, Load{Running: held[r.worker], Slots: 8})
 			return true
 		})
 		if at == replayDrainAt+replayNotice {
@@ -83,7 +83,7 @@
 			}
 			id := choice.Worker.ID
 			p.Begin(id, 0)
-			p.Sent(id, nil)
+			p.RecordSent(id, nil)
 			if held[id]++; held[id] > 8 {
 				result.queued++
 			}
@@ -102,7 +102,7 @@
 	for _, p := range pools {
 		for _, w := range list {
 			if leaves[w.ID] {
-				w.Leaving = true
+				w.Draining = true
 				p.Put(w)
 			}
 		}
--- a/worker/unpaced_test.go
+++ b/worker/unpaced_test.go
@@ -24,32 +24,32 @@
 		now = now.Add(time.Duration(random.IntN(40)) * time.Millisecond)
 		switch random.IntN(8) {
 		case 0:
-			p.Report(now, id(), Load{Running: random.IntN(10), Waiting: random.IntN(4), Slots: 8})
+			p.RecordLoad(now, id(), Load{Running: random.IntN(10), Waiting: random.IntN(4), Slots: 8})
 		case 1:
-			p.Refused(now, id())
+			p.RecordRefused(now, id())
 		case 2:
-			p.Full(now, id())
+			p.RecordFull(now, id())
 		case 3:
-			p.SetOthers(now, id(), random.IntN(9))
+			p.SetOtherLoad(now, id(), random.IntN(9))
 		case 4:
 			p.Remove(id())
 		case 5:
-			p.Put(Worker{ID: id(), Service: "s", Zone: string(rune('a' + random.IntN(3))), Slots: 8, Leaving: random.IntN(20) == 0})
+			p.Put(Worker{ID: id(), Service: "s", Zone: string(rune('a' + random.IntN(3))), Slots: 8, Draining: random.IntN(20) == 0})
 		case 6:
 			p.End(id())
 		}
 		query := Query{Service: "s", Parts: []Part{{ID: fmt.Sprint("p", random.IntN(5)), Tokens: 100 + 400*random.IntN(9)}, {ID: fmt.Sprint(n), Tokens: 200}}}
 		if random.IntN(3) == 0 {
-			query.Limit = 1
+			query.MaxUtilization = 1
 		}
 		if choice, ok := p.Choose(now, query, random); ok {
-			p.Begin(choice.Worker.ID, choice.Unread)
-			p.Sent(choice.Worker.ID, query.Parts)
+			p.Begin(choice.Worker.ID, choice.UncachedTokens)
+			p.RecordSent(choice.Worker.ID, query.Parts)
 			if random.IntN(2) == 0 {
-				p.Started(choice.Worker.ID, choice.Unread)
+				p.RecordPromptRead(choice.Worker.ID, choice.UncachedTokens)
 				p.End(choice.Worker.ID)
 			}
-			fmt.Fprintln(digest, n, choice.Worker.ID, choice.Unread, choice.Load)
+			fmt.Fprintln(digest, n, choice.Worker.ID, choice.UncachedTokens, choice.Load)
 		}
 	}
 	return digest.Sum64()
@@ -57,14 +57,14 @@
 
 func TestChoicesWithoutPaceAreUnchanged(t *testing.T) {
 	sampled := testPool(15)
-	sampled.settings = BlindSettings("a")
+	sampled.settings = TwoChoiceSettings("a")
 	for _, p := range []*Pool{testPool(15), sampled} {
 		if got := runScript(p); got != unpacedDigest {
 			t.Errorf("digest %d", got)
 		}
 	}
 	paced := testPool(15)
-	paced.Report(testStart, "w3", Load{Running: 1, Slots: 8, Pace: 1.5})
+	paced.RecordLoad(testStart, "w3", Load{Running: 1, Slots: 8, Pace: 1.5})
 	if runScript(paced) == unpacedDigest {
 		t.Error("digest does not change with a reported pace")
 	}
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -26,29 +26,29 @@
 
 // Worker is one incarnation of a back end, as listed by its platform.
 type Worker struct {
-	ID      string
-	Born    time.Time // start time by the worker's own clock; zero if unknown
-	Service string
-	Address string // host:port
-	Zone    string
-	Slots   int           // number of requests served concurrently; 0 if unknown
-	Leaving bool          // draining: accepts no new requests
-	ColdFor time.Duration // warm-up time after a start, during which it is slow
+	ID         string
+	StartedAt  time.Time // start time by the worker's own clock; zero if unknown
+	Service    string
+	Address    string // host:port
+	Zone       string
+	Slots      int           // number of requests served concurrently; 0 if unknown
+	Draining   bool          // draining: accepts no new requests
+	WarmupTime time.Duration // warm-up time after a start, during which it is slow
 }
 
 // Settings configures a Pool.
 type Settings struct {
 	Zone string // zone of this process
-	// DownFor is how long a worker is excluded after it refused a connection.
-	DownFor time.Duration
-	// LoadLife is how long the other processes' part of a reported load stays valid.
-	LoadLife time.Duration
-	// CacheShare is the fraction of an engine's memory assumed to cache prompt parts.
-	CacheShare float64
-	// Draw is the number of workers sampled per choice where workers report their pace.
+	// RefusedBackoff is how long a worker is excluded after it refused a connection.
+	RefusedBackoff time.Duration
+	// LoadTTL is how long the other processes' part of a reported load stays valid.
+	LoadTTL time.Duration
+	// CacheFraction is the fraction of an engine's memory assumed to cache prompt parts.
+	CacheFraction float64
+	// SampleSize is the number of workers sampled per choice where workers report their pace.
 	// Sampling keeps many processes, each with few observations per worker, from choosing
 	// the same one. 0 compares all.
-	Draw int
+	SampleSize int
 	// GroupOf returns the group of a worker, which Query.Groups filters by. If nil, all
 	// workers are in group 0.
 	GroupOf func(id string) int
@@ -56,15 +56,15 @@
 
 // DefaultSettings returns settings for requests that take around a second.
 func DefaultSettings(zone string) Settings {
-	return Settings{Zone: zone, DownFor: time.Second, LoadLife: 3 * time.Second, CacheShare: 0.5}
+	return Settings{Zone: zone, RefusedBackoff: time.Second, LoadTTL: 3 * time.Second, CacheFraction: 0.5}
 }
 
-// BlindSettings returns DefaultSettings with two-choice sampling, for one of many processes
+// TwoChoiceSettings returns DefaultSettings with two-choice sampling, for one of many processes
 // that choose concurrently and observe each worker rarely. The better of two random workers
 // is nearly as good as the best of all and avoids herding.
-func BlindSettings(zone string) Settings {
+func TwoChoiceSettings(zone string) Settings {
 	settings := DefaultSettings(zone)
-	settings.Draw = 2
+	settings.SampleSize = 2
 	return settings
 }
 
@@ -122,9 +122,9 @@
 	if ok && w.Incarnation().Before(listed.Incarnation()) {
 		return
 	}
-	if ok && listed.Service == w.Service && !w.Incarnation().Succeeds(listed.Incarnation()) {
-		if w.Born.IsZero() {
-			w.Born = listed.Born
+	if ok && listed.Service == w.Service && !w.Incarnation().Supersedes(listed.Incarnation()) {
+		if w.StartedAt.IsZero() {
+			w.StartedAt = listed.StartedAt
 		}
 		if listed.Zone != w.Zone {
 			p.index(w.Service).move(listed, w.Zone)
@@ -179,8 +179,8 @@
 	p.index(known.Service).remove(known)
 }
 
-// Current returns the incarnation of a worker, and whether the worker is listed.
-func (p *Pool) Current(id string) (Incarnation, bool) {
+// CurrentIncarnation returns the incarnation of a worker, and whether the worker is listed.
+func (p *Pool) CurrentIncarnation(id string) (Incarnation, bool) {
 	e, ok := p.entries[id]
 	if !ok {
 		return Incarnation{}, false
@@ -195,7 +195,7 @@
 	return ok && p.accepts(e)
 }
 
-func (p *Pool) accepts(e *entry) bool { return !e.Leaving && !p.evacuated[e.Zone] }
+func (p *Pool) accepts(e *entry) bool { return !e.Draining && !p.evacuated[e.Zone] }
 
 // SetEvacuated sets whether the workers of a zone are excluded from new requests.
 func (p *Pool) SetEvacuated(zone string, evacuated bool) {
@@ -229,8 +229,8 @@
 	}
 }
 
-// Started records that the worker has read the prompt of a request.
-func (p *Pool) Started(id string, tokens int) {
+// RecordPromptRead records that the worker has read the prompt of a request.
+func (p *Pool) RecordPromptRead(id string, tokens int) {
 	if e, ok := p.entries[id]; ok {
 		e.pendingTokens = max(e.pendingTokens-tokens, 0)
 	}
@@ -243,16 +243,16 @@
 	}
 }
 
-// Used records that this process holds an open connection to a worker as of now.
-func (p *Pool) Used(now time.Time, id string) {
+// RecordUsed records that this process holds an open connection to a worker as of now.
+func (p *Pool) RecordUsed(now time.Time, id string) {
 	if e, ok := p.entries[id]; ok {
 		e.lastUsed = now
 	}
 }
 
-// Report applies a load reported by a worker. Requests beyond those of this process are
+// RecordLoad applies a load reported by a worker. Requests beyond those of this process are
 // attributed to other processes. A report also ends a backoff after failures.
-func (p *Pool) Report(now time.Time, id string, load Load) {
+func (p *Pool) RecordLoad(now time.Time, id string, load Load) {
 	e, ok := p.entries[id]
 	if !ok {
 		return
@@ -266,34 +266,34 @@
 	e.reportedAt = now
 	if load.Pace > 0 {
 		p.trackPace(e)
-		e.pace.observe(now, load.Pace, PaceTold)
+		e.pace.observe(now, load.Pace, PaceFromWorker)
 	}
 	e.failures, e.consecutiveBroken = 0, 0
 	e.downUntil = time.Time{}
 }
 
-// SetOthers sets the number of requests that other processes report to have at a worker.
+// SetOtherLoad sets the number of requests that other processes report to have at a worker.
 // Unless the exact number is known, the value decays like that of a load report.
-func (p *Pool) SetOthers(now time.Time, id string, held int) {
+func (p *Pool) SetOtherLoad(now time.Time, id string, held int) {
 	if e, ok := p.entries[id]; ok {
 		e.otherInFlight = float64(held)
 		e.reportedAt = now
 	}
 }
 
-// SetHeld sets the exact number of requests that all other processes have at a worker, as
+// SetExactOtherLoad sets the exact number of requests that all other processes have at a worker, as
 // reported by them. It stays valid until the next call and takes precedence over the
 // worker's own, older load reports.
-func (p *Pool) SetHeld(now time.Time, id string, held int) {
+func (p *Pool) SetExactOtherLoad(now time.Time, id string, held int) {
 	if e, ok := p.entries[id]; ok {
 		e.otherInFlight, e.otherExact = float64(held), true
 		e.reportedAt = now
 	}
 }
 
-// ForgetHeld makes exact numbers of other processes' requests estimates again, for all
+// ClearExactOtherLoads makes exact numbers of other processes' requests estimates again, for all
 // workers.
-func (p *Pool) ForgetHeld() {
+func (p *Pool) ClearExactOtherLoads() {
 	for _, e := range p.entries {
 		e.otherExact = false
 	}
@@ -302,9 +302,9 @@
 // Occupancy is the estimated occupancy of a worker.
 type Occupancy struct {
 	Worker
-	Taken  int  // requests of this process
-	Others int  // requests of other processes
-	Usable bool // accepts requests, as far as is known
+	InFlight      int  // requests of this process
+	OtherInFlight int  // requests of other processes
+	Usable        bool // accepts requests, as far as is known
 }
 
 // Occupancies returns the occupancy of a service's workers sorted by ID, limited to the
@@ -335,20 +335,20 @@
 }
 
 func (p *Pool) occupancy(now time.Time, e *entry) Occupancy {
-	occupancy := Occupancy{Worker: e.Worker, Taken: e.inFlight, Others: int(p.estimateLoad(now, e)+0.5) - e.inFlight}
+	occupancy := Occupancy{Worker: e.Worker, InFlight: e.inFlight, OtherInFlight: int(p.estimateLoad(now, e)+0.5) - e.inFlight}
 	occupancy.Slots = e.slots
 	if e.outlier.probing(now) { // requests that still run there need not be preempted
-		occupancy.Slots = min(max(occupancy.Taken+occupancy.Others, 1), e.slots)
+		occupancy.Slots = min(max(occupancy.InFlight+occupancy.OtherInFlight, 1), e.slots)
 	}
 	occupancy.Usable = p.accepts(e) && !now.Before(e.downUntil) && !now.Before(e.fullUntil) && !e.outlier.ejected(now)
 	return occupancy
 }
 
-// Refused records a failed or hanging connection attempt.
-func (p *Pool) Refused(now time.Time, id string) {
+// RecordRefused records a failed or hanging connection attempt.
+func (p *Pool) RecordRefused(now time.Time, id string) {
 	if e, ok := p.entries[id]; ok {
 		e.failures++
-		e.downUntil = now.Add(p.settings.DownFor * time.Duration(min(e.failures, maxBackoffFactor)))
+		e.downUntil = now.Add(p.settings.RefusedBackoff * time.Duration(min(e.failures, maxBackoffFactor)))
 	}
 }
 
@@ -357,22 +357,22 @@
 // that accepts connections.
 const brokenThreshold = 2
 
-// Broke records that a worker accepted a request and its answer was interrupted.
-func (p *Pool) Broke(now time.Time, id string) {
+// RecordInterrupted records that a worker accepted a request and its answer was interrupted.
+func (p *Pool) RecordInterrupted(now time.Time, id string) {
 	e, ok := p.entries[id]
 	if !ok {
 		return
 	}
 	if e.consecutiveBroken++; e.consecutiveBroken >= brokenThreshold {
-		p.Refused(now, id)
+		p.RecordRefused(now, id)
 	}
 }
 
 // maxBackoffFactor limits the growth of the backoff over consecutive failures.
 const maxBackoffFactor = 4
 
-// Full records that a worker rejected a request because it was full.
-func (p *Pool) Full(now time.Time, id string) {
+// RecordFull records that a worker rejected a request because it was full.
+func (p *Pool) RecordFull(now time.Time, id string) {
 	if e, ok := p.entries[id]; ok {
 		e.fullUntil = now.Add(fullBackoff)
 		if !e.otherExact {
@@ -385,8 +385,8 @@
 // fullBackoff is how long a worker is excluded after it rejected a request.
 const fullBackoff = 100 * time.Millisecond
 
-// Held returns the number of requests that this process has at a worker.
-func (p *Pool) Held(id string) int {
+// InFlight returns the number of requests that this process has at a worker.
+func (p *Pool) InFlight(id string) int {
 	if e, ok := p.entries[id]; ok {
 		return e.inFlight
 	}
@@ -399,9 +399,9 @@
 	if e.otherExact {
 		return float64(e.inFlight) + e.otherInFlight
 	}
-	if e.reportedAt.IsZero() || age >= p.settings.LoadLife {
+	if e.reportedAt.IsZero() || age >= p.settings.LoadTTL {
 		return float64(e.inFlight)
 	}
-	fresh := 1 - float64(age)/float64(p.settings.LoadLife)
+	fresh := 1 - float64(age)/float64(p.settings.LoadTTL)
 	return float64(e.inFlight) + e.otherInFlight*(0.5+0.5*fresh)
 }
--- a/worker/worker_test.go
+++ b/worker/worker_test.go
@@ -35,16 +35,16 @@
 
 func TestLeastLoadedWorkerIsChosen(t *testing.T) {
 	p := testPool(3)
-	p.Report(testStart, "w0", Load{Running: 9, Slots: 10})
-	p.Report(testStart, "w1", Load{Running: 2, Slots: 10})
-	p.Report(testStart, "w2", Load{Running: 10, Waiting: 4, Slots: 10})
+	p.RecordLoad(testStart, "w0", Load{Running: 9, Slots: 10})
+	p.RecordLoad(testStart, "w1", Load{Running: 2, Slots: 10})
+	p.RecordLoad(testStart, "w2", Load{Running: 10, Waiting: 4, Slots: 10})
 	if got := choose(t, p, testStart, Query{}); got != "w1" {
 		t.Errorf("chose %s", got)
 	}
 	for range 6 {
 		p.Begin("w1", 1000)
 	}
-	p.Report(testStart, "w0", Load{Running: 0, Slots: 10})
+	p.RecordLoad(testStart, "w0", Load{Running: 0, Slots: 10})
 	if got := choose(t, p, testStart, Query{}); got != "w0" {
 		t.Errorf("chose %s while w1 reads 6000 tokens", got)
 	}
@@ -52,8 +52,8 @@
 
 func TestIneligibleWorkersAreExcluded(t *testing.T) {
 	p := testPool(3)
-	p.Put(Worker{ID: "w0", Service: "s", Slots: 10, Leaving: true})
-	p.Refused(testStart, "w1")
+	p.Put(Worker{ID: "w0", Service: "s", Slots: 10, Draining: true})
+	p.RecordRefused(testStart, "w1")
 	if got := choose(t, p, testStart, Query{}); got != "w2" {
 		t.Errorf("chose %s", got)
 	}
@@ -78,28 +78,28 @@
 	if got := choose(t, other, testStart, Query{Parts: []Part{parts[0], {ID: "else", Tokens: 200}}}); got != first {
 		t.Errorf("processes chose different workers for a large part: %s and %s", first, got)
 	}
-	p.Sent(first, parts)
+	p.RecordSent(first, parts)
 	p.Begin(first, 0)
 	if got := choose(t, p, testStart, Query{Parts: []Part{parts[0], {ID: "new", Tokens: 300}}}); got != first {
 		t.Errorf("cached prompt sent to %s, want %s", got, first)
 	}
 	for i := range 9 { // 90,000 tokens, more than the cache holds
-		p.Sent(first, []Part{{ID: fmt.Sprint("filler", i), Tokens: 10_000}})
+		p.RecordSent(first, []Part{{ID: fmt.Sprint("filler", i), Tokens: 10_000}})
 	}
 	choice, _ := p.Choose(testStart, Query{Service: "s", Parts: parts}, newRand())
-	if choice.Unread < 10_000 {
-		t.Errorf("%d tokens unread after eviction of the parts", choice.Unread)
+	if choice.UncachedTokens < 10_000 {
+		t.Errorf("%d tokens unread after eviction of the parts", choice.UncachedTokens)
 	}
 }
 
 // Guards against batch requests taking slots that other processes use.
 func TestLimitCountsRequestsOfOthers(t *testing.T) {
 	p := testPool(2)
-	p.Report(testStart, "w0", Load{Running: 7})
-	p.Report(testStart, "w1", Load{Running: 4, Waiting: 1})
+	p.RecordLoad(testStart, "w0", Load{Running: 7})
+	p.RecordLoad(testStart, "w1", Load{Running: 4, Waiting: 1})
 	taken := 0
 	for ; taken < 20; taken++ {
-		id := choose(t, p, testStart, Query{Limit: 0.8})
+		id := choose(t, p, testStart, Query{MaxUtilization: 0.8})
 		if id == "" {
 			break
 		}
@@ -108,7 +108,7 @@
 	if taken != 4 {
 		t.Errorf("placed %d requests in 16 slots of which others use 12", taken)
 	}
-	if got := choose(t, p, testStart, Query{Limit: 0.9}); got == "" {
+	if got := choose(t, p, testStart, Query{MaxUtilization: 0.9}); got == "" {
 		t.Error("request with a higher limit was not placed")
 	}
 }
@@ -128,15 +128,15 @@
 				p.End(id)
 				held[id] = max(held[id]-1, 0)
 			case 2:
-				p.Report(testStart, id, Load{Running: rapid.IntRange(0, 12).Draw(t, "running")})
+				p.RecordLoad(testStart, id, Load{Running: rapid.IntRange(0, 12).Draw(t, "running")})
 			case 3:
-				p.Full(testStart, id)
+				p.RecordFull(testStart, id)
 			}
 		}
 		held["w2"] = 0 // not listed
 		for id, want := range held {
-			if p.Held(id) != want {
-				t.Fatalf("%s holds %d requests, want %d", id, p.Held(id), want)
+			if p.InFlight(id) != want {
+				t.Fatalf("%s holds %d requests, want %d", id, p.InFlight(id), want)
 			}
 		}
 	})
@@ -148,14 +148,14 @@
 		notes  func(p *Pool)
 		usable bool
 	}{
-		{"one interrupted answer", func(p *Pool) { p.Broke(testStart, "w") }, true},
-		{"two consecutive interrupted answers", func(p *Pool) { p.Broke(testStart, "w"); p.Broke(testStart, "w") }, false},
+		{"one interrupted answer", func(p *Pool) { p.RecordInterrupted(testStart, "w") }, true},
+		{"two consecutive interrupted answers", func(p *Pool) { p.RecordInterrupted(testStart, "w"); p.RecordInterrupted(testStart, "w") }, false},
 		{"a complete answer between two interrupted ones", func(p *Pool) {
-			p.Broke(testStart, "w")
-			p.Report(testStart, "w", Load{Running: 1, Slots: 4})
-			p.Broke(testStart, "w")
+			p.RecordInterrupted(testStart, "w")
+			p.RecordLoad(testStart, "w", Load{Running: 1, Slots: 4})
+			p.RecordInterrupted(testStart, "w")
 		}, true},
-		{"a refused connection", func(p *Pool) { p.Refused(testStart, "w") }, false},
+		{"a refused connection", func(p *Pool) { p.RecordRefused(testStart, "w") }, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
