--- a/admission/admission.go
+++ b/admission/admission.go
@@ -28,9 +28,9 @@
 	// Prefix bounds the index of the workers' prefix caches; the zero value
 	// selects routing.DefaultPrefixSettings.
 	Prefix routing.PrefixSettings
-	// Filling is the policy for batch; the zero value selects
-	// admission.DefaultFilling.
-	Filling Filling
+	// BatchPolicy is the policy for batch; the zero value selects
+	// admission.DefaultBatchPolicy.
+	BatchPolicy BatchPolicy
 }
 
 // DefaultReserve keeps 5% of each worker's slots free for the start of a burst.
@@ -157,8 +157,8 @@
 
 // NewMachine returns a Machine without workers and rows.
 func NewMachine(settings Settings) *Machine {
-	if settings.Filling == (Filling{}) {
-		settings.Filling = DefaultFilling()
+	if settings.BatchPolicy == (BatchPolicy{}) {
+		settings.BatchPolicy = DefaultBatchPolicy()
 	}
 	if settings.Prefix == (routing.PrefixSettings{}) {
 		settings.Prefix = routing.DefaultPrefixSettings()
@@ -185,7 +185,7 @@
 		m.setRows(message.Rows)
 		m.setCeilings(now, message.Rows)
 		m.shareAllowances()
-	case Ceiling:
+	case QuotaMessage:
 		return m.stepCeilings(now, message)
 	case Load:
 		return m.handleLoad(now, message)
@@ -196,12 +196,12 @@
 	case Finished:
 		return m.finished(message.Request)
 	case CacheEvents:
-		if m.Homes(message.Worker) {
+		if m.IsHomeOf(message.Worker) {
 			m.prefix.Apply(now, message.Worker, message.Events)
 		}
 	case Unreachable:
 		return m.quarantine(now, message.Worker)
-	case Broken:
+	case ResponseAborted:
 		return m.recordAbort(now, message.Worker)
 	}
 	return nil
@@ -235,7 +235,7 @@
 		request.Excluded = nil
 		endpoint, ok = m.online.Choose(request, m.candidates(now, request, row))
 	}
-	if m.settings.Filling.Fault == FaultDelayOnline && row.batchUse > 0 {
+	if m.settings.BatchPolicy.Fault == FaultRefuseOnline && row.batchUse > 0 {
 		ok = false
 	}
 	if !ok {
@@ -244,12 +244,12 @@
 	worker := m.workers[api.WorkerID(endpoint.Name)]
 	ahead := worker.pendingBlocks
 	dispatch := m.dispatch(now, request, row, worker)
-	late := m.prefillQuantile.observe(ahead+m.flights[request.ID].uncachedBlocks, m.settings.Filling.SuspendQuantile)
+	late := m.prefillQuantile.observe(ahead+m.flights[request.ID].uncachedBlocks, m.settings.BatchPolicy.SuspendQuantile)
 	return append(m.suspendFor(now, worker, late), dispatch)
 }
 
 func (m *Machine) arriveBatch(now time.Time, request routing.Request, row *rowState) []Action {
-	if row.batchUse >= row.allowance && m.settings.Filling.Fault != FaultIgnoreAllowance {
+	if row.batchUse >= row.allowance && m.settings.BatchPolicy.Fault != FaultIgnoreAllowance {
 		return m.refuse(request, api.CodeNoCapacity, m.settings.RetryAfter, "the part %d of row %s's batch allowance of %d is in use", row.allowance, row.key, row.row.BatchAllowance)
 	}
 	m.prefix.Match(now, request.Prefix)
@@ -263,10 +263,10 @@
 func (m *Machine) dispatch(now time.Time, request routing.Request, row *rowState, worker *workerState) Action {
 	flight := &flight{
 		request: request.ID, worker: worker, row: row, class: request.Class, repeatable: request.Repeatable,
-		priority:   m.settings.Filling.priority(request.Class, row.row.Priority),
+		priority:   m.settings.BatchPolicy.priority(request.Class, row.row.Priority),
 		dispatched: now, awaitingFirstToken: true, uncachedBlocks: m.uncached(request, worker),
 	}
-	m.prefix.Sent(now, worker.worker.ID, request.Prefix)
+	m.prefix.RecordPrompt(now, worker.worker.ID, request.Prefix)
 	m.flights[request.ID] = flight
 	row.inUse++
 	m.takeCeiling(now, row)
@@ -303,7 +303,7 @@
 	delete(m.flights, flight.request)
 	flight.row.inUse--
 	m.releaseCeiling(flight.row)
-	if m.settings.Filling.Fault != FaultLeakSlot || flight.class == api.ClassOnline {
+	if m.settings.BatchPolicy.Fault != FaultLeakSlot || flight.class == api.ClassOnline {
 		flight.worker.remove(flight)
 	}
 	m.removeIfIdle(flight.worker)
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -20,11 +20,11 @@
 
 var testKey = api.RowKey{Service: testService, Place: testPlace}
 
-func newTestMachine(filling Filling) *Machine {
+func newTestMachine(filling BatchPolicy) *Machine {
 	random := rand.New(rand.NewPCG(1, 2))
 	return NewMachine(Settings{
 		Online: routing.OnlineProfile(api.Location{Zone: "a"}, random), Batch: routing.BatchProfile(random),
-		RetryAfter: time.Second, Reserve: DefaultReserve, Filling: filling,
+		RetryAfter: time.Second, Reserve: DefaultReserve, BatchPolicy: filling,
 	})
 }
 
@@ -56,7 +56,7 @@
 	problems      []string
 }
 
-func newObserver(filling Filling) *observer {
+func newObserver(filling BatchPolicy) *observer {
 	o := &observer{
 		machine: newTestMachine(filling), now: time.Unix(1000, 0),
 		flights: map[api.RequestID]Dispatch{}, classes: map[api.RequestID]api.Class{},
@@ -282,7 +282,7 @@
 
 func TestAdmissionInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := newObserver(DefaultFilling())
+		o := newObserver(DefaultBatchPolicy())
 		o.run(120, func(below int) int { return rapid.IntRange(0, below-1).Draw(t, "choice") })
 		if len(o.problems) > 0 {
 			t.Fatal(o.problems)
@@ -293,11 +293,11 @@
 func TestInvariantChecksDetectFaults(t *testing.T) {
 	faults := map[string]Fault{
 		"ignore allowance": FaultIgnoreAllowance, "leak slot": FaultLeakSlot, "invert priority": FaultInvertPriority,
-		"no preemption": FaultNoPreemption, "delay online": FaultDelayOnline,
-		"forget suspended": FaultForgetSuspended, "cancel once": FaultCancelOnce,
+		"no preemption": FaultNoPreemption, "delay online": FaultRefuseOnline,
+		"forget suspended": FaultNeverResume, "cancel once": FaultCancelNonRepeatable,
 	}
 	for name, fault := range faults {
-		filling := DefaultFilling()
+		filling := DefaultBatchPolicy()
 		filling.Fault = fault
 		o := newObserver(filling)
 		o.row.BatchAllowance = 100
@@ -313,7 +313,7 @@
 }
 
 func TestRelistedWorkerKeepsItsRequestCount(t *testing.T) {
-	o := newObserver(DefaultFilling())
+	o := newObserver(DefaultBatchPolicy())
 	o.arrive(api.ClassOnline, true)
 	worker := o.flights["r1"].Worker
 	o.setWorkers(nil)
@@ -339,7 +339,7 @@
 		"full of foreign requests":                {0, 8, 5, 0},
 	}
 	for name, test := range cases {
-		o := newObserver(FillFreeSlots())
+		o := newObserver(GreedyBatchPolicy())
 		o.setRow(api.Row{Service: testService, Place: testPlace, BatchAllowance: 100})
 		o.setWorkers(testWorkers(1))
 		for range test.own {
@@ -390,7 +390,7 @@
 		"more than one per worker": {1.5, 16, false},
 	}
 	for name, test := range cases {
-		filling := DefaultFilling()
+		filling := DefaultBatchPolicy()
 		filling.StartPressure = test.pressure
 		o := newObserver(filling)
 		o.setRow(api.Row{Service: testService, Place: testPlace, BatchAllowance: 100})
@@ -415,7 +415,7 @@
 }
 
 func TestCeilingPreemptsOnlyRepeatableRequests(t *testing.T) {
-	o := newObserver(FillFreeSlots())
+	o := newObserver(GreedyBatchPolicy())
 	o.arrive(api.ClassBatch, true)
 	o.arrive(api.ClassBatch, false)
 	row := o.machine.rows[testKey]
--- a/admission/allowance.go
+++ b/admission/allowance.go
@@ -13,9 +13,9 @@
 // machine list and table compute the same shares, and the shares add up to the
 // allowance.
 type Position struct {
-	Before int // slots of the workers before this one
-	Slots  int
-	Total  int // slots of all workers of the row
+	SlotsBefore int // slots of the workers before this one
+	Slots       int
+	Total       int // slots of all workers of the row
 }
 
 // Positions computes the positions of all workers of the machine list. Leaving
@@ -27,7 +27,7 @@
 	positions := make(map[api.WorkerID]Position, len(staying))
 	for _, worker := range staying {
 		key := api.RowKey{Service: worker.Service, Place: worker.Place}
-		positions[worker.ID] = Position{Before: totals[key], Slots: worker.Slots}
+		positions[worker.ID] = Position{SlotsBefore: totals[key], Slots: worker.Slots}
 		totals[key] += worker.Slots
 	}
 	for _, worker := range staying {
@@ -43,7 +43,7 @@
 	if p.Total == 0 {
 		return 0
 	}
-	return (p.Before+p.Slots)*allowance/p.Total - p.Before*allowance/p.Total
+	return (p.SlotsBefore+p.Slots)*allowance/p.Total - p.SlotsBefore*allowance/p.Total
 }
 
 // shareAllowances sets each row's allowance to the sum of the shares of its
--- a/admission/benchmark_test.go
+++ b/admission/benchmark_test.go
@@ -13,7 +13,7 @@
 func BenchmarkArrive(b *testing.B) {
 	for _, count := range []int{15, 100} {
 		b.Run(fmt.Sprintf("workers=%d", count), func(b *testing.B) {
-			o := newObserver(DefaultFilling())
+			o := newObserver(DefaultBatchPolicy())
 			o.row.BatchAllowance = api.MaximumSlots
 			o.setRow(o.row)
 			o.setWorkers(testWorkers(count))
--- a/admission/ceiling.go
+++ b/admission/ceiling.go
@@ -9,10 +9,10 @@
 	"github.com/dykewing/dykewing/routing"
 )
 
-// Ceiling forwards a message to the quota.Holder: a tick or an owner's answer.
-type Ceiling struct{ Message quota.HolderMessage }
+// QuotaMessage forwards a message to the quota.Holder: a tick or an owner's answer.
+type QuotaMessage struct{ Message quota.HolderMessage }
 
-func (Ceiling) admissionMessage() {}
+func (QuotaMessage) admissionMessage() {}
 
 // ReportShares sends a report of the quota.Holder to the owner of its group.
 type ReportShares struct{ quota.SendReport }
@@ -32,7 +32,7 @@
 	m.settings.Ceilings.Step(now, quota.Ceilings{Rows: ceilings})
 }
 
-func (m *Machine) stepCeilings(now time.Time, message Ceiling) []Action {
+func (m *Machine) stepCeilings(now time.Time, message QuotaMessage) []Action {
 	if m.settings.Ceilings == nil {
 		return nil
 	}
--- a/admission/health.go
+++ b/admission/health.go
@@ -14,15 +14,15 @@
 // new request for the quarantine time.
 type Unreachable struct{ Worker api.WorkerID }
 
-// Broken reports that a worker accepted a request and closed the connection
+// ResponseAborted reports that a worker accepted a request and closed the connection
 // before its response began. A worker that fails fast looks idle and would
 // attract all requests. After abortsBeforeQuarantine consecutive failures it gets
 // none for the quarantine time. From then on a single failure suffices until a
 // response begins.
-type Broken struct{ Worker api.WorkerID }
+type ResponseAborted struct{ Worker api.WorkerID }
 
-func (Unreachable) admissionMessage() {}
-func (Broken) admissionMessage()      {}
+func (Unreachable) admissionMessage()     {}
+func (ResponseAborted) admissionMessage() {}
 
 // recordAbort counts a response aborted before its first token.
 func (m *Machine) recordAbort(now time.Time, worker api.WorkerID) []Action {
@@ -42,6 +42,6 @@
 	if !ok {
 		return nil
 	}
-	state.quarantinedUntil = now.Add(m.settings.Filling.Quarantine)
+	state.quarantinedUntil = now.Add(m.settings.BatchPolicy.Quarantine)
 	return m.evict(state, state.suspended)
 }
--- a/admission/health_test.go
+++ b/admission/health_test.go
@@ -24,7 +24,7 @@
 
 // Guards against a worker that fails fast, looks idle and attracts all requests.
 func TestAbortingWorkerIsQuarantined(t *testing.T) {
-	m := newTestMachine(DefaultFilling())
+	m := newTestMachine(DefaultBatchPolicy())
 	now := time.Unix(0, 0)
 	m.Step(now, Workers{Workers: testWorkers(2)})
 	m.Step(now, Rows{Rows: map[api.RowKey]api.Row{testKey: {Service: testService, Place: testPlace, Weight: 1}}})
@@ -36,7 +36,7 @@
 			continue // requests at the healthy worker stay in flight
 		}
 		dispatched++
-		m.Step(now, Broken{Worker: bad})
+		m.Step(now, ResponseAborted{Worker: bad})
 		m.Step(now, Finished{Request: api.RequestID(id)})
 	}
 	if dispatched != abortsBeforeQuarantine {
--- a/admission/preempt.go
+++ b/admission/preempt.go
@@ -32,7 +32,7 @@
 // are not repeatable stay, since cancelling them would leave their outcome
 // unknown; the engine runs them at a lower priority than online requests.
 func (m *Machine) suspendFor(now time.Time, worker *workerState, late bool) []Action {
-	if !m.settings.Filling.Preempt || m.settings.Filling.Fault == FaultNoPreemption {
+	if !m.settings.BatchPolicy.Preempt || m.settings.BatchPolicy.Fault == FaultNoPreemption {
 		return nil
 	}
 	count := worker.online + len(worker.batch) - worker.worker.Slots
@@ -42,7 +42,7 @@
 	var actions []Action
 	for i := len(worker.batch) - 1; i >= 0 && count > 0; i-- {
 		flight := worker.batch[i]
-		if !flight.repeatable && m.settings.Filling.Fault != FaultCancelOnce {
+		if !flight.repeatable && m.settings.BatchPolicy.Fault != FaultCancelNonRepeatable {
 			continue
 		}
 		count--
@@ -58,7 +58,7 @@
 // resumeSuspended resumes suspended requests in free slots once no online request
 // at the worker waits for its first token.
 func (m *Machine) resumeSuspended(worker *workerState) []Action {
-	if worker.awaitingFirstToken > 0 || len(worker.suspended) == 0 || m.settings.Filling.Fault == FaultForgetSuspended {
+	if worker.awaitingFirstToken > 0 || len(worker.suspended) == 0 || m.settings.BatchPolicy.Fault == FaultNeverResume {
 		return nil
 	}
 	if worker.worker.Leaving || worker.leaving || !worker.listed {
@@ -80,11 +80,11 @@
 // overdueSuspensions returns the requests suspended for longer than SuspendLimit.
 func (m *Machine) overdueSuspensions(now time.Time, worker *workerState) []*flight {
 	var overdue []*flight
-	if m.settings.Filling.Fault == FaultForgetSuspended {
+	if m.settings.BatchPolicy.Fault == FaultNeverResume {
 		return nil
 	}
 	for _, flight := range worker.suspended {
-		if now.Sub(flight.suspendedAt) >= m.settings.Filling.SuspendLimit {
+		if now.Sub(flight.suspendedAt) >= m.settings.BatchPolicy.SuspendLimit {
 			overdue = append(overdue, flight)
 		}
 	}
--- a/admission/room.go
+++ b/admission/room.go
@@ -7,9 +7,9 @@
 	"github.com/dykewing/dykewing/routing"
 )
 
-// Filling is the policy by which batch uses idle slots. docs/design/admission.md
+// BatchPolicy is the policy by which batch uses idle slots. docs/design/admission.md
 // compares alternatives.
-type Filling struct {
+type BatchPolicy struct {
 	// Preempt suspends batch requests when online requests need their slots.
 	Preempt bool
 	// LowerPriority runs batch at the engine's lowest priority.
@@ -17,9 +17,9 @@
 	// StartInterval is the minimum interval between two batch requests sent to
 	// one worker, so that their prefills do not fill the engine's steps.
 	StartInterval time.Duration
-	// StartQuiet withholds batch requests from a worker while an online request
+	// AvoidPrefill withholds batch requests from a worker while an online request
 	// there waits for its first token.
-	StartQuiet bool
+	AvoidPrefill bool
 	// StartPressure is the number of online requests waiting for their first
 	// token, relative to the row's workers here, above which no batch request is
 	// sent, so that batch does not compete with a burst. 1000 or more disables
@@ -44,21 +44,21 @@
 
 // Faults to inject.
 const (
-	NoFault              Fault = iota
-	FaultIgnoreAllowance       // batch exceeds its row's allowance
-	FaultLeakSlot              // a cancelled batch request keeps its slot
-	FaultInvertPriority        // batch gets the higher priority at the engine
-	FaultNoPreemption          // online requests do not preempt batch
-	FaultDelayOnline           // online is refused while batch is in flight
-	FaultForgetSuspended       // suspended requests are never resumed
-	FaultCancelOnce            // requests that are not repeatable are cancelled
+	NoFault                  Fault = iota
+	FaultIgnoreAllowance           // batch exceeds its row's allowance
+	FaultLeakSlot                  // a cancelled batch request keeps its slot
+	FaultInvertPriority            // batch gets the higher priority at the engine
+	FaultNoPreemption              // online requests do not preempt batch
+	FaultRefuseOnline              // online is refused while batch is in flight
+	FaultNeverResume               // suspended requests are never resumed
+	FaultCancelNonRepeatable       // requests that are not repeatable are cancelled
 )
 
-// DefaultFilling returns the default policy.
-func DefaultFilling() Filling {
-	return Filling{
+// DefaultBatchPolicy returns the default policy.
+func DefaultBatchPolicy() BatchPolicy {
+	return BatchPolicy{
 		Preempt: true, LowerPriority: true,
-		StartInterval: defaultStartInterval, StartQuiet: true,
+		StartInterval: defaultStartInterval, AvoidPrefill: true,
 		StartPressure: DefaultStartPressure, Quarantine: defaultQuarantine,
 		SuspendQuantile: defaultSuspendQuantile, SuspendLimit: defaultSuspendLimit,
 	}
@@ -68,10 +68,10 @@
 // docs/design/admission.md.
 const DefaultStartPressure = 0.2
 
-// FillFreeSlots returns a baseline policy that dispatches batch like online
+// GreedyBatchPolicy returns a baseline policy that dispatches batch like online
 // wherever a slot is free.
-func FillFreeSlots() Filling {
-	return Filling{Quarantine: defaultQuarantine, SuspendQuantile: 1, StartPressure: unboundedPressure}
+func GreedyBatchPolicy() BatchPolicy {
+	return BatchPolicy{Quarantine: defaultQuarantine, SuspendQuantile: 1, StartPressure: unboundedPressure}
 }
 
 const (
@@ -86,7 +86,7 @@
 
 // priority returns the engine priority of a request: 0 for batch, higher for
 // online.
-func (f Filling) priority(class api.Class, row int) int {
+func (f BatchPolicy) priority(class api.Class, row int) int {
 	batch := class == api.ClassBatch
 	if f.Fault == FaultInvertPriority {
 		batch = !batch
@@ -99,7 +99,7 @@
 
 // room returns how many batch requests may be sent to the worker now.
 func (m *Machine) room(now time.Time, state *workerState) int {
-	filling := m.settings.Filling
+	filling := m.settings.BatchPolicy
 	if state.worker.Leaving || state.leaving || now.Before(state.quarantinedUntil) {
 		return 0
 	}
@@ -107,7 +107,7 @@
 	if free <= 0 {
 		return 0
 	}
-	if filling.StartQuiet && state.awaitingFirstToken > 0 {
+	if filling.AvoidPrefill && state.awaitingFirstToken > 0 {
 		return 0
 	}
 	if filling.StartInterval > 0 {
@@ -126,7 +126,7 @@
 	for _, state := range row.workers {
 		starting += state.awaitingFirstToken
 	}
-	return float64(starting) > m.settings.Filling.StartPressure*float64(len(row.workers))
+	return float64(starting) > m.settings.BatchPolicy.StartPressure*float64(len(row.workers))
 }
 
 // Room returns how many batch requests of the row may start now.
@@ -142,7 +142,7 @@
 	for _, state := range row.workers {
 		total += m.room(now, state)
 	}
-	if m.settings.Filling.Fault == FaultIgnoreAllowance {
+	if m.settings.BatchPolicy.Fault == FaultIgnoreAllowance {
 		return total
 	}
 	return m.ceilingRoom(now, row, min(total, max(row.allowance-row.batchUse, 0)))
--- a/admission/worker.go
+++ b/admission/worker.go
@@ -87,7 +87,7 @@
 	slices.SortFunc(gone, func(a, b *workerState) int { return cmp.Compare(a.worker.ID, b.worker.ID) })
 	var actions []Action
 	for _, state := range gone {
-		m.prefix.Forget(state.worker.ID)
+		m.prefix.Remove(state.worker.ID)
 		actions = append(actions, m.evict(state, state.suspended)...)
 		m.removeIfIdle(state)
 	}
@@ -122,7 +122,7 @@
 	}
 	endpoint := &s.row.endpoints[s.index]
 	endpoint.Online, endpoint.Batch = s.online+s.foreign, len(s.batch)
-	endpoint.Starting, endpoint.Pending = s.awaitingFirstToken, s.pendingBlocks
+	endpoint.AwaitingFirstToken, endpoint.PendingBlocks = s.awaitingFirstToken, s.pendingBlocks
 	endpoint.Leaving = s.worker.Leaving || s.leaving
 }
 
@@ -180,7 +180,7 @@
 
 func (m *Machine) endpoint(now time.Time, row *rowState, index int) routing.Endpoint {
 	endpoint := row.endpoints[index]
-	endpoint.Cached = m.prefix.Cached(row.workers[index].worker.ID)
+	endpoint.CachedBlocks = m.prefix.CachedBlocks(row.workers[index].worker.ID)
 	endpoint.BatchStarting = row.workers[index].batchStarting(now)
 	return endpoint
 }
@@ -188,7 +188,7 @@
 // uncached returns the number of prompt blocks that the worker has to compute,
 // according to the last match.
 func (m *Machine) uncached(request routing.Request, worker *workerState) int {
-	return max(len(request.Prefix)-m.prefix.Cached(worker.worker.ID), 0)
+	return max(len(request.Prefix)-m.prefix.CachedBlocks(worker.worker.ID), 0)
 }
 
 // batchStartTime is how long a batch request counts as starting. Its first token
@@ -272,8 +272,8 @@
 	return summaries
 }
 
-// Homes reports whether this router is the home of the worker.
-func (m *Machine) Homes(worker api.WorkerID) bool {
+// IsHomeOf reports whether this router is the home of the worker.
+func (m *Machine) IsHomeOf(worker api.WorkerID) bool {
 	state, ok := m.workers[worker]
 	return ok && state.listed
 }
--- a/cmd/dykewingsim/run.go
+++ b/cmd/dykewingsim/run.go
@@ -27,7 +27,7 @@
 	only := command.Flag("strategies", "Comma-separated numbers of strategies to run, from 0.").String()
 	reserve := command.Flag("batch-reserve", "Share of a worker's slots that batch leaves free.").
 		Default(fmt.Sprint(admission.DefaultReserve)).Float64()
-	filling := admission.DefaultFilling()
+	filling := admission.DefaultBatchPolicy()
 	command.Flag("batch-start-pressure", "Share of a row's workers up to which online requests may wait for their first token while batch is still sent.").
 		Default(fmt.Sprint(admission.DefaultStartPressure)).Float64Var(&filling.StartPressure)
 	command.Action(action(func() error {
@@ -39,7 +39,7 @@
 		if err != nil {
 			return err
 		}
-		report := experiment.Run(scenario, *seed, admission.Settings{Reserve: *reserve, Filling: filling}, strategies)
+		report := experiment.Run(scenario, *seed, admission.Settings{Reserve: *reserve, BatchPolicy: filling}, strategies)
 		if *folder != "" {
 			if err := report.WriteFolder(*folder); err != nil {
 				return err
--- a/detour/replay_test.go
+++ b/detour/replay_test.go
@@ -140,7 +140,7 @@
 	direct         bool
 }
 
-func (f *fleet) request(at time.Duration, tenant int, limit route.Limit) requestResult {
+func (f *fleet) request(at time.Duration, tenant int, limit route.RateLimit) requestResult {
 	by := f.frontends[f.random.IntN(len(f.frontends))]
 	name, result := fmt.Sprint("tenant-", tenant), requestResult{at: at, tenant: tenant}
 	decision, _ := by.holder.Arrive(testStart.Add(at), name)
@@ -149,7 +149,7 @@
 		return result
 	}
 	tried := 0
-	for _, owner := range placement.Stores(name, f.stores) {
+	for _, owner := range placement.RankStores(name, f.stores) {
 		now := testStart.Add(at + result.took)
 		if tried == 2 || !by.holder.Usable(now, string(owner.ID)) {
 			continue
@@ -176,7 +176,7 @@
 // run replays 40 tenants with 8 requests a second each and a limit of 1.6 times that. The
 // first tenant sends 7.5 times its usual rate during the outage.
 func (f *fleet) run() (all []requestResult) {
-	limit := route.Limit{Rate: 12.8, Burst: 12.8}
+	limit := route.RateLimit{Rate: 12.8, Burst: 12.8}
 	for now := time.Duration(0); now < replayLength; now += ms {
 		for tenant := range 40 {
 			rate := 8.0
@@ -194,7 +194,7 @@
 // Guards against local rate-limit decisions, late answers and exceeded limits while a third
 // of the frontends reach no owner and one tenant is over its limit.
 func TestQueriesAreRelayedDuringPartition(t *testing.T) {
-	limit := route.Limit{Rate: 12.8, Burst: 12.8}
+	limit := route.RateLimit{Rate: 12.8, Burst: 12.8}
 	third := func(i int) bool { return i < 10 }
 	zone := func(i int) bool { return i%3 == 0 }
 	tests := []struct {
--- a/fill/begin.go
+++ b/fill/begin.go
@@ -23,18 +23,18 @@
 	crowdedUtilization, scarceUtilization = 0.8, 1.1
 )
 
-// Need returns the number of items that have to run concurrently for each to finish by its
+// RequiredSlots returns the number of items that have to run concurrently for each to finish by its
 // due time. The items must be sorted by due time.
-func Need(now time.Time, items []Item) int {
+func RequiredSlots(now time.Time, items []Item) int {
 	need, dated, undated := 0, time.Duration(0), 0
 	for _, item := range items {
 		left := item.Due.Sub(now)
-		if item.Due.IsZero() || left < item.Left {
+		if item.Due.IsZero() || left < item.Remaining {
 			undated++
 			continue
 		}
-		dated += item.Left
-		need = max(need, slotsFor(dated, time.Duration(plannedShare*float64(left))-item.Left, len(items)))
+		dated += item.Remaining
+		need = max(need, slotsFor(dated, time.Duration(plannedShare*float64(left))-item.Remaining, len(items)))
 	}
 	return min(need+(undated+undatedStartFactor-1)/undatedStartFactor, len(items))
 }
@@ -47,9 +47,9 @@
 	return int(min(math.Ceil(float64(work)/float64(within)), float64(limit)))
 }
 
-// Start limits the items that may start before an expected peak of demand. The zero value
+// StartLimit limits the items that may start before an expected peak of demand. The zero value
 // sets no limit.
-type Start struct {
+type StartLimit struct {
 	demand   *Demand
 	now      time.Time
 	slots    int
@@ -57,42 +57,42 @@
 	minRun   time.Duration // minimum run of a required item before the peak
 }
 
-// Start returns the start limit of a service of which need items have to run now, with room
+// StartLimit returns the start limit of a service of which need items have to run now, with room
 // slots available to batch on average. It sets no limit if demand has no period, or if
 // keeping slots free would make items miss their due time.
-func (d *Demand) Start(now time.Time, slots, need int, room float64) Start {
+func (d *Demand) StartLimit(now time.Time, slots, need int, room float64) StartLimit {
 	if d.forecast.Period() == 0 {
-		return Start{}
+		return StartLimit{}
 	}
 	// The average of room lags behind when workers leave.
 	room = min(room, float64(slots)-d.forecast.Mean())
-	start := Start{demand: d, now: now, slots: slots, required: need, minRun: minRun}
+	start := StartLimit{demand: d, now: now, slots: slots, required: need, minRun: minRun}
 	switch {
 	case float64(need) >= scarceUtilization*room:
-		return Start{}
+		return StartLimit{}
 	case float64(need) >= crowdedUtilization*room:
 		start.required, start.minRun = slots, minRunCrowded
 	}
 	return start
 }
 
-// Bounded reports whether an expected peak limits the starts.
-func (s Start) Bounded() bool { return s.demand != nil }
+// Limited reports whether an expected peak limits the starts.
+func (s StartLimit) Limited() bool { return s.demand != nil }
 
 // Allows reports whether an item with the remaining run time left may start next to the
 // running ones: either all fit next to the peak demand expected meanwhile, or the item is
 // required and can run for a minimum time before the peak.
-func (s Start) Allows(running int, left time.Duration) bool {
-	if !s.Bounded() || running < s.Beside(left) {
+func (s StartLimit) Allows(running int, left time.Duration) bool {
+	if !s.Limited() || running < s.Capacity(left) {
 		return true
 	}
-	return running < s.required && running < s.Beside(min(s.minRun, left))
+	return running < s.required && running < s.Capacity(min(s.minRun, left))
 }
 
-// Beside returns the number of items that fit next to the peak demand expected within a
+// Capacity returns the number of items that fit next to the peak demand expected within a
 // duration.
-func (s Start) Beside(within time.Duration) int {
-	if !s.Bounded() {
+func (s StartLimit) Capacity(within time.Duration) int {
+	if !s.Limited() {
 		return s.slots
 	}
 	peak, _ := s.demand.forecast.Peak(s.now, within)
--- a/fill/begin_test.go
+++ b/fill/begin_test.go
@@ -8,8 +8,8 @@
 )
 
 func TestRequiredSlots(t *testing.T) {
-	item := func(due, left time.Duration) Item { return Item{Due: start.Add(due), Left: left} }
-	undated := Item{Left: 4 * time.Second}
+	item := func(due, left time.Duration) Item { return Item{Due: start.Add(due), Remaining: left} }
+	undated := Item{Remaining: 4 * time.Second}
 	tests := []struct {
 		name  string
 		items []Item
@@ -25,7 +25,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := Need(start, test.items); got != test.want {
+			if got := RequiredSlots(start, test.items); got != test.want {
 				t.Errorf("%d slots required, want %d", got, test.want)
 			}
 		})
@@ -59,9 +59,9 @@
 			var demand Demand
 			until := 4*6600*time.Millisecond + test.at
 			observeSeries(&demand.forecast, 0, until, test.demand, rand.New(rand.NewPCG(1, 2)))
-			s := demand.Start(start.Add(until), 96, test.need, test.room)
+			s := demand.StartLimit(start.Add(until), 96, test.need, test.room)
 			if got := s.Allows(test.running, test.left); got != test.want {
-				t.Errorf("allowed: %t, limit %d", got, s.Beside(test.left))
+				t.Errorf("allowed: %t, limit %d", got, s.Capacity(test.left))
 			}
 		})
 	}
@@ -69,28 +69,28 @@
 
 func TestPreemptionOrder(t *testing.T) {
 	const second = time.Second
-	usual := Running{Standing: Usual, Due: start.Add(15 * second), Left: 3 * second, Lost: 100 * time.Millisecond, Since: start.Add(-second)}
-	with := func(change func(*Running)) Running {
+	usual := Candidate{Urgency: Normal, Due: start.Add(15 * second), Remaining: 3 * second, LostRunTime: 100 * time.Millisecond, StartedAt: start.Add(-second)}
+	with := func(change func(*Candidate)) Candidate {
 		r := usual
 		change(&r)
 		return r
 	}
 	tests := []struct {
 		name         string
-		first, later Running
+		first, later Candidate
 	}{
-		{"missed its due time", with(func(r *Running) { r.Standing = Missed; r.Cuts = 9 }), usual},
-		{"has to run now", with(func(r *Running) { r.Cuts = 9 }), with(func(r *Running) { r.Standing = Pressed })},
-		{"nearly complete", with(func(r *Running) { r.Cuts = 9 }), with(func(r *Running) { r.Left = 100 * time.Millisecond })},
-		{"last of its job", with(func(r *Running) { r.Cuts, r.Open = 9, 2 }), with(func(r *Running) { r.Open = 1 })},
-		{"would miss its due time", with(func(r *Running) { r.Cuts = 9 }), with(func(r *Running) { r.Due = start.Add(3 * second) })},
-		{"fewer preemptions", with(func(r *Running) { r.Lost = second }), with(func(r *Running) { r.Cuts = 1 })},
-		{"least lost run time", usual, with(func(r *Running) { r.Lost = 150 * time.Millisecond; r.Since = start })},
-		{"newest", with(func(r *Running) { r.Since = start }), usual},
+		{"missed its due time", with(func(r *Candidate) { r.Urgency = Late; r.Preemptions = 9 }), usual},
+		{"has to run now", with(func(r *Candidate) { r.Preemptions = 9 }), with(func(r *Candidate) { r.Urgency = Urgent })},
+		{"nearly complete", with(func(r *Candidate) { r.Preemptions = 9 }), with(func(r *Candidate) { r.Remaining = 100 * time.Millisecond })},
+		{"last of its job", with(func(r *Candidate) { r.Preemptions, r.OpenItems = 9, 2 }), with(func(r *Candidate) { r.OpenItems = 1 })},
+		{"would miss its due time", with(func(r *Candidate) { r.Preemptions = 9 }), with(func(r *Candidate) { r.Due = start.Add(3 * second) })},
+		{"fewer preemptions", with(func(r *Candidate) { r.LostRunTime = second }), with(func(r *Candidate) { r.Preemptions = 1 })},
+		{"least lost run time", usual, with(func(r *Candidate) { r.LostRunTime = 150 * time.Millisecond; r.StartedAt = start })},
+		{"newest", with(func(r *Candidate) { r.StartedAt = start }), usual},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if Yields(start, test.first, test.later) >= 0 || Yields(start, test.later, test.first) <= 0 {
+			if ComparePreemption(start, test.first, test.later) >= 0 || ComparePreemption(start, test.later, test.first) <= 0 {
 				t.Error("wrong order")
 			}
 		})
@@ -98,20 +98,20 @@
 }
 
 func TestRunTimeEstimates(t *testing.T) {
-	l := NewLengths()
-	if got := l.Left(500); got != initialRunTime {
+	l := NewRunTimes()
+	if got := l.Remaining(500); got != initialRunTime {
 		t.Errorf("%v remaining before the first completed item", got)
 	}
 	for range 60 {
-		l.Whole(1000, 2*time.Second)
+		l.RecordCompleted(1000, 2*time.Second)
 	}
-	l.Whole(1000, 0) // ran at several workers
-	if got := l.Run(); (got - 2*time.Second).Abs() > 10*time.Millisecond {
+	l.RecordCompleted(1000, 0) // ran at several workers
+	if got := l.Mean(); (got - 2*time.Second).Abs() > 10*time.Millisecond {
 		t.Errorf("average run time %v, want 2s", got)
 	}
 	for range 20 {
-		l.Ran("slow", 500, 2*time.Second)
-		l.Ran("short", 1, 100*time.Millisecond)
+		l.RecordRun("slow", 500, 2*time.Second)
+		l.RecordRun("short", 1, 100*time.Millisecond)
 	}
 	tests := []struct {
 		name     string
@@ -127,7 +127,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := l.At(test.worker, l.Left(test.produced)); (got - test.want).Abs() > 20*time.Millisecond {
+			if got := l.AtWorker(test.worker, l.Remaining(test.produced)); (got - test.want).Abs() > 20*time.Millisecond {
 				t.Errorf("%v remaining, want %v", got, test.want)
 			}
 		})
--- a/fill/demand.go
+++ b/fill/demand.go
@@ -25,7 +25,7 @@
 // to use.
 type Demand struct {
 	recent   []observation // within preemptionLatency, oldest first
-	forecast Rhythm
+	forecast Forecast
 }
 
 type observation struct {
@@ -42,8 +42,8 @@
 	}
 }
 
-// Rhythm returns the detected periodicity of the demand.
-func (d *Demand) Rhythm() *Rhythm { return &d.forecast }
+// Forecast returns the detected periodicity of the demand.
+func (d *Demand) Forecast() *Forecast { return &d.forecast }
 
 // Reserve returns how many of the slots to keep free now: the increase within the last
 // preemption latency, and at least the random variation of the number of requests.
--- a/fill/fill_test.go
+++ b/fill/fill_test.go
@@ -41,22 +41,22 @@
 func TestEarlyPreemptionPerWorker(t *testing.T) {
 	tests := []struct {
 		name    string
-		workers []Worker
+		workers []WorkerLoad
 		reserve float64
 		waiting int
 		want    []int
 	}{
-		{"enough free slots", []Worker{{8, 2, 2}, {8, 2, 2}}, 4, 0, []int{0, 0}},
-		{"request waits at a worker", []Worker{{8, 3, 6}, {8, 2, 2}}, 0, 0, []int{1, 0}},
-		{"more requests than items", []Worker{{8, 12, 2}}, 0, 0, []int{2}},
-		{"less than half of the reserve is free", []Worker{{8, 2, 6}, {8, 2, 6}}, 4, 0, []int{1, 1}},
-		{"half of the reserve is free", []Worker{{8, 2, 5}, {8, 2, 5}}, 4, 0, []int{0, 0}},
-		{"requests wait elsewhere", []Worker{{8, 2, 6}, {8, 2, 5}}, 0, 3, []int{1, 1}},
-		{"only workers with items", []Worker{{8, 8, 0}, {8, 2, 6}}, 0, 2, []int{0, 2}},
+		{"enough free slots", []WorkerLoad{{8, 2, 2}, {8, 2, 2}}, 4, 0, []int{0, 0}},
+		{"request waits at a worker", []WorkerLoad{{8, 3, 6}, {8, 2, 2}}, 0, 0, []int{1, 0}},
+		{"more requests than items", []WorkerLoad{{8, 12, 2}}, 0, 0, []int{2}},
+		{"less than half of the reserve is free", []WorkerLoad{{8, 2, 6}, {8, 2, 6}}, 4, 0, []int{1, 1}},
+		{"half of the reserve is free", []WorkerLoad{{8, 2, 5}, {8, 2, 5}}, 4, 0, []int{0, 0}},
+		{"requests wait elsewhere", []WorkerLoad{{8, 2, 6}, {8, 2, 5}}, 0, 3, []int{1, 1}},
+		{"only workers with items", []WorkerLoad{{8, 8, 0}, {8, 2, 6}}, 0, 2, []int{0, 2}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := Early(test.workers, test.reserve, test.waiting); !slices.Equal(got, test.want) {
+			if got := EarlyPreemptions(test.workers, test.reserve, test.waiting); !slices.Equal(got, test.want) {
 				t.Errorf("preempts %v, want %v", got, test.want)
 			}
 		})
@@ -65,19 +65,19 @@
 
 // Guards against items that start and are preempted at once. No worker preempts more items
 // than it runs, and none is preempted while enough slots are free.
-func TestRoomAndExcessNeverMeet(t *testing.T) {
+func TestStartedItemsAreNotPreemptedAtOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "workers")
-		workers := make([]Worker, n)
+		workers := make([]WorkerLoad, n)
 		for i := range workers {
-			workers[i] = Worker{
+			workers[i] = WorkerLoad{
 				Slots:  rapid.IntRange(1, 20).Draw(t, "slots"),
 				Online: rapid.IntRange(0, 25).Draw(t, "online"), Batch: rapid.IntRange(0, 20).Draw(t, "batch"),
 			}
 		}
 		reserve := rapid.Float64Range(0, 40).Draw(t, "reserve")
 		waiting := rapid.IntRange(0, 30).Draw(t, "waiting")
-		excess := Early(workers, reserve, waiting)
+		excess := EarlyPreemptions(workers, reserve, waiting)
 		total, held, queued := 0, 0, 0
 		for i, w := range workers {
 			if excess[i] < 0 || excess[i] > w.Batch {
@@ -90,24 +90,24 @@
 			held += w.Batch
 			queued += max(-w.Free(), 0)
 		}
-		if total > queued && Room(workers, reserve, waiting) > 0 {
-			t.Fatalf("%d items may start while %d are preempted and %d requests wait", Room(workers, reserve, waiting), total, queued)
+		if total > queued && StartCapacity(workers, reserve, waiting) > 0 {
+			t.Fatalf("%d items may start while %d are preempted and %d requests wait", StartCapacity(workers, reserve, waiting), total, queued)
 		}
-		if total > queued && RoomPressed(workers, reserve, waiting) > 0 {
-			t.Fatalf("%d pressed items may start while %d are preempted and %d requests wait", RoomPressed(workers, reserve, waiting), total, queued)
+		if total > queued && UrgentStartCapacity(workers, reserve, waiting) > 0 {
+			t.Fatalf("%d pressed items may start while %d are preempted and %d requests wait", UrgentStartCapacity(workers, reserve, waiting), total, queued)
 		}
-		required := Excess(workers, waiting)
+		required := RequiredPreemptions(workers, waiting)
 		for i := range required {
 			if required[i] > excess[i] {
 				t.Fatalf("worker %d preempts %d items in total but %d at once", i, excess[i], required[i])
 			}
 		}
 		started := slices.Clone(workers)
-		for n := RoomPressed(workers, reserve, waiting); n > 0; n-- {
-			i := slices.IndexFunc(started, func(w Worker) bool { return w.Free() > 0 })
+		for n := UrgentStartCapacity(workers, reserve, waiting); n > 0; n-- {
+			i := slices.IndexFunc(started, func(w WorkerLoad) bool { return w.Free() > 0 })
 			started[i].Batch++
 		}
-		for i, n := range Early(started, reserve, waiting) {
+		for i, n := range EarlyPreemptions(started, reserve, waiting) {
 			if n > excess[i] {
 				t.Fatalf("worker %d: %d items preempted after pressed ones started, %d before", i, n, excess[i])
 			}
@@ -124,22 +124,22 @@
 		name  string
 		items []Item
 		room  float64
-		want  []Standing
+		want  []Urgency
 	}{
-		{"ample time", []Item{{due(18 * time.Second), 4 * time.Second}}, 10, []Standing{Usual}},
-		{"just enough time", []Item{{due(4900 * time.Millisecond), 4 * time.Second}}, 10, []Standing{Pressed}},
-		{"too late", []Item{{due(3 * time.Second), 4 * time.Second}}, 10, []Standing{Missed}},
-		{"no due time", []Item{{time.Time{}, 4 * time.Second}}, 10, []Standing{Usual}},
+		{"ample time", []Item{{due(18 * time.Second), 4 * time.Second}}, 10, []Urgency{Normal}},
+		{"just enough time", []Item{{due(4900 * time.Millisecond), 4 * time.Second}}, 10, []Urgency{Urgent}},
+		{"too late", []Item{{due(3 * time.Second), 4 * time.Second}}, 10, []Urgency{Late}},
+		{"no due time", []Item{{time.Time{}, 4 * time.Second}}, 10, []Urgency{Normal}},
 		{"much work due before", []Item{
 			{due(12 * time.Second), 4 * time.Second}, {due(12 * time.Second), 4 * time.Second}, {due(12 * time.Second), 4 * time.Second},
-		}, 1, []Standing{Usual, Usual, Pressed}},
+		}, 1, []Urgency{Normal, Normal, Urgent}},
 		{"missed items are ignored", []Item{
 			{due(2 * time.Second), 9 * time.Second}, {due(12 * time.Second), 4 * time.Second},
-		}, 1, []Standing{Missed, Usual}},
+		}, 1, []Urgency{Late, Normal}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := Stand(start, test.items, test.room); !slices.Equal(got, test.want) {
+			if got := Urgencies(start, test.items, test.room); !slices.Equal(got, test.want) {
 				t.Errorf("standings %v, want %v", got, test.want)
 			}
 		})
--- a/fill/length.go
+++ b/fill/length.go
@@ -20,23 +20,23 @@
 	maxRates = 1024
 )
 
-// Lengths estimates run times of items from moving averages of the output size, the run
+// RunTimes estimates run times of items from moving averages of the output size, the run
 // time, and the relative run time of each worker. The zero value is not usable.
-type Lengths struct {
+type RunTimes struct {
 	runTime   time.Duration // average run time of a completed item
 	textBytes float64       // average output of a completed item; 0 before the first
 	rates     map[string]float64
 }
 
-// NewLengths returns an estimator without observations.
-func NewLengths() *Lengths { return &Lengths{runTime: initialRunTime, rates: map[string]float64{}} }
+// NewRunTimes returns an estimator without observations.
+func NewRunTimes() *RunTimes { return &RunTimes{runTime: initialRunTime, rates: map[string]float64{}} }
 
-// Run returns the average run time of an item.
-func (l *Lengths) Run() time.Duration { return l.runTime }
+// Mean returns the average run time of an item.
+func (l *RunTimes) Mean() time.Duration { return l.runTime }
 
-// Whole records a completed item: the size of its output in bytes, and its run time if it
+// RecordCompleted records a completed item: the size of its output in bytes, and its run time if it
 // ran at one worker without interruption, else 0.
-func (l *Lengths) Whole(text int, run time.Duration) {
+func (l *RunTimes) RecordCompleted(text int, run time.Duration) {
 	if l.textBytes == 0 {
 		l.textBytes = float64(text)
 	}
@@ -46,8 +46,8 @@
 	}
 }
 
-// Ran records a run at a worker and the number of bytes it produced.
-func (l *Lengths) Ran(worker string, text int, run time.Duration) {
+// RecordRun records a run at a worker and the number of bytes it produced.
+func (l *RunTimes) RecordRun(worker string, text int, run time.Duration) {
 	if l.textBytes == 0 || text == 0 || run < minRateRun {
 		return
 	}
@@ -62,9 +62,9 @@
 	l.rates[worker] = last + rateWeight*(rate-last)
 }
 
-// Left returns the expected remaining run time, at an average worker, of an item that has
+// Remaining returns the expected remaining run time, at an average worker, of an item that has
 // produced the given number of bytes.
-func (l *Lengths) Left(produced int) time.Duration {
+func (l *RunTimes) Remaining(produced int) time.Duration {
 	part := 1.0
 	if l.textBytes > 0 {
 		part = max(1-float64(produced)/l.textBytes, minRemainingShare)
@@ -72,8 +72,8 @@
 	return time.Duration(part * float64(l.runTime))
 }
 
-// At converts a run time at an average worker to one at the given worker.
-func (l *Lengths) At(worker string, usual time.Duration) time.Duration {
+// AtWorker converts a run time at an average worker to one at the given worker.
+func (l *RunTimes) AtWorker(worker string, usual time.Duration) time.Duration {
 	if rate, ok := l.rates[worker]; ok {
 		return time.Duration(rate * float64(usual))
 	}
--- a/fill/pressed.go
+++ b/fill/pressed.go
@@ -4,18 +4,18 @@
 
 // Item is an unfinished batch item.
 type Item struct {
-	Due  time.Time     // zero if it has no due time
-	Left time.Duration // expected remaining run time
+	Due       time.Time     // zero if it has no due time
+	Remaining time.Duration // expected remaining run time
 }
 
-// Standing is the urgency of an item with respect to its due time.
-type Standing int
+// Urgency is the urgency of an item with respect to its due time.
+type Urgency int
 
 // The values are in the order in which items start.
 const (
-	Pressed Standing = iota // has to run now to finish by its due time
-	Usual
-	Missed // can no longer finish by its due time
+	Urgent Urgency = iota // has to run now to finish by its due time
+	Normal
+	Late // can no longer finish by its due time
 )
 
 const (
@@ -25,29 +25,29 @@
 	minMargin     = time.Second
 )
 
-// Stand returns the urgency of each item. The items must be sorted by due time. An item is
-// Pressed if the room, the average number of slots available to batch, is just enough to
+// Urgencies returns the urgency of each item. The items must be sorted by due time. An item is
+// Urgent if the room, the average number of slots available to batch, is just enough to
 // finish it after all items that are due before it.
-func Stand(now time.Time, items []Item, room float64) []Standing {
-	standing := make([]Standing, len(items))
+func Urgencies(now time.Time, items []Item, room float64) []Urgency {
+	standing := make([]Urgency, len(items))
 	work := time.Duration(0)
 	for i, item := range items {
-		standing[i] = Usual
+		standing[i] = Normal
 		if item.Due.IsZero() {
 			continue
 		}
 		left := item.Due.Sub(now)
-		if left < item.Left {
-			standing[i] = Missed
+		if left < item.Remaining {
+			standing[i] = Late
 			continue
 		}
-		work += item.Left
-		needed := item.Left
+		work += item.Remaining
+		needed := item.Remaining
 		if room > 0 {
 			needed = max(needed, time.Duration(float64(work)/room))
 		}
-		if left < needed+max(time.Duration(urgencyMargin*float64(item.Left)), minMargin) {
-			standing[i] = Pressed
+		if left < needed+max(time.Duration(urgencyMargin*float64(item.Remaining)), minMargin) {
+			standing[i] = Urgent
 		}
 	}
 	return standing
--- a/fill/replay_test.go
+++ b/fill/replay_test.go
@@ -22,7 +22,7 @@
 	queued  []time.Time // arrival times of waiting requests
 	room    float64     // moving average of slots available to batch
 	reserve float64
-	start   Start
+	start   StartLimit
 	result  result
 }
 
@@ -37,15 +37,15 @@
 	remaining   time.Duration // at pace 1
 	startedAt   time.Time
 	preemptions int
-	standing    Standing
+	standing    Urgency
 }
 
 // policy is a set of preemption and start rules under test.
 type policy struct {
 	name        string
-	compare     func(now time.Time, a, b Running) int
-	startLimit  func(d *Demand, now time.Time, slots, need int, room float64) Start // nil: no limit
-	pressedRoom func([]Worker, float64, int) int                                    // nil: pressed items may use the reserve and are preempted to restore it
+	compare     func(now time.Time, a, b Candidate) int
+	startLimit  func(d *Demand, now time.Time, slots, need int, room float64) StartLimit // nil: no limit
+	pressedRoom func([]WorkerLoad, float64, int) int                                     // nil: pressed items may use the reserve and are preempted to restore it
 }
 
 // scenario is the load of a simulation.
@@ -98,7 +98,7 @@
 			for range 10 {
 				sim.result.items++
 				left := time.Duration(float64(itemTime) * (0.7 + 0.6*sim.random.Float64()))
-				sim.waiting = append(sim.waiting, &simItem{due: sim.now.Add(dueIn), remaining: left, standing: Usual})
+				sim.waiting = append(sim.waiting, &simItem{due: sim.now.Add(dueIn), remaining: left, standing: Normal})
 			}
 		}
 		sim.placeRequests(s.slots, n)
@@ -174,26 +174,26 @@
 		return sim.policy.compare(sim.now, sim.runningItem(w, a), sim.runningItem(w, b))
 	})
 	for _, item := range items {
-		if n > 0 && (pressed || item.standing != Pressed) {
+		if n > 0 && (pressed || item.standing != Urgent) {
 			sim.preempt(w, item)
 			n--
 		}
 	}
 }
 
-func (sim *simulation) runningItem(w *simWorker, item *simItem) Running {
+func (sim *simulation) runningItem(w *simWorker, item *simItem) Candidate {
 	ran := sim.now.Sub(item.startedAt)
-	return Running{
-		Standing: item.standing, Due: item.due, Left: item.remaining - time.Duration(float64(ran)/w.pace),
-		Lost: ran % readInterval, Cuts: item.preemptions, Since: item.startedAt,
+	return Candidate{
+		Urgency: item.standing, Due: item.due, Remaining: item.remaining - time.Duration(float64(ran)/w.pace),
+		LostRunTime: ran % readInterval, Preemptions: item.preemptions, StartedAt: item.startedAt,
 	}
 }
 
 // plan runs one scheduling round of the leader.
 func (sim *simulation) plan(slots, alive int) {
-	workers, online := make([]Worker, alive), len(sim.queued)
+	workers, online := make([]WorkerLoad, alive), len(sim.queued)
 	for i, w := range sim.workers[:alive] {
-		workers[i] = Worker{Slots: slots, Online: len(w.online), Batch: len(w.items)}
+		workers[i] = WorkerLoad{Slots: slots, Online: len(w.online), Batch: len(w.items)}
 		online += len(w.online)
 	}
 	sim.demand.Observe(sim.now, online)
@@ -202,7 +202,7 @@
 	if sim.now.Sub(start)%(100*time.Millisecond) == 0 {
 		sim.updateStandings(slots * alive)
 	}
-	required, early := Excess(workers, len(sim.queued)), Early(workers, sim.reserve, len(sim.queued))
+	required, early := RequiredPreemptions(workers, len(sim.queued)), EarlyPreemptions(workers, sim.reserve, len(sim.queued))
 	for i, w := range sim.workers[:alive] {
 		sim.preemptItems(w, required[i], true)
 		sim.preemptItems(w, early[i]-required[i], sim.policy.pressedRoom == nil)
@@ -218,33 +218,33 @@
 	slices.SortStableFunc(all, func(a, b *simItem) int { return a.due.Compare(b.due) })
 	list := make([]Item, len(all))
 	for i, item := range all {
-		list[i] = Item{Due: item.due, Left: item.remaining}
+		list[i] = Item{Due: item.due, Remaining: item.remaining}
 	}
-	for i, standing := range Stand(sim.now, list, sim.room) {
+	for i, standing := range Urgencies(sim.now, list, sim.room) {
 		all[i].standing = standing
 	}
 	if sim.policy.startLimit != nil {
-		sim.start = sim.policy.startLimit(&sim.demand, sim.now, slots, Need(sim.now, list), sim.room)
+		sim.start = sim.policy.startLimit(&sim.demand, sim.now, slots, RequiredSlots(sim.now, list), sim.room)
 	}
 }
 
 // startItems starts up to eight items at the workers with the most free slots.
 func (sim *simulation) startItems(slots, alive int) {
-	workers, running := make([]Worker, alive), 0
+	workers, running := make([]WorkerLoad, alive), 0
 	for i, w := range sim.workers[:alive] {
-		workers[i] = Worker{Slots: slots, Online: len(w.online), Batch: len(w.items)}
+		workers[i] = WorkerLoad{Slots: slots, Online: len(w.online), Batch: len(w.items)}
 		running += len(w.items)
 	}
-	left, pressed := Room(workers, sim.reserve, len(sim.queued)), freeSlots(workers)
+	left, pressed := StartCapacity(workers, sim.reserve, len(sim.queued)), freeSlots(workers)
 	if sim.policy.pressedRoom != nil {
 		pressed = sim.policy.pressedRoom(workers, sim.reserve, len(sim.queued))
 	}
 	slices.SortStableFunc(sim.waiting, func(a, b *simItem) int {
-		return cmp.Or(cmp.Compare(min(a.standing, Usual), min(b.standing, Usual)), a.due.Compare(b.due))
+		return cmp.Or(cmp.Compare(min(a.standing, Normal), min(b.standing, Normal)), a.due.Compare(b.due))
 	})
 	for n := 0; n < 8 && len(sim.waiting) > 0; n++ {
 		item := sim.waiting[0]
-		if item.standing == Pressed && pressed <= 0 || item.standing != Pressed && (left <= 0 || !sim.start.Allows(running, item.remaining)) {
+		if item.standing == Urgent && pressed <= 0 || item.standing != Urgent && (left <= 0 || !sim.start.Allows(running, item.remaining)) {
 			return
 		}
 		best := slices.MaxFunc(sim.workers[:alive], func(a, b *simWorker) int {
@@ -260,8 +260,8 @@
 	}
 }
 
-func compareStanding(_ time.Time, a, b Running) int {
-	return cmp.Or(cmp.Compare(b.Standing, a.Standing), b.Due.Compare(a.Due), b.Since.Compare(a.Since))
+func compareStanding(_ time.Time, a, b Candidate) int {
+	return cmp.Or(cmp.Compare(b.Urgency, a.Urgency), b.Due.Compare(a.Due), b.StartedAt.Compare(a.StartedAt))
 }
 
 // squareWaveScenario is square wave demand on 96 slots.
@@ -324,9 +324,9 @@
 // Items run longer than the troughs of the demand.
 func TestSimulatedPreemptionDoesNotRegress(t *testing.T) {
 	policies := []policy{
-		{"reserve applies to pressed items", compareStanding, nil, RoomPressed},
-		{"plus preemption order", Yields, nil, RoomPressed},
-		{"plus start limit", Yields, (*Demand).Start, RoomPressed},
+		{"reserve applies to pressed items", compareStanding, nil, UrgentStartCapacity},
+		{"plus preemption order", ComparePreemption, nil, UrgentStartCapacity},
+		{"plus start limit", ComparePreemption, (*Demand).StartLimit, UrgentStartCapacity},
 	}
 	for _, test := range scenarios {
 		base := simulateSeeds(test.scenario, baseline)
@@ -342,16 +342,18 @@
 }
 
 func TestRegressionCheckDetectsBadPolicies(t *testing.T) {
-	ignoreRequired := func(d *Demand, now time.Time, slots, _ int, _ float64) Start { return d.Start(now, slots, 0, 1) }
+	ignoreRequired := func(d *Demand, now time.Time, slots, _ int, _ float64) StartLimit {
+		return d.StartLimit(now, slots, 0, 1)
+	}
 	tests := []struct {
 		name      string
 		scenario  int // index of scenarios
 		badPolicy policy
 		want      string
 	}{
-		{"no start limit", 1, policy{"", Yields, nil, RoomPressed}, "too many items are preempted"},
-		{"pressed items use the reserve", 4, policy{"", Yields, (*Demand).Start, nil}, "too many items are preempted"},
-		{"slots kept free regardless of demand", 3, policy{"", Yields, ignoreRequired, func([]Worker, float64, int) int { return 0 }}, "fewer items are in time"},
+		{"no start limit", 1, policy{"", ComparePreemption, nil, UrgentStartCapacity}, "too many items are preempted"},
+		{"pressed items use the reserve", 4, policy{"", ComparePreemption, (*Demand).StartLimit, nil}, "too many items are preempted"},
+		{"slots kept free regardless of demand", 3, policy{"", ComparePreemption, ignoreRequired, func([]WorkerLoad, float64, int) int { return 0 }}, "fewer items are in time"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/fill/rhythm.go
+++ b/fill/rhythm.go
@@ -34,9 +34,9 @@
 	minOverlap = 0.5
 )
 
-// Rhythm detects the period of a time series by comparing it with itself shifted in time,
+// Forecast detects the period of a time series by comparing it with itself shifted in time,
 // and forecasts its peaks. The zero value is ready to use.
-type Rhythm struct {
+type Forecast struct {
 	samples    []float64 // one per bin, oldest first
 	latestBin  time.Time // start of the latest bin
 	detectedAt time.Time
@@ -46,7 +46,7 @@
 }
 
 // Observe records a value. The sample of a bin is its highest value.
-func (r *Rhythm) Observe(now time.Time, n int) {
+func (r *Forecast) Observe(now time.Time, n int) {
 	r.advance(now, float64(n))
 	last := len(r.samples) - 1
 	r.samples[last] = max(r.samples[last], float64(n))
@@ -60,9 +60,9 @@
 // advance adds bins up to now. Bins without an observation repeat the sample before them.
 // The history is dropped after a gap of historyWindow, and while it holds only zeros: idle
 // time after a start would hide the period of what follows.
-func (r *Rhythm) advance(now time.Time, n float64) {
+func (r *Forecast) advance(now time.Time, n float64) {
 	if len(r.samples) == 0 || now.Sub(r.latestBin) >= historyWindow || len(r.samples) == 1 && r.samples[0] == 0 {
-		*r = Rhythm{samples: []float64{n}, latestBin: now}
+		*r = Forecast{samples: []float64{n}, latestBin: now}
 		return
 	}
 	for now.Sub(r.latestBin) >= binWidth {
@@ -79,17 +79,17 @@
 }
 
 // Period returns the detected period, or 0 if there is none.
-func (r *Rhythm) Period() time.Duration { return time.Duration(r.period) * binWidth }
+func (r *Forecast) Period() time.Duration { return time.Duration(r.period) * binWidth }
 
 // Mean returns the mean value over the last period, or 0 if no period was detected.
-func (r *Rhythm) Mean() float64 {
+func (r *Forecast) Mean() float64 {
 	mean, _ := moments(r.samples[len(r.samples)-r.period:])
 	return mean
 }
 
 // Peak returns the highest value expected within a duration from now, based on the previous
 // period. It returns false if no period was detected.
-func (r *Rhythm) Peak(now time.Time, within time.Duration) (float64, bool) {
+func (r *Forecast) Peak(now time.Time, within time.Duration) (float64, bool) {
 	if r.period == 0 {
 		return 0, false
 	}
--- a/fill/rhythm_test.go
+++ b/fill/rhythm_test.go
@@ -9,7 +9,7 @@
 )
 
 // observeSeries records a noisy series at 20 samples per second.
-func observeSeries(r *Rhythm, from, to time.Duration, series func(at time.Duration) float64, random *rand.Rand) {
+func observeSeries(r *Forecast, from, to time.Duration, series func(at time.Duration) float64, random *rand.Rand) {
 	for at := from; at < to; at += 50 * time.Millisecond {
 		n := series(at)
 		r.Observe(start.Add(at), int(math.Max(n+random.NormFloat64()*math.Sqrt(n), 0)))
@@ -67,7 +67,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			for seed := range uint64(4) {
-				var r Rhythm
+				var r Forecast
 				observeSeries(&r, 0, test.length, test.series, rand.New(rand.NewPCG(seed, 2)))
 				if got := r.Period(); (got - test.want).Abs() > tolerance {
 					t.Errorf("seed %d: period %v, want %v", seed, got, test.want)
@@ -92,7 +92,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			var r Rhythm
+			var r Forecast
 			until := 4*6600*time.Millisecond + test.at
 			observeSeries(&r, 0, until, squareWave, rand.New(rand.NewPCG(1, 2)))
 			if got, known := r.Peak(start.Add(until), test.within); !known || got < test.min || got > test.max {
@@ -103,7 +103,7 @@
 }
 
 func TestHistoryIsDroppedAfterObservationGap(t *testing.T) {
-	var r Rhythm
+	var r Forecast
 	random := rand.New(rand.NewPCG(1, 2))
 	observeSeries(&r, 0, 20*time.Second, squareWave, random)
 	observeSeries(&r, 20*time.Second+2*historyWindow, 25*time.Second+2*historyWindow, squareWave, random)
@@ -149,7 +149,7 @@
 			const seeds, tick = 6, 20 * time.Millisecond
 			looks, right, other := 0.0, 0.0, 0.0
 			for seed := range uint64(seeds) {
-				var r Rhythm
+				var r Forecast
 				random := rand.New(rand.NewPCG(seed, 9))
 				var ends []time.Duration
 				for at := time.Duration(0); at < 34*time.Second; at += tick {
@@ -174,7 +174,7 @@
 }
 
 func BenchmarkDetectPeriod(b *testing.B) {
-	var r Rhythm
+	var r Forecast
 	observeSeries(&r, 0, 40*time.Second, squareWave, rand.New(rand.NewPCG(1, 2)))
 	for b.Loop() {
 		detectPeriod(r.samples)
--- a/fill/room.go
+++ b/fill/room.go
@@ -6,40 +6,40 @@
 	"slices"
 )
 
-// Worker is the load of a worker.
-type Worker struct {
+// WorkerLoad is the load of a worker.
+type WorkerLoad struct {
 	Slots  int
 	Online int // online requests
 	Batch  int // batch items
 }
 
 // Free returns the number of free slots. It is negative if requests wait at the worker.
-func (w Worker) Free() int { return w.Slots - w.Online - w.Batch }
+func (w WorkerLoad) Free() int { return w.Slots - w.Online - w.Batch }
 
-// Room returns how many items may start at the workers together while reserve slots stay
+// StartCapacity returns how many items may start at the workers together while reserve slots stay
 // free in addition to those for requests that wait elsewhere.
-func Room(workers []Worker, reserve float64, waiting int) int {
+func StartCapacity(workers []WorkerLoad, reserve float64, waiting int) int {
 	return max(freeSlots(workers)-int(math.Ceil(reserve))-waiting, 0)
 }
 
-// RoomPressed returns how many items that have to run now may start. They may use the half
+// UrgentStartCapacity returns how many items that have to run now may start. They may use the half
 // of the reserve that preemption does not restore, but no slot that a request waits for:
 // otherwise an item would be started and preempted in a loop.
-func RoomPressed(workers []Worker, reserve float64, waiting int) int {
+func UrgentStartCapacity(workers []WorkerLoad, reserve float64, waiting int) int {
 	return max(freeSlots(workers)-int(reserve/2)-waiting, 0)
 }
 
 // freeSlots counts the free slots of all workers.
-func freeSlots(workers []Worker) (total int) {
+func freeSlots(workers []WorkerLoad) (total int) {
 	for _, w := range workers {
 		total += max(w.Free(), 0)
 	}
 	return total
 }
 
-// Excess returns how many items have to be preempted at each worker: one for each request
+// RequiredPreemptions returns how many items have to be preempted at each worker: one for each request
 // that waits there, then one for each that waits elsewhere, at the fullest workers first.
-func Excess(workers []Worker, waiting int) []int {
+func RequiredPreemptions(workers []WorkerLoad, waiting int) []int {
 	excess := make([]int, len(workers))
 	for i, w := range workers {
 		excess[i] = min(max(-w.Free(), 0), w.Batch)
@@ -48,12 +48,12 @@
 	return excess
 }
 
-// Early returns how many items to preempt at each worker, including the required ones, to
+// EarlyPreemptions returns how many items to preempt at each worker, including the required ones, to
 // restore half of the reserve before requests arrive. The additional preemptions must spare
 // items that have to run now. Only half is restored, so that the next request does not
 // preempt an item that has just started.
-func Early(workers []Worker, reserve float64, waiting int) []int {
-	early := Excess(workers, waiting)
+func EarlyPreemptions(workers []WorkerLoad, reserve float64, waiting int) []int {
+	early := RequiredPreemptions(workers, waiting)
 	given := 0
 	for i, w := range workers {
 		given += early[i] - min(max(-w.Free(), 0), w.Batch)
@@ -63,7 +63,7 @@
 }
 
 // preemptMore adds missing items to excess, at the fullest workers first.
-func preemptMore(workers []Worker, excess []int, missing int) {
+func preemptMore(workers []WorkerLoad, excess []int, missing int) {
 	for missing > 0 {
 		given := false
 		for _, i := range byFreeSlots(workers, excess) {
@@ -80,7 +80,7 @@
 }
 
 // byFreeSlots sorts the indexes of workers by free slots after the preemption of excess.
-func byFreeSlots(workers []Worker, excess []int) []int {
+func byFreeSlots(workers []WorkerLoad, excess []int) []int {
 	order := make([]int, len(workers))
 	for i := range order {
 		order[i] = i
--- a/fill/yield.go
+++ b/fill/yield.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Running is a running item as a candidate for preemption.
-type Running struct {
-	Standing Standing
-	Due      time.Time
-	Left     time.Duration // expected remaining run time
-	Lost     time.Duration // run time since its last event, lost on preemption
-	Cuts     int           // number of preemptions so far
-	Since    time.Time     // start of this run
-	Open     int           // unfinished items of its job including this one; 0 if unknown
+// Candidate is a running item as a candidate for preemption.
+type Candidate struct {
+	Urgency     Urgency
+	Due         time.Time
+	Remaining   time.Duration // expected remaining run time
+	LostRunTime time.Duration // run time since its last event, lost on preemption
+	Preemptions int           // number of preemptions so far
+	StartedAt   time.Time     // start of this run
+	OpenItems   int           // unfinished items of its job including this one; 0 if unknown
 }
 
 const (
@@ -24,22 +24,22 @@
 	nearCompletion = 250 * time.Millisecond
 )
 
-// Yields compares running items for sorting. Items to preempt first come first.
-func Yields(now time.Time, a, b Running) int {
+// ComparePreemption compares running items for sorting. Items to preempt first come first.
+func ComparePreemption(now time.Time, a, b Candidate) int {
 	return cmp.Or(
-		cmp.Compare(b.Standing, a.Standing),
+		cmp.Compare(b.Urgency, a.Urgency),
 		cmp.Compare(a.protected(now), b.protected(now)),
-		cmp.Compare(a.Cuts, b.Cuts),
-		cmp.Compare(a.Lost, b.Lost),
-		b.Since.Compare(a.Since),
+		cmp.Compare(a.Preemptions, b.Preemptions),
+		cmp.Compare(a.LostRunTime, b.LostRunTime),
+		b.StartedAt.Compare(a.StartedAt),
 	)
 }
 
 // protected returns 1 for an item that should rather finish: it is nearly complete, it is the
 // last one of its job, or it would miss its due time after a preemption. Otherwise it
 // returns 0.
-func (r Running) protected(now time.Time) int {
-	if r.Left <= nearCompletion || r.Open == 1 || !r.Due.IsZero() && r.Due.Sub(now) < r.Left+r.Lost+preemptionCost {
+func (r Candidate) protected(now time.Time) int {
+	if r.Remaining <= nearCompletion || r.OpenItems == 1 || !r.Due.IsZero() && r.Due.Sub(now) < r.Remaining+r.LostRunTime+preemptionCost {
 		return 1
 	}
 	return 0
--- a/internal/batchrun/dispatch.go
+++ b/internal/batchrun/dispatch.go
@@ -150,18 +150,18 @@
 		i.service = matched.Shares[0].Service
 	}
 	l.planService(now, i.service, b)
-	if full[i.service] && i.standing != fill.Pressed {
+	if full[i.service] && i.standing != fill.Urgent {
 		return false
 	}
 	left := l.left(i)
-	heldBack := b.holdsBack(i.service, i.standing == fill.Pressed, left)
+	heldBack := b.holdsBack(i.service, i.standing == fill.Urgent, left)
 	if heldBack && len(b.probes) == 0 {
 		return false
 	}
 	query := worker.Query{
 		Service: i.service, Parts: i.parts, Tokens: i.tokens,
 		Filter: func(id string) bool {
-			return b.allows(id, i.service, i.standing == fill.Pressed, l.lengths.At(id, left))
+			return b.allows(id, i.service, i.standing == fill.Urgent, l.lengths.AtWorker(id, left))
 		},
 	}
 	if i.avoidWorker != "" {
@@ -173,7 +173,7 @@
 	}
 	if !ok {
 		i.avoidWorker = ""
-		full[i.service] = i.standing != fill.Pressed
+		full[i.service] = i.standing != fill.Urgent
 		return false
 	}
 	if b.probes[ticket.Worker.ID] == i.service {
--- a/internal/batchrun/growth_test.go
+++ b/internal/batchrun/growth_test.go
@@ -34,7 +34,7 @@
 		request := func() {
 			sequence++
 			_, answer := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{
-				Report: heldReport(sequence, map[string]int{"w1": 1, "w7": 2}), Ask: askFor("w1", 0),
+				Report: heldReport(sequence, map[string]int{"w1": 1, "w7": 2}), Request: askFor("w1", 0),
 			})
 			if answer.Worker == "" {
 				t.Fatal("no slot granted")
@@ -58,12 +58,12 @@
 		held[fmt.Sprint("w", i)] = 12
 	}
 	delete(held, "w1999")
-	_, answer := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: heldReport(1, held), Ask: askFor("w3", 0)})
+	_, answer := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: heldReport(1, held), Request: askFor("w3", 0)})
 	if answer.Worker != "w1999" {
 		t.Errorf("%+v", answer)
 	}
 	held["w1999"] = 12
-	_, answer = l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: heldReport(2, held), Ask: askFor("w3", 0)})
+	_, answer = l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: heldReport(2, held), Request: askFor("w3", 0)})
 	if !answer.Full {
 		t.Errorf("all workers are full, got %+v", answer)
 	}
@@ -119,7 +119,7 @@
 				polled[id]++
 			}
 		}
-		l.waiting = append(l.waiting, &item{service: "lm", standing: fill.Usual})
+		l.waiting = append(l.waiting, &item{service: "lm", standing: fill.Normal})
 		round()
 		if len(polled) != 0 {
 			t.Errorf("%d workers without items polled", len(polled))
@@ -152,7 +152,7 @@
 			for range b.N {
 				sequence++
 				l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{
-					Report: heldReport(sequence, map[string]int{"w1": 1, "w7": 2}), Ask: askFor("w1", 0),
+					Report: heldReport(sequence, map[string]int{"w1": 1, "w7": 2}), Request: askFor("w1", 0),
 				})
 			}
 		})
--- a/internal/batchrun/heard.go
+++ b/internal/batchrun/heard.go
@@ -41,9 +41,9 @@
 // applyObservations processes a frontend's observations of this process's workers. Observations of
 // another incarnation than the listed one are ignored. The caller holds the mutex.
 func (b *slotBroker) applyObservations(now time.Time, leaders []*Leader, report reservation.Report) {
-	for _, observation := range report.Heard[:min(len(report.Heard), reservation.MaximumWords)] {
+	for _, observation := range report.Observations[:min(len(report.Observations), reservation.MaxObservations)] {
 		current, listed := b.service.pool.Current(observation.Worker)
-		if !listed || !ownedByAny(leaders, observation.Worker) || !observation.Born.IsZero() && !current.StartedAt.IsZero() && !observation.Born.Equal(current.StartedAt) {
+		if !listed || !ownedByAny(leaders, observation.Worker) || !observation.StartedAt.IsZero() && !current.StartedAt.IsZero() && !observation.StartedAt.Equal(current.StartedAt) {
 			continue
 		}
 		b.service.metrics.workers.observations.Inc()
@@ -62,9 +62,9 @@
 const maxStreams = 16
 
 // observeStreams records the step time of streams and logs when a worker becomes slow or recovers.
-func (b *slotBroker) observeStreams(observation reservation.Word, by api.NodeID) {
+func (b *slotBroker) observeStreams(observation reservation.Observation, by api.NodeID) {
 	for range min(observation.Streams, maxStreams) {
-		b.service.pool.ObserveStep(observation.Worker, observation.Step)
+		b.service.pool.ObserveStep(observation.Worker, observation.EventInterval)
 	}
 	slowness := b.service.pool.Slowness(observation.Worker)
 	if slowness > 1 == b.observationLog.slow[observation.Worker] {
@@ -78,7 +78,7 @@
 		b.observationLog.slow[observation.Worker] = true
 	}
 	b.service.log.WithFields(logrus.Fields{
-		"event": "worker_slow", "worker": observation.Worker, "peer": by, "slowness": slowness, "step_ms": observation.Step.Milliseconds(),
+		"event": "worker_slow", "worker": observation.Worker, "peer": by, "slowness": slowness, "step_ms": observation.EventInterval.Milliseconds(),
 	}).Info("Worker's streams became much slower than its reported pace and its peers suggest, or recovered (slowness 1).")
 }
 
--- a/internal/batchrun/heard_test.go
+++ b/internal/batchrun/heard_test.go
@@ -23,33 +23,33 @@
 )
 
 // observationReport returns a frontend's report with observations and without held slots.
-func observationReport(sequence uint64, observations ...reservation.Word) reservation.Report {
-	return reservation.Report{Node: "front", Sequence: sequence, Heard: observations}
+func observationReport(sequence uint64, observations ...reservation.Observation) reservation.Report {
+	return reservation.Report{Node: "front", Sequence: sequence, Observations: observations}
 }
 
 func TestWorkerChoiceUsesObservedPace(t *testing.T) {
 	long := time.Hour
 	tests := []struct {
 		name         string
-		observations []reservation.Word
+		observations []reservation.Observation
 		held         map[string]int
 		want         string // the frontend prefers w1
 	}{
 		{"no observations", nil, nil, "w1"},
-		{"preferred worker is slow", []reservation.Word{{Worker: "w0", Pace: 0.7}, {Worker: "w1", Pace: 1.7}}, nil, "w0"},
-		{"preferred worker is fast", []reservation.Word{{Worker: "w0", Pace: 1.7}, {Worker: "w1", Pace: 0.7}}, nil, "w1"},
-		{"fast worker is full", []reservation.Word{{Worker: "w0", Pace: 0.7}, {Worker: "w1", Pace: 1.7}}, map[string]int{"w0": 12}, "w1"},
-		{"observation too old", []reservation.Word{{Worker: "w0", Pace: 0.7, PaceAge: long}, {Worker: "w1", Pace: 1.7, PaceAge: long}}, nil, "w1"},
-		{"observation from the future", []reservation.Word{{Worker: "w0", Pace: 0.7, PaceAge: -long}, {Worker: "w1", Pace: 1.7, PaceAge: -long}}, nil, "w1"},
-		{"unknown worker", []reservation.Word{{Worker: "other", Pace: 0.7}}, nil, "w1"},
-		{"invalid pace", []reservation.Word{{Worker: "w0", Pace: -3}, {Worker: "w1"}}, nil, "w1"},
+		{"preferred worker is slow", []reservation.Observation{{Worker: "w0", Pace: 0.7}, {Worker: "w1", Pace: 1.7}}, nil, "w0"},
+		{"preferred worker is fast", []reservation.Observation{{Worker: "w0", Pace: 1.7}, {Worker: "w1", Pace: 0.7}}, nil, "w1"},
+		{"fast worker is full", []reservation.Observation{{Worker: "w0", Pace: 0.7}, {Worker: "w1", Pace: 1.7}}, map[string]int{"w0": 12}, "w1"},
+		{"observation too old", []reservation.Observation{{Worker: "w0", Pace: 0.7, PaceAge: long}, {Worker: "w1", Pace: 1.7, PaceAge: long}}, nil, "w1"},
+		{"observation from the future", []reservation.Observation{{Worker: "w0", Pace: 0.7, PaceAge: -long}, {Worker: "w1", Pace: 1.7, PaceAge: -long}}, nil, "w1"},
+		{"unknown worker", []reservation.Observation{{Worker: "other", Pace: 0.7}}, nil, "w1"},
+		{"invalid pace", []reservation.Observation{{Worker: "w0", Pace: -3}, {Worker: "w1"}}, nil, "w1"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			l := testLeader(t, 0, 2)
 			report := observationReport(1, test.observations...)
-			report.Held = test.held
-			_, got := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: report, Ask: askFor("w1", 0)})
+			report.InFlight = test.held
+			_, got := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: report, Request: askFor("w1", 0)})
 			if got.Worker != test.want {
 				t.Errorf("%+v", got)
 			}
@@ -63,9 +63,9 @@
 	if reported := broker.pacesForAnswer(l.service.currentLeaders(), "lm"); len(reported) > 0 {
 		t.Fatalf("answer has paces %v without observations", reported)
 	}
-	var observations []reservation.Word
+	var observations []reservation.Observation
 	for i := range 20 {
-		observations = append(observations, reservation.Word{Worker: fmt.Sprint("w", i), Pace: 0.5 + float64(i)/10})
+		observations = append(observations, reservation.Observation{Worker: fmt.Sprint("w", i), Pace: 0.5 + float64(i)/10})
 	}
 	broker.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: observationReport(1, observations...)})
 	reported := map[string]float64{}
@@ -85,9 +85,9 @@
 
 func TestReportWithTooManyPacesIsTruncated(t *testing.T) {
 	l := testLeader(t, 0, 100)
-	var observations []reservation.Word
+	var observations []reservation.Observation
 	for i := range 100 {
-		observations = append(observations, reservation.Word{Worker: fmt.Sprint("w", i), Pace: 2})
+		observations = append(observations, reservation.Observation{Worker: fmt.Sprint("w", i), Pace: 2})
 	}
 	l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: observationReport(1, observations...)})
 	known := 0
@@ -96,7 +96,7 @@
 			known++
 		}
 	}
-	if known != reservation.MaximumWords {
+	if known != reservation.MaxObservations {
 		t.Errorf("%d paces accepted", known)
 	}
 }
@@ -117,7 +117,7 @@
 	}
 	now := time.Now()
 	report := func(sequence uint64, pace float64) {
-		broker.handle(now, l.service.currentLeaders(), reservation.Message{Report: observationReport(sequence, reservation.Word{Worker: "w0", Pace: pace})})
+		broker.handle(now, l.service.currentLeaders(), reservation.Message{Report: observationReport(sequence, reservation.Observation{Worker: "w0", Pace: pace})})
 		now = now.Add(paceLogInterval)
 		broker.nextPaces(now, l.service.currentLeaders(), "lm")
 	}
@@ -136,13 +136,13 @@
 }
 
 // outcomeReport returns a node's first report, with observations.
-func outcomeReport(node api.NodeID, observations ...reservation.Word) reservation.Report {
-	return reservation.Report{Node: node, Sequence: 1, Heard: observations}
+func outcomeReport(node api.NodeID, observations ...reservation.Observation) reservation.Report {
+	return reservation.Report{Node: node, Sequence: 1, Observations: observations}
 }
 
 func TestFailingWorkerIsEjected(t *testing.T) {
-	at := func(id string, whole, broken int) reservation.Word {
-		return reservation.Word{Worker: id, Outcomes: worker.Outcomes{Succeeded: whole, Failed: broken}}
+	at := func(id string, whole, broken int) reservation.Observation {
+		return reservation.Observation{Worker: id, Outcomes: worker.Outcomes{Succeeded: whole, Failed: broken}}
 	}
 	tests := []struct {
 		name    string
@@ -166,7 +166,7 @@
 			for _, report := range each.reports {
 				l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: report})
 			}
-			_, got := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: heldReport(1, map[string]int{"w2": 12}), Ask: askFor("w1", 0)})
+			_, got := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: heldReport(1, map[string]int{"w2": 12}), Request: askFor("w1", 0)})
 			if got.Worker != each.want {
 				t.Errorf("%+v", got)
 			}
@@ -187,12 +187,12 @@
 			report := reservation.Report{Node: "front", Sequence: uint64(n + 1)}
 			for i, step := range []time.Duration{30, 200, 32, 34} {
 				id := fmt.Sprint("w", i)
-				report.Heard = append(report.Heard, reservation.Word{Worker: id, Pace: reported, Streams: 1, Step: step * time.Millisecond})
+				report.Observations = append(report.Observations, reservation.Observation{Worker: id, Pace: reported, Streams: 1, EventInterval: step * time.Millisecond})
 			}
 			l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: report})
 		}
-		report := reservation.Report{Node: "front", Sequence: 9, Heard: []reservation.Word{{Worker: "w1", Streams: 1, Step: 200 * time.Millisecond}, {Worker: "other", Streams: 1, Step: 1}}}
-		_, got := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: report, Ask: askFor("w1", 0)})
+		report := reservation.Report{Node: "front", Sequence: 9, Observations: []reservation.Observation{{Worker: "w1", Streams: 1, EventInterval: 200 * time.Millisecond}, {Worker: "other", Streams: 1, EventInterval: 1}}}
+		_, got := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: report, Request: askFor("w1", 0)})
 		if got.Worker == "" || got.Worker == "w1" {
 			t.Errorf("reported pace %v: %+v", reported, got)
 		}
@@ -227,7 +227,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			l := testLeader(t, 0, 0)
 			l.service.pool.WorkersChanged([]catalog.Change{{ID: "w", Worker: worker.Worker{ID: "w", Service: "lm", Slots: 4, StartedAt: test.listed}}})
-			report := observationReport(1, reservation.Word{Worker: "w", Born: test.observed, Pace: 1.7})
+			report := observationReport(1, reservation.Observation{Worker: "w", StartedAt: test.observed, Pace: 1.7})
 			l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: report})
 			if _, known := l.service.pool.PaceOf("w"); known != test.accepted {
 				t.Errorf("observation accepted: %t", known)
--- a/internal/batchrun/leader.go
+++ b/internal/batchrun/leader.go
@@ -52,12 +52,12 @@
 	proposedFailures int        // failures that were proposed
 	avoidWorker      string     // worker of the previous attempt
 	cancel           context.CancelFunc
-	worker           string        // ID of the worker that runs it
-	startedAt        time.Time     // start of the current run
-	preempted        bool          // the current run was preempted
-	preemptions      int           // number of preempted runs
-	openInJob        int           // unfinished items of its job
-	standing         fill.Standing // relative to the deadline
+	worker           string       // ID of the worker that runs it
+	startedAt        time.Time    // start of the current run
+	preempted        bool         // the current run was preempted
+	preemptions      int          // number of preempted runs
+	openInJob        int          // unfinished items of its job
+	standing         fill.Urgency // relative to the deadline
 }
 
 // Leader runs the open inline jobs of one group while this process leads it. It is safe for
@@ -81,7 +81,7 @@
 	ended      map[jobs.JobID]bool
 	backlog    *backlog
 	plan       *plan
-	lengths    *fill.Lengths
+	lengths    *fill.RunTimes
 	suspects   suspects
 	pollOffset int // position in the rotation of load polls
 }
@@ -90,7 +90,7 @@
 	l := &Leader{
 		service: service, group: group, state: state, propose: propose, log: service.log.WithField("group", group),
 		wake: make(chan struct{}, 1), checkpointNow: make(chan struct{}, 1), results: make(chan jobs.InlineResult, maxResultsPerCommand),
-		lengths: fill.NewLengths(), startedAt: time.Now(), running: map[*item]bool{}, ended: map[jobs.JobID]bool{}, backlog: newBacklog(), plan: newPlan(),
+		lengths: fill.NewRunTimes(), startedAt: time.Now(), running: map[*item]bool{}, ended: map[jobs.JobID]bool{}, backlog: newBacklog(), plan: newPlan(),
 	}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
 	return l
@@ -120,7 +120,7 @@
 		}
 		l.backlog.addOpen(job, tokens, indexes)
 		for _, index := range indexes {
-			l.waiting = append(l.waiting, &item{job: job, index: index, standing: fill.Usual})
+			l.waiting = append(l.waiting, &item{job: job, index: index, standing: fill.Normal})
 		}
 	}
 	l.sortWaiting()
@@ -159,7 +159,7 @@
 	l.mutex.Lock()
 	l.backlog.addSubmitted(job, items)
 	for index := range items {
-		l.waiting = append(l.waiting, &item{job: job, index: index, standing: fill.Usual})
+		l.waiting = append(l.waiting, &item{job: job, index: index, standing: fill.Normal})
 	}
 	l.sortWaiting()
 	l.mutex.Unlock()
@@ -201,7 +201,7 @@
 
 // missedRank is 1 for an item that will miss its deadline, else 0.
 func (i *item) missedRank() int {
-	if i.standing == fill.Missed {
+	if i.standing == fill.Late {
 		return 1
 	}
 	return 0
--- a/internal/batchrun/near_test.go
+++ b/internal/batchrun/near_test.go
@@ -18,14 +18,14 @@
 		zone      string
 		near, far int // free slots
 		items     int
-		standing  fill.Standing
+		standing  fill.Urgency
 		wantNear  int // -1: not checked
 	}{
-		{"enough slots in the zone", "a", 10, 10, 8, fill.Usual, 8},
-		{"overflow to other zones", "a", 3, 10, 8, fill.Usual, 3},
-		{"no slots in the zone", "a", 0, 10, 8, fill.Usual, 0},
-		{"unknown zone", "", 10, 10, 8, fill.Usual, -1},
-		{"pressed items", "a", 10, 10, 8, fill.Pressed, -1},
+		{"enough slots in the zone", "a", 10, 10, 8, fill.Normal, 8},
+		{"overflow to other zones", "a", 3, 10, 8, fill.Normal, 3},
+		{"no slots in the zone", "a", 0, 10, 8, fill.Normal, 0},
+		{"unknown zone", "", 10, 10, 8, fill.Normal, -1},
+		{"pressed items", "a", 10, 10, 8, fill.Urgent, -1},
 	} {
 		l := testLeader(t, 0, 0)
 		l.service.zoneWorkers = newZoneWorkers(test.zone)
--- a/internal/batchrun/places.go
+++ b/internal/batchrun/places.go
@@ -28,7 +28,7 @@
 	service *Service
 
 	mutex            sync.Mutex // guards the fields below; acquired before leaders' mutexes
-	book             *reservation.Book
+	book             *reservation.Ledger
 	queues           map[string]*reservation.Queue // by service
 	observedAt       time.Time                     // last observation of slots
 	observedWorkers  int                           // workers in that observation
@@ -55,7 +55,7 @@
 func (b *slotBroker) onlineAt(id string) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.book.Online(id)
+	return b.book.InFlight(id)
 }
 
 // serveSlots handles a frontend's report and its request for a slot, if there is one.
@@ -74,34 +74,34 @@
 	now := time.Now()
 	waiter, answer := b.handle(now, leaders, message)
 	if waiter != nil {
-		answer = b.await(r, waiter, message.Ask.Wait)
+		answer = b.await(r, waiter, message.Request.Wait)
 	}
-	if message.Ask != nil {
-		answer.Paces = b.pacesForAnswer(leaders, message.Ask.Service)
+	if message.Request != nil {
+		answer.Paces = b.pacesForAnswer(leaders, message.Request.Service)
 	}
 	transport.WriteJSON(w, http.StatusOK, answer)
 }
 
 // handle processes a message. It returns the answer, or the queued request if that has to wait.
-func (b *slotBroker) handle(now time.Time, leaders []*Leader, message reservation.Message) (*reservation.Waiting, reservation.Answer) {
+func (b *slotBroker) handle(now time.Time, leaders []*Leader, message reservation.Message) (*reservation.Waiter, reservation.Response) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.book.Report(now, message.Report)
 	b.applyObservations(now, leaders, message.Report)
 	b.grantWaiting(now, leaders)
-	if message.Ask == nil {
-		return nil, reservation.Answer{}
+	if message.Request == nil {
+		return nil, reservation.Response{}
 	}
 	for _, leader := range leaders {
 		if leader.warmingUp(now) {
-			return nil, reservation.Answer{Blind: true}
+			return nil, reservation.Response{WarmingUp: true}
 		}
 	}
-	ask := *message.Ask
+	ask := *message.Request
 	queue := b.queue(ask.Service)
-	waiter := reservation.Wait(now, message.Report.Node, ask)
-	if ask.Wait > 0 && ask.Returned {
-		queue.Arrived(now, waiter) // before the grant, so that an earlier promise counts
+	waiter := reservation.NewWaiter(now, message.Report.Node, ask)
+	if ask.Wait > 0 && ask.Returning {
+		queue.RecordArrival(now, waiter) // before the grant, so that an earlier promise counts
 	}
 	if queue.Len() == 0 {
 		if answer, ok := b.grant(now, leaders, waiter); ok {
@@ -113,60 +113,60 @@
 		return nil, queue.Full(now, waiter)
 	}
 	verdict := queue.Decide(now, waiter)
-	if verdict.Reject && ask.Elsewhere {
-		return nil, reservation.Answer{Hopeless: true, Waiting: queue.Len(), Until: verdict.ExpectedWait}
+	if verdict.Reject && ask.HasAlternative {
+		return nil, reservation.Response{NoSlotInTime: true, Waiting: queue.Len(), ExpectedWait: verdict.ExpectedWait}
 	}
 	b.recordArrival(now, queue, waiter)
 	if verdict.Reject {
-		return nil, b.refuse(now, reservation.Refused{Waiting: waiter, Verdict: verdict})
+		return nil, b.refuse(now, reservation.Rejected{Waiter: waiter, Decision: verdict})
 	}
 	queue.Add(waiter)
-	queue.Line.SetWaiting(now, true)
+	queue.Controller.SetWaiting(now, true)
 	b.waitingCounts.Store(ask.Service, queue.Len())
 	for _, leader := range leaders {
 		leader.wakeUp()
 	}
-	return waiter, reservation.Answer{}
+	return waiter, reservation.Response{}
 }
 
 // recordArrival counts a request once: when it is granted a slot, queued or finally refused.
-func (b *slotBroker) recordArrival(now time.Time, queue *reservation.Queue, waiter *reservation.Waiting) {
-	if !waiter.Ask.Returned || waiter.Ask.Wait <= 0 {
-		queue.Arrived(now, waiter)
+func (b *slotBroker) recordArrival(now time.Time, queue *reservation.Queue, waiter *reservation.Waiter) {
+	if !waiter.Request.Returning || waiter.Request.Wait <= 0 {
+		queue.RecordArrival(now, waiter)
 	}
 }
 
 // refuse answers a request that cannot get a slot in time. The caller holds the mutex.
-func (b *slotBroker) refuse(now time.Time, r reservation.Refused) reservation.Answer {
-	queue := b.queue(r.Ask.Service)
+func (b *slotBroker) refuse(now time.Time, r reservation.Rejected) reservation.Response {
+	queue := b.queue(r.Request.Service)
 	b.service.metrics.refused.Inc()
 	b.service.log.WithFields(logrus.Fields{
-		"event": "place_refused", "peer": r.Node, "service": r.Ask.Service, "waiting": queue.Len(), "ahead": r.Verdict.Ahead, "told": r.Verdict.PromisedAhead,
-		"rate": r.Verdict.Rate, "until_ms": r.Verdict.ExpectedWait.Milliseconds(), "begin_ms": r.Order.Target.Sub(now).Milliseconds(),
-		"last_ms": r.Order.Deadline.Sub(now).Milliseconds(), "waited_ms": now.Sub(r.Since).Milliseconds(), "returned": r.Ask.Returned,
-		"promised": !r.Order.Promised.IsZero(), "return_ms": r.Verdict.RetryAfter.Milliseconds(),
+		"event": "place_refused", "peer": r.Node, "service": r.Request.Service, "waiting": queue.Len(), "ahead": r.Decision.Ahead, "told": r.Decision.PromisedAhead,
+		"rate": r.Decision.Rate, "until_ms": r.Decision.ExpectedWait.Milliseconds(), "begin_ms": r.Order.Target.Sub(now).Milliseconds(),
+		"last_ms": r.Order.Deadline.Sub(now).Milliseconds(), "waited_ms": now.Sub(r.EnqueuedAt).Milliseconds(), "returned": r.Request.Returning,
+		"promised": !r.Order.Promised.IsZero(), "return_ms": r.Decision.RetryAfter.Milliseconds(),
 	}).Info("Refused a request that cannot get a slot in time.")
-	return reservation.Answer{Hopeless: true, RetryAfter: r.Verdict.RetryAfter, Waiting: queue.Len(), Until: r.Verdict.ExpectedWait}
+	return reservation.Response{NoSlotInTime: true, RetryAfter: r.Decision.RetryAfter, Waiting: queue.Len(), ExpectedWait: r.Decision.ExpectedWait}
 }
 
 // await waits until a queued request is answered, the time longest has passed or the client
 // disconnects.
-func (b *slotBroker) await(r *http.Request, waiter *reservation.Waiting, longest time.Duration) reservation.Answer {
+func (b *slotBroker) await(r *http.Request, waiter *reservation.Waiter, longest time.Duration) reservation.Response {
 	timer := time.NewTimer(longest)
 	defer timer.Stop()
 	select {
-	case answer := <-waiter.Place:
+	case answer := <-waiter.Response:
 		return answer
 	case <-timer.C:
 	case <-r.Context().Done():
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	queue := b.queue(waiter.Ask.Service)
+	queue := b.queue(waiter.Request.Service)
 	if !queue.Remove(waiter) {
-		return <-waiter.Place
+		return <-waiter.Response
 	}
-	b.waitingCounts.Store(waiter.Ask.Service, queue.Len())
+	b.waitingCounts.Store(waiter.Request.Service, queue.Len())
 	return queue.Full(time.Now(), waiter)
 }
 
@@ -195,7 +195,7 @@
 	counted := b.observeSlots(now, leaders)
 	for service, queue := range b.queues {
 		if queue.Len() == 0 {
-			queue.Line.SetWaiting(now, false)
+			queue.Controller.SetWaiting(now, false)
 			continue
 		}
 		for _, waiter := range queue.Sorted(now) {
@@ -204,12 +204,12 @@
 				break
 			}
 			queue.Remove(waiter)
-			waiter.Place <- answer
+			waiter.Response <- answer
 		}
 		if counted {
-			queue.Line.SetWaiting(now, queue.Len() > 0)
-			for _, refused := range queue.Refuse(now) {
-				refused.Place <- b.refuse(now, refused)
+			queue.Controller.SetWaiting(now, queue.Len() > 0)
+			for _, refused := range queue.Shed(now) {
+				refused.Response <- b.refuse(now, refused)
 			}
 		}
 		b.waitingCounts.Store(service, queue.Len())
@@ -227,7 +227,7 @@
 		return false
 	}
 	b.observedAt, b.observedWorkers = now, 0
-	ended := b.book.Ended()
+	ended := b.book.TakeEnded()
 	for _, name := range b.service.serviceNames() {
 		slots, held, ends := 0, 0, 0
 		b.service.pool.EachOccupancy(name, groupsOf(leaders), func(occupancy worker.Occupancy) {
@@ -235,10 +235,10 @@
 			ends += ended[occupancy.ID]
 			if occupancy.Usable {
 				slots += occupancy.Slots
-				held += min(b.book.Online(occupancy.ID), occupancy.Slots)
+				held += min(b.book.InFlight(occupancy.ID), occupancy.Slots)
 			}
 		})
-		b.queue(name).Line.Observe(now, slots, held, ends)
+		b.queue(name).Controller.Observe(now, slots, held, ends)
 	}
 	return true
 }
@@ -253,16 +253,16 @@
 			b.service.pool.ForgetHeld()
 		}
 		b.syncedGroups, b.syncedGeneration = groups, generation
-		b.book.Touched()
+		b.book.TakeChanged()
 		b.service.unreported.takeChanged()
 		for _, name := range b.service.serviceNames() {
 			for _, w := range b.service.pool.Workers(name, groups...) {
-				b.book.Began(w.Incarnation())
+				b.book.RecordStart(w.Incarnation())
 				held[w.ID] = b.heldAt(w.ID)
 			}
 		}
 	}
-	touched := b.book.Touched()
+	touched := b.book.TakeChanged()
 	for _, id := range b.service.unreported.takeChanged() {
 		touched[id] = true
 	}
@@ -278,10 +278,10 @@
 
 // heldAt returns the requests at a worker that are not this process's own. The caller holds the
 // mutex.
-func (b *slotBroker) heldAt(id string) int { return b.book.Online(id) + b.service.unreported.at(id) }
+func (b *slotBroker) heldAt(id string) int { return b.book.InFlight(id) + b.service.unreported.at(id) }
 
 // grant grants a request a free slot, else preempts an item for it. The caller holds the mutex.
-func (b *slotBroker) grant(now time.Time, leaders []*Leader, waiter *reservation.Waiting) (reservation.Answer, bool) {
+func (b *slotBroker) grant(now time.Time, leaders []*Leader, waiter *reservation.Waiter) (reservation.Response, bool) {
 	leaving := preemptedItems(leaders)
 	free := func(occupancy worker.Occupancy) bool {
 		return occupancy.Usable && occupancy.OtherInFlight+occupancy.InFlight-leaving[occupancy.ID] < occupancy.Slots
@@ -289,10 +289,10 @@
 	preemptible := func(occupancy worker.Occupancy) bool {
 		return occupancy.Usable && occupancy.OtherInFlight < occupancy.Slots && occupancy.InFlight > leaving[occupancy.ID]
 	}
-	id, ok := b.chooseWorker(leaders, waiter.Ask, free)
+	id, ok := b.chooseWorker(leaders, waiter.Request, free)
 	if !ok {
-		if id, ok = b.chooseWorker(leaders, waiter.Ask, preemptible); !ok {
-			return reservation.Answer{}, false
+		if id, ok = b.chooseWorker(leaders, waiter.Request, preemptible); !ok {
+			return reservation.Response{}, false
 		}
 		for _, leader := range leaders {
 			if leader.owns(id) {
@@ -300,17 +300,17 @@
 			}
 		}
 	}
-	grant := b.book.Give(now, waiter.Node, id)
-	b.queue(waiter.Ask.Service).Placed(now, waiter)
-	b.service.pool.Read(id, waiter.Ask.Parts)
+	grant := b.book.Grant(now, waiter.Node, id)
+	b.queue(waiter.Request.Service).RecordPlacement(now, waiter)
+	b.service.pool.Read(id, waiter.Request.Parts)
 	b.service.pool.SetHeld(map[string]int{id: b.heldAt(id)})
-	return reservation.Answer{Worker: id, Grant: grant}, true
+	return reservation.Response{Worker: id, Grant: grant}, true
 }
 
 // chooseWorker returns the frontend's preferred worker if that fits and is not slow, else the best
 // one that fits. For services whose workers report their pace it ignores the preference, since
 // this process has fresher data on its workers than a frontend.
-func (b *slotBroker) chooseWorker(leaders []*Leader, ask reservation.Ask, fits func(worker.Occupancy) bool) (string, bool) {
+func (b *slotBroker) chooseWorker(leaders []*Leader, ask reservation.Request, fits func(worker.Occupancy) bool) (string, bool) {
 	pool := b.service.pool
 	if wanted, listed := pool.OccupancyOf(ask.Worker); listed && wanted.Service == ask.Service && ownedByAny(leaders, ask.Worker) &&
 		!slices.Contains(ask.Excluded, ask.Worker) && fits(wanted) && !pool.Paced(ask.Service) && pool.Slowness(ask.Worker) == 1 {
--- a/internal/batchrun/places_test.go
+++ b/internal/batchrun/places_test.go
@@ -12,13 +12,13 @@
 )
 
 // askFor returns a request for a slot of the test service that prefers a worker.
-func askFor(worker string, wait time.Duration) *reservation.Ask {
-	return &reservation.Ask{Service: "lm", Worker: worker, Begin: time.Second, Last: time.Minute, Wait: wait}
+func askFor(worker string, wait time.Duration) *reservation.Request {
+	return &reservation.Request{Service: "lm", Worker: worker, TimeToTarget: time.Second, TimeToDeadline: time.Minute, Wait: wait}
 }
 
 // heldReport returns a frontend's report of held slots.
 func heldReport(sequence uint64, held map[string]int) reservation.Report {
-	return reservation.Report{Node: "front", Sequence: sequence, Held: held}
+	return reservation.Report{Node: "front", Sequence: sequence, InFlight: held}
 }
 
 // Workers have 12 slots each.
@@ -27,7 +27,7 @@
 		name    string
 		workers int
 		held    map[string]int
-		ask     *reservation.Ask
+		ask     *reservation.Request
 		want    string
 		full    bool
 	}{
@@ -35,13 +35,13 @@
 		{"preferred worker is full", 2, map[string]int{"w1": 12}, askFor("w1", 0), "w0", false},
 		{"one free slot", 1, map[string]int{"w0": 11}, askFor("w0", 0), "w0", false},
 		{"no free slot", 2, map[string]int{"w0": 12, "w1": 13}, askFor("w1", 0), "", true},
-		{"other worker is excluded", 2, map[string]int{"w1": 12}, &reservation.Ask{Service: "lm", Worker: "w1", Excluded: []string{"w0"}, Begin: time.Second, Last: time.Minute}, "", true},
-		{"unknown service", 2, nil, &reservation.Ask{Service: "other", Worker: "w0", Last: time.Minute}, "", true},
+		{"other worker is excluded", 2, map[string]int{"w1": 12}, &reservation.Request{Service: "lm", Worker: "w1", Excluded: []string{"w0"}, TimeToTarget: time.Second, TimeToDeadline: time.Minute}, "", true},
+		{"unknown service", 2, nil, &reservation.Request{Service: "other", Worker: "w0", TimeToDeadline: time.Minute}, "", true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			l := testLeader(t, 0, test.workers)
-			_, got := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: heldReport(1, test.held), Ask: test.ask})
+			_, got := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: heldReport(1, test.held), Request: test.ask})
 			if got.Worker != test.want || got.Full != test.full {
 				t.Errorf("%+v", got)
 			}
@@ -53,7 +53,7 @@
 	l := testLeader(t, 0, 2)
 	granted := 0
 	for range 30 {
-		if _, got := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: heldReport(1, nil), Ask: askFor("w0", 0)}); got.Worker != "" {
+		if _, got := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: heldReport(1, nil), Request: askFor("w0", 0)}); got.Worker != "" {
 			granted++
 		}
 	}
@@ -65,7 +65,7 @@
 func TestNewLeaderGrantsNothingDuringWarmUp(t *testing.T) {
 	l := testLeader(t, 0, 2)
 	l.startedAt = time.Now()
-	if _, got := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: heldReport(1, nil), Ask: askFor("w0", 0)}); !got.Blind {
+	if _, got := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: heldReport(1, nil), Request: askFor("w0", 0)}); !got.WarmingUp {
 		t.Errorf("%+v", got)
 	}
 }
@@ -74,14 +74,14 @@
 func TestRequestPreemptsItem(t *testing.T) {
 	l := testLeader(t, 12, 1)
 	for _, i := range l.waiting {
-		i.worker, i.cancel, i.standing = "w0", func() {}, fill.Usual
+		i.worker, i.cancel, i.standing = "w0", func() {}, fill.Normal
 		l.running[i] = true
 		if _, ok := l.service.pool.Take(l.queryOnly("w0")); !ok {
 			t.Fatal("no worker available")
 		}
 	}
 	for n := 1; n <= 13; n++ {
-		_, got := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: heldReport(1, nil), Ask: askFor("w0", 0)})
+		_, got := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: heldReport(1, nil), Request: askFor("w0", 0)})
 		preempted := preemptedItems(l.service.currentLeaders())["w0"]
 		if want := min(n, 12); preempted != want || (got.Worker == "w0") != (n <= 12) {
 			t.Errorf("request %d: %+v, %d items preempted", n, got, preempted)
@@ -95,40 +95,40 @@
 	broker, now := l.service.slots, time.Now()
 	full := heldReport(1, map[string]int{"w0": 12})
 	late, inTime, urgent := askFor("w0", time.Minute), askFor("w0", time.Minute), askFor("w0", time.Minute)
-	late.Begin = -time.Millisecond
+	late.TimeToTarget = -time.Millisecond
 	urgent.Rank = hold.Rank{Tenant: -1}
-	var waiters []*reservation.Waiting
-	for _, ask := range []*reservation.Ask{late, inTime, urgent} {
-		waiter, got := broker.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Ask: ask})
+	var waiters []*reservation.Waiter
+	for _, ask := range []*reservation.Request{late, inTime, urgent} {
+		waiter, got := broker.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Request: ask})
 		if waiter == nil {
 			t.Fatalf("%+v", got)
 		}
 		waiters = append(waiters, waiter)
 	}
-	if _, got := broker.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Ask: askFor("w0", 0)}); !got.Full || got.Waiting != 3 {
+	if _, got := broker.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Request: askFor("w0", 0)}); !got.Full || got.Waiting != 3 {
 		t.Errorf("later request: %+v", got)
 	}
 	for n, want := range []int{2, 1, 0} {
 		broker.handle(now, l.service.currentLeaders(), reservation.Message{Report: heldReport(uint64(n+2), map[string]int{"w0": 11 - n})})
 		for i, each := range waiters {
-			if granted := len(each.Place) == 1; granted != (i == want) {
+			if granted := len(each.Response) == 1; granted != (i == want) {
 				t.Errorf("slot %d: request %d granted: %t", n, i, granted)
 			}
 		}
-		<-waiters[want].Place
+		<-waiters[want].Response
 	}
 }
 
 func TestRequestThatCannotBeInTimeIsRefusedAtOnce(t *testing.T) {
 	l := testLeader(t, 0, 1)
 	ask := askFor("w0", time.Minute)
-	ask.Last = 10 * time.Millisecond
+	ask.TimeToDeadline = 10 * time.Millisecond
 	now := time.Now()
 	for i := range 20 { // 12 slots are freed per second
-		l.service.slots.queue("lm").Line.Observe(now.Add(time.Duration(i-20)*time.Second/12), 12, 12, 1)
+		l.service.slots.queue("lm").Controller.Observe(now.Add(time.Duration(i-20)*time.Second/12), 12, 12, 1)
 	}
-	waiter, got := l.service.slots.handle(now, l.service.currentLeaders(), reservation.Message{Report: heldReport(1, map[string]int{"w0": 12}), Ask: ask})
-	if waiter != nil || !got.Hopeless || got.RetryAfter <= ask.Last {
+	waiter, got := l.service.slots.handle(now, l.service.currentLeaders(), reservation.Message{Report: heldReport(1, map[string]int{"w0": 12}), Request: ask})
+	if waiter != nil || !got.NoSlotInTime || got.RetryAfter <= ask.TimeToDeadline {
 		t.Errorf("%+v", got)
 	}
 }
@@ -137,7 +137,7 @@
 func TestRequestLeavesQueueAfterWait(t *testing.T) {
 	l := testLeader(t, 0, 1)
 	broker := l.service.slots
-	waiter, got := broker.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: heldReport(1, map[string]int{"w0": 12}), Ask: askFor("w0", time.Minute)})
+	waiter, got := broker.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: heldReport(1, map[string]int{"w0": 12}), Request: askFor("w0", time.Minute)})
 	if waiter == nil {
 		t.Fatalf("%+v", got)
 	}
@@ -153,7 +153,7 @@
 	broker, now := l.service.slots, time.Now()
 	broker.handle(now, l.service.currentLeaders(), reservation.Message{Report: heldReport(1, map[string]int{"w0": 12})})
 	broker.refresh(now.Add(10 * time.Second))
-	if _, got := broker.handle(now, l.service.currentLeaders(), reservation.Message{Report: reservation.Report{Node: "other", Sequence: 1}, Ask: askFor("w0", 0)}); got.Worker != "w0" {
+	if _, got := broker.handle(now, l.service.currentLeaders(), reservation.Message{Report: reservation.Report{Node: "other", Sequence: 1}, Request: askFor("w0", 0)}); got.Worker != "w0" {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/batchrun/plan.go
+++ b/internal/batchrun/plan.go
@@ -50,7 +50,7 @@
 type serviceBudget struct {
 	usual, pressed int // slots for usual items, outside the reserve; for pressed items
 	running        int
-	start          fill.Start
+	start          fill.StartLimit
 	heldBack       int // items held back before an expected rise in demand
 }
 
@@ -112,14 +112,14 @@
 	if l.warmingUp(now) {
 		return
 	}
-	var workers []fill.Worker
+	var workers []fill.WorkerLoad
 	var ids []string
 	slots, online, running := 0, 0, 0
 	l.service.pool.EachOccupancy(service, []int{int(l.group)}, func(occupancy worker.Occupancy) {
 		if !occupancy.Usable {
 			return
 		}
-		w := fill.Worker{Slots: occupancy.Slots, Online: occupancy.OtherInFlight, Batch: occupancy.InFlight}
+		w := fill.WorkerLoad{Slots: occupancy.Slots, Online: occupancy.OtherInFlight, Batch: occupancy.InFlight}
 		b.free[occupancy.ID] = w.Free()
 		workers, ids = append(workers, w), append(ids, occupancy.ID)
 		if l.suspects.needsProbe(now, occupancy.ID) {
@@ -135,14 +135,14 @@
 	reserve := demand.Reserve(slots)
 	l.plan.averageRoom(now, service, max(float64(slots-online)-reserve, 1))
 	left := &serviceBudget{
-		usual: fill.Room(workers, reserve, waiting), pressed: fill.RoomPressed(workers, reserve, waiting), running: running,
-		start: demand.Start(now, slots, l.plan.need[service], l.plan.room[service]),
+		usual: fill.StartCapacity(workers, reserve, waiting), pressed: fill.UrgentStartCapacity(workers, reserve, waiting), running: running,
+		start: demand.StartLimit(now, slots, l.plan.need[service], l.plan.room[service]),
 	}
 	b.services[service] = left
 	l.logPeriod(service, demand, online)
 	l.logPlan(now, service, planSummary{slots: slots, online: online, waiting: waiting, reserve: reserve, start: left.start})
-	excess := fill.Excess(workers, waiting)
-	for i, early := range fill.Early(workers, reserve, waiting) {
+	excess := fill.RequiredPreemptions(workers, waiting)
+	for i, early := range fill.EarlyPreemptions(workers, reserve, waiting) {
 		if excess[i] > 0 {
 			l.preemptLocked(ids[i], excess[i], true)
 		}
@@ -205,14 +205,14 @@
 	})
 	list := make([]fill.Item, 0, len(items))
 	for _, i := range items {
-		each := fill.Item{Left: l.left(i)}
+		each := fill.Item{Remaining: l.left(i)}
 		if i.job.RunTarget > 0 {
 			each.Due = i.job.Due()
 		}
 		list = append(list, each)
 	}
-	l.plan.need[service] = fill.Need(now, list)
-	for n, standing := range fill.Stand(now, list, l.plan.room[service]) {
+	l.plan.need[service] = fill.RequiredSlots(now, list)
+	for n, standing := range fill.Urgencies(now, list, l.plan.room[service]) {
 		items[n].standing, items[n].openInJob = standing, open[items[n].job.ID]
 	}
 }
@@ -223,5 +223,5 @@
 	i.outputMutex.Lock()
 	received := len(i.text)
 	i.outputMutex.Unlock()
-	return l.lengths.Left(received)
+	return l.lengths.Remaining(received)
 }
--- a/internal/batchrun/plan_test.go
+++ b/internal/batchrun/plan_test.go
@@ -39,7 +39,7 @@
 		held[w.ID] = 12
 	}
 	held["w3"] = 10
-	l.service.slots.book.Report(time.Now(), reservation.Report{Node: "front", Sequence: 1, Held: held})
+	l.service.slots.book.Report(time.Now(), reservation.Report{Node: "front", Sequence: 1, InFlight: held})
 	l.dispatch()
 	l.mutex.Lock() // attempts at the refusing workers end concurrently
 	defer l.mutex.Unlock()
@@ -56,9 +56,9 @@
 // Items that will miss their deadline start last and are preempted first.
 func TestMissedItemsRunLast(t *testing.T) {
 	l := testLeader(t, 3, 1)
-	l.waiting[0].standing = fill.Missed
+	l.waiting[0].standing = fill.Late
 	l.sortWaiting()
-	if l.waiting[2].standing != fill.Missed {
+	if l.waiting[2].standing != fill.Late {
 		t.Error("item that will miss its deadline is not last in the queue")
 	}
 	for _, i := range l.waiting {
@@ -67,7 +67,7 @@
 	}
 	l.preemptLocked("w0", 1, true)
 	for i := range l.running {
-		if i.preempted != (i.standing == fill.Missed) {
+		if i.preempted != (i.standing == fill.Late) {
 			t.Errorf("item of standing %d preempted: %t", i.standing, i.preempted)
 		}
 	}
@@ -78,14 +78,14 @@
 	l := testLeader(t, 2, 1)
 	for n, i := range l.waiting {
 		i.worker, i.cancel = "w0", func() {}
-		i.standing = []fill.Standing{fill.Pressed, fill.Usual}[n]
+		i.standing = []fill.Urgency{fill.Urgent, fill.Normal}[n]
 		l.running[i] = true
 	}
 	for _, test := range []struct{ count, pressed int }{{1, 0}, {2, 1}} {
 		l.preemptLocked("w0", test.count, true)
 		pressed := 0
 		for i := range l.running {
-			if i.preempted && i.standing == fill.Pressed {
+			if i.preempted && i.standing == fill.Urgent {
 				pressed++
 			}
 		}
--- a/internal/batchrun/pressure_test.go
+++ b/internal/batchrun/pressure_test.go
@@ -23,7 +23,7 @@
 	l.service.pool.WorkersChanged([]catalog.Change{{ID: "w0", Worker: at}})
 	now := time.Now()
 	l.plan.demandFor("lm").Observe(now, 0)
-	l.service.slots.book.Report(now, reservation.Report{Node: "front", Sequence: 1, Held: map[string]int{"w0": 4}})
+	l.service.slots.book.Report(now, reservation.Report{Node: "front", Sequence: 1, InFlight: map[string]int{"w0": 4}})
 	l.service.slots.refresh(now)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -31,7 +31,7 @@
 		budget := newBudget()
 		l.planService(now, "lm", budget)
 		for _, i := range l.waiting {
-			i.standing = fill.Pressed
+			i.standing = fill.Urgent
 			if !l.running[i] {
 				l.tryStart(now, i, budget, map[string]bool{})
 			}
@@ -83,7 +83,7 @@
 			now := time.Now()
 			l.plan.demand["lm"] = test.demand(now)
 			for range 200 {
-				l.lengths.Whole(1000, test.run)
+				l.lengths.RecordCompleted(1000, test.run)
 			}
 			for _, i := range l.waiting {
 				i.service, i.job.Created, i.job.RunTarget = "lm", now, test.due
@@ -100,7 +100,7 @@
 				}
 			}
 			if n != test.want {
-				t.Errorf("%d items started, want %d; beside %d, needed %d, held back %d", n, test.want, budget.services["lm"].start.Beside(test.run), l.plan.need["lm"], budget.heldBack())
+				t.Errorf("%d items started, want %d; beside %d, needed %d, held back %d", n, test.want, budget.services["lm"].start.Capacity(test.run), l.plan.need["lm"], budget.heldBack())
 			}
 		})
 	}
--- a/internal/batchrun/refuse_test.go
+++ b/internal/batchrun/refuse_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	l := testLeader(t, 0, 1)
 	now := time.Now()
-	line := &l.service.slots.queue("lm").Line
+	line := &l.service.slots.queue("lm").Controller
 	for i := range 240 {
 		at := now.Add(time.Duration(i-240) * time.Second / 12)
 		line.Observe(at, 12, 12, 1)
@@ -27,9 +27,9 @@
 	return l, now, heldReport(1, map[string]int{"w0": 12})
 }
 
-func askWithDeadline(begin, last time.Duration) *reservation.Ask {
+func askWithDeadline(begin, last time.Duration) *reservation.Request {
 	ask := askFor("w0", time.Second)
-	ask.Begin, ask.Last = begin, last
+	ask.TimeToTarget, ask.TimeToDeadline = begin, last
 	return ask
 }
 
@@ -40,11 +40,11 @@
 	var waiting int
 	retryTimes := map[time.Duration]bool{}
 	for range 7 {
-		waiter, got := l.service.slots.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Ask: askWithDeadline(220*time.Millisecond, 3*time.Second)})
+		waiter, got := l.service.slots.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Request: askWithDeadline(220*time.Millisecond, 3*time.Second)})
 		switch {
 		case waiter != nil:
 			waiting++
-		case got.Hopeless && got.RetryAfter > 0 && got.Until > 220*time.Millisecond:
+		case got.NoSlotInTime && got.RetryAfter > 0 && got.ExpectedWait > 220*time.Millisecond:
 			retryTimes[got.RetryAfter] = true
 		default:
 			t.Fatalf("%+v", got)
@@ -60,17 +60,17 @@
 func TestWaitingRequestIsRefusedOnceItCannotBeInTime(t *testing.T) {
 	l, now, full := overloadedLeader(t)
 	broker := l.service.slots
-	waiter, got := broker.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Ask: askWithDeadline(220*time.Millisecond, 3*time.Second)})
+	waiter, got := broker.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Request: askWithDeadline(220*time.Millisecond, 3*time.Second)})
 	if waiter == nil {
 		t.Fatalf("%+v", got)
 	}
 	broker.refresh(now.Add(100 * time.Millisecond))
-	if len(waiter.Place) != 0 {
-		t.Fatalf("%+v while it can still be in time", <-waiter.Place)
+	if len(waiter.Response) != 0 {
+		t.Fatalf("%+v while it can still be in time", <-waiter.Response)
 	}
 	broker.refresh(now.Add(230 * time.Millisecond))
 	request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, reservation.Path, nil)
-	if got := broker.await(request, waiter, time.Minute); !got.Hopeless || got.RetryAfter <= 0 || broker.waitingCount("lm") != 0 {
+	if got := broker.await(request, waiter, time.Minute); !got.NoSlotInTime || got.RetryAfter <= 0 || broker.waitingCount("lm") != 0 {
 		t.Errorf("%+v, %d requests wait", got, broker.waitingCount("lm"))
 	}
 }
@@ -81,9 +81,9 @@
 	l, now, full := overloadedLeader(t)
 	ask := askWithDeadline(-time.Millisecond, time.Second)
 	ask.Wait = 0
-	_, got := l.service.slots.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Ask: ask})
-	if !got.Full || got.Until <= ask.Last || l.service.slots.queue("lm").Line.Promises() != 0 {
-		t.Errorf("%+v, %d promises", got, l.service.slots.queue("lm").Line.Promises())
+	_, got := l.service.slots.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Request: ask})
+	if !got.Full || got.ExpectedWait <= ask.TimeToDeadline || l.service.slots.queue("lm").Controller.Promises() != 0 {
+		t.Errorf("%+v, %d promises", got, l.service.slots.queue("lm").Controller.Promises())
 	}
 }
 
@@ -92,7 +92,7 @@
 	l := testLeader(t, 0, 1)
 	for range 50 {
 		waiter, got := l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{
-			Report: heldReport(1, map[string]int{"w0": 12}), Ask: askWithDeadline(200*time.Millisecond, 3*time.Second),
+			Report: heldReport(1, map[string]int{"w0": 12}), Request: askWithDeadline(200*time.Millisecond, 3*time.Second),
 		})
 		if waiter == nil {
 			t.Fatalf("%+v", got)
@@ -104,13 +104,13 @@
 func TestNoPromiseToRequestThatAsksElsewhere(t *testing.T) {
 	l, now, full := overloadedLeader(t)
 	ask := askWithDeadline(-time.Millisecond, 3*time.Second)
-	ask.Elsewhere = true
-	line := &l.service.slots.queue("lm").Line
-	if waiter, got := l.service.slots.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Ask: ask}); waiter != nil || !got.Hopeless || line.Promises() != 0 {
+	ask.HasAlternative = true
+	line := &l.service.slots.queue("lm").Controller
+	if waiter, got := l.service.slots.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Request: ask}); waiter != nil || !got.NoSlotInTime || line.Promises() != 0 {
 		t.Errorf("%+v, %d promises", got, line.Promises())
 	}
-	ask.Elsewhere = false
-	if waiter, got := l.service.slots.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Ask: ask}); waiter != nil || !got.Hopeless || line.Promises() != 1 {
+	ask.HasAlternative = false
+	if waiter, got := l.service.slots.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Request: ask}); waiter != nil || !got.NoSlotInTime || line.Promises() != 1 {
 		t.Errorf("%+v, %d promises", got, line.Promises())
 	}
 }
--- a/internal/batchrun/run.go
+++ b/internal/batchrun/run.go
@@ -78,7 +78,7 @@
 	defer l.mutex.Unlock()
 	delete(l.running, i)
 	took := time.Since(i.startedAt)
-	l.lengths.Ran(workerID, received, took)
+	l.lengths.RecordRun(workerID, received, took)
 	if verdict == verdictInterrupted {
 		l.suspects.interrupted(time.Now(), workerID, i)
 	} else {
@@ -88,7 +88,7 @@
 		if i.attempts != 1 {
 			took = 0 // a resumed run is shorter than the whole item
 		}
-		l.lengths.Whole(len(i.text), took)
+		l.lengths.RecordCompleted(len(i.text), took)
 	}
 	i.worker, i.preempted = "", false
 	if verdict == verdictDone {
--- a/internal/batchrun/tell.go
+++ b/internal/batchrun/tell.go
@@ -12,7 +12,7 @@
 type planSummary struct {
 	slots, online, waiting int
 	reserve                float64
-	start                  fill.Start
+	start                  fill.StartLimit
 }
 
 // logPlan logs the plan of a service, at most once per planLogInterval and only while there are
@@ -24,27 +24,27 @@
 	l.plan.loggedAt[service] = now
 	pressed := 0
 	for _, i := range l.waiting {
-		if i.standing == fill.Pressed {
+		if i.standing == fill.Urgent {
 			pressed++
 		}
 	}
 	pressedRunning := 0
 	for i := range l.running {
-		if i.standing == fill.Pressed {
+		if i.standing == fill.Urgent {
 			pressedRunning++
 		}
 	}
 	l.log.WithFields(logrus.Fields{
 		"event": "batch_plan", "service": service, "slots": summary.slots, "online": summary.online, "online_waiting": summary.waiting, "reserve": int(summary.reserve),
 		"running": len(l.running), "waiting": len(l.waiting), "pressed_waiting": pressed, "pressed_running": pressedRunning,
-		"room_mean": int(l.plan.room[service]), "run_ms": l.lengths.Run().Milliseconds(),
-		"need": l.plan.need[service], "period_ms": l.plan.loggedPeriod[service].Milliseconds(), "bounded": summary.start.Bounded(), "beside": summary.start.Beside(l.lengths.Run()),
+		"room_mean": int(l.plan.room[service]), "run_ms": l.lengths.Mean().Milliseconds(),
+		"need": l.plan.need[service], "period_ms": l.plan.loggedPeriod[service].Milliseconds(), "bounded": summary.start.Limited(), "beside": summary.start.Capacity(l.lengths.Mean()),
 	}).Info("Batch capacity plan.")
 }
 
 // logPeriod logs changes of the detected period of online demand.
 func (l *Leader) logPeriod(service string, demand *fill.Demand, online int) {
-	period, before := demand.Rhythm().Period(), l.plan.loggedPeriod[service]
+	period, before := demand.Forecast().Period(), l.plan.loggedPeriod[service]
 	if period == before {
 		return
 	}
--- a/internal/catalog/configuration.go
+++ b/internal/catalog/configuration.go
@@ -31,7 +31,7 @@
 	c.configuration.Store(decoded)
 	c.log.WithFields(logrus.Fields{
 		"event": "configuration_changed", "version": decoded.Version, "before": before, "routes": len(decoded.Routes),
-		"tenants": decoded.Tenants(), "from": from,
+		"tenants": decoded.TenantCount(), "from": from,
 	}).Info("Applied a newer configuration.")
 	for _, problem := range decoded.Problems {
 		c.log.WithFields(logrus.Fields{"event": "configuration_problem", "version": decoded.Version}).WithError(problem).Error("Part of the configuration was not applied.")
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -91,7 +91,7 @@
 	if echoed != "" && echoed != sent {
 		return api.NewError(step, string(call.Worker), api.CodeOutcomeUnknown, api.OutcomeUnknown, "the answer is for request %q, not %q", echoed, sent)
 	}
-	outcome := retry.OutcomeOfAnswer(retry.BackendAnswer{
+	outcome := retry.OutcomeOfResponse(retry.BackendResponse{
 		Status: response.StatusCode, Outcome: api.Outcome(response.Header.Get(api.HeaderOutcome)),
 		RetryAfter:  response.Header.Get("Retry-After") != "",
 		Application: strings.HasPrefix(call.Path, jobs.ServicesPath),
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -109,8 +109,8 @@
 
 // runAndDrain simulates a scenario until all requests have ended and returns the
 // violated invariants.
-func runAndDrain(scenario Scenario, strategy Strategy, seed uint64, filling admission.Filling) []string {
-	f := newFleet(scenario, strategy, seed, admission.Settings{Reserve: admission.DefaultReserve, Filling: filling})
+func runAndDrain(scenario Scenario, strategy Strategy, seed uint64, filling admission.BatchPolicy) []string {
+	f := newFleet(scenario, strategy, seed, admission.Settings{Reserve: admission.DefaultReserve, BatchPolicy: filling})
 	f.run([][]arrival{onlineTrace(scenario, scenario.Services[0], seed)}, generateBatchJobs(scenario, strategy, seed))
 	for _, backlog := range f.backlogs {
 		backlog.waiting, backlog.returned = nil, nil
@@ -129,7 +129,7 @@
 	healthy.Events = nil
 	for seed := range uint64(8) {
 		for name, scenario := range map[string]Scenario{"with faults": parseShort(t), "quiet": healthy} {
-			if violations := runAndDrain(scenario, StrategyOurs, seed, admission.Filling{}); len(violations) > 0 {
+			if violations := runAndDrain(scenario, StrategyOurs, seed, admission.BatchPolicy{}); len(violations) > 0 {
 				t.Fatalf("%s, seed %d: %v", name, seed, violations)
 			}
 		}
@@ -153,11 +153,11 @@
 		"priority inverted":       {healthy, admission.FaultInvertPriority, "has priority"},
 		"allowance ignored":       {parseShort(t), admission.FaultIgnoreAllowance, "batch requests of"},
 		"slot leaked":             {parseShort(t), admission.FaultLeakSlot, "not in flight"},
-		"suspended forgotten":     {parseShort(t), admission.FaultForgetSuspended, "after all ended"},
-		"online delayed":          {parseShort(t), admission.FaultDelayOnline, "refused"},
+		"suspended forgotten":     {parseShort(t), admission.FaultNeverResume, "after all ended"},
+		"online delayed":          {parseShort(t), admission.FaultRefuseOnline, "refused"},
 	}
 	for name, test := range cases {
-		filling := admission.DefaultFilling()
+		filling := admission.DefaultBatchPolicy()
 		filling.Fault = test.fault
 		violations := runAndDrain(test.scenario, StrategyOurs, 1, filling)
 		if !strings.Contains(strings.Join(violations, "\n"), test.want) || len(violations) == 0 {
--- a/internal/experiment/router.go
+++ b/internal/experiment/router.go
@@ -88,7 +88,7 @@
 	now := r.fleet.simulation.Now()
 	for _, worker := range r.fleet.listed {
 		process := r.fleet.engines[worker.ID]
-		if process.dead || !r.machine.Homes(worker.ID) {
+		if process.dead || !r.machine.IsHomeOf(worker.ID) {
 			continue
 		}
 		load := process.engine.Load(now)
--- a/internal/experiment/strategy.go
+++ b/internal/experiment/strategy.go
@@ -44,7 +44,7 @@
 // settings adapts the admission settings to the strategy.
 func (s Strategy) settings(settings admission.Settings) admission.Settings {
 	if s == StrategyNoPriority || s == StrategySplit {
-		settings.Filling = admission.FillFreeSlots()
+		settings.BatchPolicy = admission.GreedyBatchPolicy()
 	}
 	return settings
 }
--- a/internal/frontend/heard.go
+++ b/internal/frontend/heard.go
@@ -42,7 +42,7 @@
 	paceAt          time.Time
 	streamTime      time.Duration // sum of the intervals between events
 	streamIntervals int
-	reservation.Word
+	reservation.Observation
 }
 
 // update applies change to the pending observation of a worker. If
@@ -59,7 +59,7 @@
 		if len(o.pending) >= maxPendingObservations {
 			return
 		}
-		p = &pendingObservation{createdAt: now, Word: reservation.Word{Worker: w.ID, Born: w.StartedAt}}
+		p = &pendingObservation{createdAt: now, Observation: reservation.Observation{Worker: w.ID, StartedAt: w.StartedAt}}
 		o.pending[w] = p
 	}
 	change(p)
@@ -105,30 +105,30 @@
 }
 
 // drain returns and removes the observations of workers for which mine returns true, at
-// most reservation.MaximumWords, sorted by worker. Expired observations are removed,
+// most reservation.MaxObservations, sorted by worker. Expired observations are removed,
 // too.
-func (o *observations) drain(now time.Time, filter func(id string) bool) (list []reservation.Word) {
+func (o *observations) drain(now time.Time, filter func(id string) bool) (list []reservation.Observation) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.removeExpired(now)
 	for w, p := range o.pending {
-		if len(list) == reservation.MaximumWords {
+		if len(list) == reservation.MaxObservations {
 			break
 		}
 		if !filter(w.ID) {
 			continue
 		}
-		observation := p.Word
+		observation := p.Observation
 		if observation.Pace > 0 {
 			observation.PaceAge = now.Sub(p.paceAt)
 		}
 		if p.streamIntervals > 0 {
-			observation.Step = p.streamTime / time.Duration(p.streamIntervals)
+			observation.EventInterval = p.streamTime / time.Duration(p.streamIntervals)
 		}
 		list = append(list, observation)
 		delete(o.pending, w)
 	}
-	slices.SortFunc(list, func(a, b reservation.Word) int { return strings.Compare(a.Worker, b.Worker) })
+	slices.SortFunc(list, func(a, b reservation.Observation) int { return strings.Compare(a.Worker, b.Worker) })
 	return list
 }
 
--- a/internal/frontend/heard_test.go
+++ b/internal/frontend/heard_test.go
@@ -31,7 +31,7 @@
 		if _, refusal := r.reserve(context.Background(), worker.Query{Service: "s", Excluded: []string{"wb"}}, startWithin(time.Second), attemptInfo{}, nil); refusal != nil {
 			t.Fatal(refusal)
 		}
-		observed := a.lastMessage().Report.Heard
+		observed := a.lastMessage().Report.Observations
 		if len(observed) != want {
 			t.Fatalf("reported %v", observed)
 		}
@@ -88,7 +88,7 @@
 			t.Fatal(refusal)
 		}
 		var got worker.Outcomes
-		for _, observation := range a.lastMessage().Report.Heard {
+		for _, observation := range a.lastMessage().Report.Observations {
 			if observation.Worker != "wa" {
 				t.Errorf("report includes worker %s", observation.Worker)
 			}
@@ -131,7 +131,7 @@
 			o.recordStream(now, incarnation("w"), pace)
 			o.recordStream(now, incarnation("other"), streamPace{events: 20, workerTime: time.Second})
 			observed := o.drain(now, func(id string) bool { return id == "w" })
-			if len(observed) > 1 || len(observed) == 1 != (test.want > 0) || test.want > 0 && (observed[0].Step != test.want || observed[0].Streams != 1) {
+			if len(observed) > 1 || len(observed) == 1 != (test.want > 0) || test.want > 0 && (observed[0].EventInterval != test.want || observed[0].Streams != 1) {
 				t.Errorf("reported %v", observed)
 			}
 			if again := o.drain(now.Add(2*observationTTL), func(string) bool { return true }); len(again) != 0 || len(o.pending) != 0 {
@@ -154,7 +154,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			rule := answersWith(reservation.Answer{Worker: "wa", Grant: 1, Paces: test.paces})
+			rule := answersWith(reservation.Response{Worker: "wa", Grant: 1, Paces: test.paces})
 			r := newTestReservations(t, &fakeLeader{rule: rule}, &fakeLeader{rule: rule})
 			r.reserve(context.Background(), worker.Query{Service: "s"}, startWithin(time.Second), attemptInfo{}, nil)
 			if got := r.pool.Paced("s"); got != test.known {
@@ -181,7 +181,7 @@
 		if len(o.pending) != maxPendingObservations {
 			t.Errorf("%d pending observations", len(o.pending))
 		}
-		if n := len(o.drain(time.Now(), all)); n != reservation.MaximumWords {
+		if n := len(o.drain(time.Now(), all)); n != reservation.MaxObservations {
 			t.Errorf("%d observations in one report", n)
 		}
 		time.Sleep(observationTTL + time.Millisecond)
--- a/internal/frontend/held.go
+++ b/internal/frontend/held.go
@@ -19,7 +19,7 @@
 	state := r.leader(peer.ID)
 	state.reportPending, state.reportedAt = false, time.Now()
 	r.sequence++
-	report := reservation.Report{Node: r.self, Sequence: r.sequence, Seen: state.lastGrant, Held: map[string]int{}}
+	report := reservation.Report{Node: r.self, Sequence: r.sequence, LastGrant: state.lastGrant, InFlight: map[string]int{}}
 	for w, n := range r.inFlight {
 		if other, ok := r.leaderOf(w.ID); !ok || other.ID != peer.ID {
 			continue
@@ -33,7 +33,7 @@
 		other, ok := r.leaderOf(id)
 		return ok && other.ID == peer.ID
 	}
-	report.Heard = r.observations.drain(state.reportedAt, filter)
+	report.Observations = r.observations.drain(state.reportedAt, filter)
 	return report
 }
 
--- a/internal/frontend/identity.go
+++ b/internal/frontend/identity.go
@@ -67,7 +67,7 @@
 		return "", false
 	}
 	request := f.protocol.ReadRequest(r.Header)
-	found, ok := f.identify(configuration, request, configuration.TakesPublicJobs(hostOf(r)))
+	found, ok := f.identify(configuration, request, configuration.HasPublicBatchRoute(hostOf(r)))
 	if !ok {
 		f.writeJobError(w, "identify tenant", call, f.unknownKeyError(request))
 		return "", false
--- a/internal/frontend/jobs.go
+++ b/internal/frontend/jobs.go
@@ -24,7 +24,7 @@
 
 // jobGroup returns the store group that owns a job. All frontends compute the same one.
 func (f *Frontend) jobGroup(job string) api.GroupID {
-	return placement.GroupOf(api.TenantID(job), f.node.Settings.Store.Groups)
+	return placement.TenantGroup(api.TenantID(job), f.node.Settings.Store.Groups)
 }
 
 // submitJob submits a batch job to the stores and answers 202 once it is committed.
@@ -45,8 +45,8 @@
 		return
 	}
 	command := jobs.Command{SubmitInline: &jobs.SubmitInline{
-		Job: jobs.JobID(x.request.ID), Tenant: api.TenantID(x.identity.tenant.Name), Host: hostOf(x.r), Queue: x.queueName(), Items: items, RunTarget: x.route.RunTarget, Keep: x.route.Keep,
-		Retain: max(x.route.Keep, f.node.Settings.Batch.Retention) + retainMargin,
+		Job: jobs.JobID(x.request.ID), Tenant: api.TenantID(x.identity.tenant.Name), Host: hostOf(x.r), Queue: x.queueName(), Items: items, RunTarget: x.route.CompletionTarget, Keep: x.route.AbandonAfter,
+		Retain: max(x.route.AbandonAfter, f.node.Settings.Batch.Retention) + retainMargin,
 	}}
 	result, err := f.stores.Command(ctx, f.jobGroup(x.request.ID), command)
 	if err != nil {
--- a/internal/frontend/places.go
+++ b/internal/frontend/places.go
@@ -189,11 +189,11 @@
 		if !known || r.backingOff(peer.ID) {
 			return r.trackUnreserved(ticket), nil
 		}
-		answer, err := r.requestSlot(ctx, peer, ticket, query, entry, reservation.Ask{
-			Wait: wait, Returned: attempt.callerRetry, Again: requeued, Elsewhere: wait > 0 && refusedBy == "" && len(full) > 1,
+		answer, err := r.requestSlot(ctx, peer, ticket, query, entry, reservation.Request{
+			Wait: wait, Returning: attempt.callerRetry, Requeued: requeued, HasAlternative: wait > 0 && refusedBy == "" && len(full) > 1,
 		})
 		switch {
-		case err != nil || answer.Blind:
+		case err != nil || answer.WarmingUp:
 			if ctx.Err() != nil {
 				ticket.End()
 				return nil, nil
@@ -201,11 +201,11 @@
 			return r.trackUnreserved(ticket), nil
 		case answer.Worker != "":
 			return r.acceptGrant(peer, ticket, query, answer), nil
-		case answer.Hopeless && wait > 0 && refusedBy == "" && answer.RetryAfter == 0: // no slot was promised
+		case answer.NoSlotInTime && wait > 0 && refusedBy == "" && answer.RetryAfter == 0: // no slot was promised
 			refusedBy = peer.ID
 			ticket.End()
 			continue
-		case answer.Hopeless && wait > 0:
+		case answer.NoSlotInTime && wait > 0:
 			ticket.End()
 			return nil, noSlotInTimeError(peer, answer)
 		}
@@ -244,7 +244,7 @@
 
 // noSlotInTimeError returns the error for a request that a leader refused since no slot
 // will be free in time.
-func noSlotInTimeError(peer api.Node, answer reservation.Answer) *api.Error {
+func noSlotInTimeError(peer api.Node, answer reservation.Response) *api.Error {
 	failure := api.NewError("ask for a place", string(peer.ID), api.CodeNoCapacity, api.OutcomeNotRun,
 		"%d requests are queued there and no slot will be free in time", answer.Waiting)
 	failure.RetryAfter = answer.RetryAfter
@@ -308,10 +308,10 @@
 }
 
 // requestSlot asks a leader to reserve a slot, and updates what is known of the leader.
-func (r *reservations) requestSlot(ctx context.Context, peer api.Node, ticket *backend.Ticket, query worker.Query, entry hold.Request, ask reservation.Ask) (reservation.Answer, error) {
+func (r *reservations) requestSlot(ctx context.Context, peer api.Node, ticket *backend.Ticket, query worker.Query, entry hold.Request, ask reservation.Request) (reservation.Response, error) {
 	wait := ask.Wait
 	ask.Service, ask.Worker, ask.Parts, ask.Tokens, ask.Excluded = query.Service, ticket.Worker.ID, query.Parts, query.Tokens, query.Excluded
-	ask.Zone, ask.Rank, ask.Begin, ask.Last = r.zone, entry.Rank, time.Until(entry.Target), time.Until(entry.Deadline)
+	ask.Zone, ask.Rank, ask.TimeToTarget, ask.TimeToDeadline = r.zone, entry.Rank, time.Until(entry.Target), time.Until(entry.Deadline)
 	if !entry.Promised.IsZero() {
 		due := time.Until(entry.Promised)
 		ask.Promise = &due
@@ -338,28 +338,28 @@
 	case answer.Worker != "":
 		state.queued, state.expectedWait = 0, 0
 		r.metrics.reservations.WithLabelValues("given").Inc()
-	case answer.Full || answer.Hopeless && wait == 0:
-		state.fullUntil, state.queued, state.expectedWait = time.Now().Add(fullTTL), answer.Waiting, answer.Until
+	case answer.Full || answer.NoSlotInTime && wait == 0:
+		state.fullUntil, state.queued, state.expectedWait = time.Now().Add(fullTTL), answer.Waiting, answer.ExpectedWait
 		r.metrics.reservations.WithLabelValues("full").Inc()
-	case answer.Hopeless:
-		state.fullUntil, state.queued, state.expectedWait = time.Now().Add(fullTTL), answer.Waiting, answer.Until
+	case answer.NoSlotInTime:
+		state.fullUntil, state.queued, state.expectedWait = time.Now().Add(fullTTL), answer.Waiting, answer.ExpectedWait
 		r.metrics.reservations.WithLabelValues("hopeless").Inc()
-	case answer.Blind:
+	case answer.WarmingUp:
 		r.metrics.reservations.WithLabelValues("blind").Inc()
 	}
 	return answer, err
 }
 
 // send sends a report to a leader, with a reservation request if ask is not nil.
-func (r *reservations) send(ctx context.Context, peer api.Node, ask *reservation.Ask) (answer reservation.Answer, err error) {
-	message := reservation.Message{Report: r.buildReport(peer), Ask: ask}
+func (r *reservations) send(ctx context.Context, peer api.Node, ask *reservation.Request) (answer reservation.Response, err error) {
+	message := reservation.Message{Report: r.buildReport(peer), Request: ask}
 	err = transport.Call(ctx, r.client, "ask for a place", peer.Address, reservation.Path, message, &answer)
 	return answer, err
 }
 
 // acceptGrant uses a slot that a leader has reserved. If the granted worker is unknown
 // here or not usable, the frontend's own choice is kept.
-func (r *reservations) acceptGrant(peer api.Node, ticket *backend.Ticket, query worker.Query, answer reservation.Answer) *backend.Ticket {
+func (r *reservations) acceptGrant(peer api.Node, ticket *backend.Ticket, query worker.Query, answer reservation.Response) *backend.Ticket {
 	if answer.Worker != ticket.Worker.ID {
 		query.WorkerID = answer.Worker
 		if other, ok := r.pool.Take(query); ok {
--- a/internal/frontend/places_test.go
+++ b/internal/frontend/places_test.go
@@ -30,7 +30,7 @@
 type fakeLeader struct {
 	mutex    sync.Mutex // guards messages
 	messages []reservation.Message
-	rule     func(ask reservation.Ask) (reservation.Answer, bool) // false: drop the connection
+	rule     func(ask reservation.Request) (reservation.Response, bool) // false: drop the connection
 }
 
 func (l *fakeLeader) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -39,9 +39,9 @@
 	l.mutex.Lock()
 	l.messages = append(l.messages, message)
 	l.mutex.Unlock()
-	answer := reservation.Answer{}
-	if message.Ask != nil {
-		given, ok := l.rule(*message.Ask)
+	answer := reservation.Response{}
+	if message.Request != nil {
+		given, ok := l.rule(*message.Request)
 		if !ok {
 			panic(http.ErrAbortHandler)
 		}
@@ -54,7 +54,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, message := range l.messages {
-		if message.Ask != nil {
+		if message.Request != nil {
 			n++
 		}
 	}
@@ -99,17 +99,19 @@
 	}
 }
 
-func grants(id string) func(reservation.Ask) (reservation.Answer, bool) {
-	return func(reservation.Ask) (reservation.Answer, bool) {
-		return reservation.Answer{Worker: id, Grant: 7}, true
+func grants(id string) func(reservation.Request) (reservation.Response, bool) {
+	return func(reservation.Request) (reservation.Response, bool) {
+		return reservation.Response{Worker: id, Grant: 7}, true
 	}
 }
 
-func answersWith(answer reservation.Answer) func(reservation.Ask) (reservation.Answer, bool) {
-	return func(reservation.Ask) (reservation.Answer, bool) { return answer, true }
+func answersWith(answer reservation.Response) func(reservation.Request) (reservation.Response, bool) {
+	return func(reservation.Request) (reservation.Response, bool) { return answer, true }
 }
 
-func dropsConnection(reservation.Ask) (reservation.Answer, bool) { return reservation.Answer{}, false }
+func dropsConnection(reservation.Request) (reservation.Response, bool) {
+	return reservation.Response{}, false
+}
 
 // startWithin returns a request that may wait that long.
 func startWithin(within time.Duration) hold.Request {
@@ -118,17 +120,17 @@
 }
 
 func TestReserveFollowsLeaderAnswers(t *testing.T) {
-	noSlot := answersWith(reservation.Answer{Hopeless: true, RetryAfter: time.Second, Waiting: 9})
-	full := answersWith(reservation.Answer{Full: true, Waiting: 1})
-	later := func(ask reservation.Ask) (reservation.Answer, bool) { // requests that wait get a slot
+	noSlot := answersWith(reservation.Response{NoSlotInTime: true, RetryAfter: time.Second, Waiting: 9})
+	full := answersWith(reservation.Response{Full: true, Waiting: 1})
+	later := func(ask reservation.Request) (reservation.Response, bool) { // requests that wait get a slot
 		if ask.Wait > 0 {
-			return reservation.Answer{Worker: "wb", Grant: 1}, true
+			return reservation.Response{Worker: "wb", Grant: 1}, true
 		}
-		return reservation.Answer{Full: true}, true
+		return reservation.Response{Full: true}, true
 	}
 	tests := []struct {
 		name   string
-		a, b   func(reservation.Ask) (reservation.Answer, bool)
+		a, b   func(reservation.Request) (reservation.Response, bool)
 		within time.Duration
 		want   string // worker; "any": either; empty: refused
 	}{
@@ -140,7 +142,7 @@
 		{"no slot in time at either", noSlot, noSlot, time.Minute, ""},
 		{"both full, no time left", full, full, -time.Millisecond, ""},
 		{"grant of an unknown worker", grants("wa"), grants("unknown"), time.Minute, "any"},
-		{"leaders that have just started", answersWith(reservation.Answer{Blind: true}), answersWith(reservation.Answer{Blind: true}), time.Minute, "any"},
+		{"leaders that have just started", answersWith(reservation.Response{WarmingUp: true}), answersWith(reservation.Response{WarmingUp: true}), time.Minute, "any"},
 		{"leaders that don't answer", dropsConnection, dropsConnection, time.Minute, "any"},
 	}
 	for _, test := range tests {
@@ -191,19 +193,19 @@
 func TestWorkerThatLeavesDuringReservationIsNotUsed(t *testing.T) {
 	tests := []struct {
 		name    string
-		answer  reservation.Answer
+		answer  reservation.Response
 		removed bool // the worker is removed; otherwise it is leaving
 	}{
-		{"granted, worker removed", reservation.Answer{Worker: "wa", Grant: 7}, true},
-		{"granted, worker leaving", reservation.Answer{Worker: "wa", Grant: 7}, false},
-		{"leader has just started, worker removed", reservation.Answer{Blind: true}, true},
+		{"granted, worker removed", reservation.Response{Worker: "wa", Grant: 7}, true},
+		{"granted, worker leaving", reservation.Response{Worker: "wa", Grant: 7}, false},
+		{"leader has just started, worker removed", reservation.Response{WarmingUp: true}, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			b := &fakeLeader{rule: grants("wb")}
 			a := &fakeLeader{}
 			r := newTestReservations(t, a, b)
-			a.rule = func(reservation.Ask) (reservation.Answer, bool) {
+			a.rule = func(reservation.Request) (reservation.Response, bool) {
 				r.pool.WorkersChanged([]catalog.Change{{ID: "wa", Gone: test.removed, Worker: worker.Worker{ID: "wa", Service: "s", Zone: "z", Slots: 4, Draining: true}}})
 				return test.answer, true
 			}
@@ -239,16 +241,16 @@
 	ticket, _ := r.reserve(t.Context(), worker.Query{Service: "s", Excluded: []string{"wb"}}, startWithin(time.Minute), attemptInfo{}, ignoreDropped)
 	peer, _ := r.leaderOf("wa")
 	report := r.buildReport(peer)
-	if report.Seen != 7 || report.Held["wa"] != 1 || report.Held["wb"] != 0 {
+	if report.LastGrant != 7 || report.InFlight["wa"] != 1 || report.InFlight["wb"] != 0 {
 		t.Errorf("%+v", report)
 	}
 	ticket.End()
-	for deadline := time.Now().Add(time.Minute); a.lastMessage().Ask != nil; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(time.Minute); a.lastMessage().Request != nil; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("no report of the ended request")
 		}
 	}
-	if last := a.lastMessage().Report; len(last.Held) != 0 || last.Sequence <= report.Sequence {
+	if last := a.lastMessage().Report; len(last.InFlight) != 0 || last.Sequence <= report.Sequence {
 		t.Errorf("%+v after %+v", last, report)
 	}
 }
@@ -293,17 +295,17 @@
 
 // A leader that has lost its workers has an empty queue but refuses all requests.
 func TestRequestQueuesAtLeaderWithShortestWait(t *testing.T) {
-	full := func(waiting int, until time.Duration) func(reservation.Ask) (reservation.Answer, bool) {
-		return func(ask reservation.Ask) (reservation.Answer, bool) {
+	full := func(waiting int, until time.Duration) func(reservation.Request) (reservation.Response, bool) {
+		return func(ask reservation.Request) (reservation.Response, bool) {
 			if ask.Wait > 0 {
-				return reservation.Answer{Worker: ask.Worker, Grant: 1}, true
+				return reservation.Response{Worker: ask.Worker, Grant: 1}, true
 			}
-			return reservation.Answer{Full: true, Waiting: waiting, Until: until}, true
+			return reservation.Response{Full: true, Waiting: waiting, ExpectedWait: until}, true
 		}
 	}
 	tests := []struct {
 		name string
-		a, b func(reservation.Ask) (reservation.Answer, bool)
+		a, b func(reservation.Request) (reservation.Response, bool)
 		want string
 	}{
 		{"empty queue, long wait", full(0, 3*time.Second), full(40, 100*time.Millisecond), "wb"},
@@ -322,25 +324,25 @@
 
 func TestRepeatedReservationRequestKeepsItsPromise(t *testing.T) {
 	due := 300 * time.Millisecond
-	var asks []reservation.Ask
-	a := &fakeLeader{rule: func(ask reservation.Ask) (reservation.Answer, bool) {
+	var asks []reservation.Request
+	a := &fakeLeader{rule: func(ask reservation.Request) (reservation.Response, bool) {
 		if ask.Wait > 0 {
 			asks = append(asks, ask)
 		}
 		if len(asks) < 2 {
-			return reservation.Answer{Full: true, Promise: &due}, true
+			return reservation.Response{Full: true, Promise: &due}, true
 		}
-		return reservation.Answer{Worker: "wa", Grant: 1}, true
+		return reservation.Response{Worker: "wa", Grant: 1}, true
 	}}
 	r := newTestReservations(t, a, &fakeLeader{rule: grants("wb")})
 	r.reserve(t.Context(), worker.Query{Service: "s", Excluded: []string{"wb"}}, startWithin(time.Minute), attemptInfo{callerRetry: true}, ignoreDropped)
 	if len(asks) != 2 {
 		t.Fatalf("%d reservation requests", len(asks))
 	}
-	if first := asks[0]; !first.Returned || first.Again || first.Promise != nil {
+	if first := asks[0]; !first.Returning || first.Requeued || first.Promise != nil {
 		t.Errorf("first: %+v", first)
 	}
-	if second := asks[1]; !second.Again || second.Promise == nil || *second.Promise > due {
+	if second := asks[1]; !second.Requeued || second.Promise == nil || *second.Promise > due {
 		t.Errorf("second: %+v", second)
 	}
 }
@@ -348,29 +350,29 @@
 // If the first leader has no slot in time, one other leader is asked, and its
 // RetryAfter is returned.
 func TestSecondLeaderIsAskedBeforeRefusal(t *testing.T) {
-	var asks []reservation.Ask
-	rule := func(waits reservation.Answer) func(reservation.Ask) (reservation.Answer, bool) {
-		return func(ask reservation.Ask) (reservation.Answer, bool) {
+	var asks []reservation.Request
+	rule := func(waits reservation.Response) func(reservation.Request) (reservation.Response, bool) {
+		return func(ask reservation.Request) (reservation.Response, bool) {
 			if ask.Wait <= 0 {
-				return reservation.Answer{Full: true, Until: time.Second}, true
+				return reservation.Response{Full: true, ExpectedWait: time.Second}, true
 			}
 			asks = append(asks, ask)
 			return waits, true
 		}
 	}
-	noSlot := reservation.Answer{Hopeless: true, RetryAfter: 300 * time.Millisecond}
+	noSlot := reservation.Response{NoSlotInTime: true, RetryAfter: 300 * time.Millisecond}
 	tests := []struct {
 		name string
-		b    reservation.Answer
+		b    reservation.Response
 		want string
 	}{
-		{"the other has a slot", reservation.Answer{Worker: "wb", Grant: 1}, "wb"},
+		{"the other has a slot", reservation.Response{Worker: "wb", Grant: 1}, "wb"},
 		{"neither has", noSlot, ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			asks = nil
-			r := newTestReservations(t, &fakeLeader{rule: rule(reservation.Answer{Hopeless: true})}, &fakeLeader{rule: rule(test.b)})
+			r := newTestReservations(t, &fakeLeader{rule: rule(reservation.Response{NoSlotInTime: true})}, &fakeLeader{rule: rule(test.b)})
 			ticket, refusal := r.reserve(t.Context(), worker.Query{Service: "s"}, startWithin(time.Minute), attemptInfo{}, ignoreDropped)
 			if (ticket != nil) != (test.want != "") || (refusal != nil) != (test.want == "") {
 				t.Fatalf("%+v, %v", ticket, refusal)
@@ -378,7 +380,7 @@
 			if refusal != nil && refusal.RetryAfter != noSlot.RetryAfter {
 				t.Errorf("RetryAfter %v", refusal.RetryAfter)
 			}
-			if len(asks) != 2 || !asks[0].Elsewhere || asks[1].Elsewhere {
+			if len(asks) != 2 || !asks[0].HasAlternative || asks[1].HasAlternative {
 				t.Errorf("%+v", asks)
 			}
 		})
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -203,7 +203,7 @@
 }
 
 // owner returns the store that processes report to.
-func (f *fleet) owner() api.NodeID { return placement.Stores(ownerKey, f.nodes)[0].ID }
+func (f *fleet) owner() api.NodeID { return placement.RankStores(ownerKey, f.nodes)[0].ID }
 
 func TestCrashesReportedByDifferentProcessesAddUp(t *testing.T) {
 	tests := []struct {
--- a/internal/guard/owner.go
+++ b/internal/guard/owner.go
@@ -182,6 +182,6 @@
 
 // isPrimary reports whether processes send their reports to this store first.
 func (o *owner) isPrimary() bool {
-	owners := placement.Stores(ownerKey, o.guard.owners())
+	owners := placement.RankStores(ownerKey, o.guard.owners())
 	return len(owners) > 0 && owners[0].ID == o.guard.self
 }
--- a/internal/guard/tell.go
+++ b/internal/guard/tell.go
@@ -172,7 +172,7 @@
 // reportToOwner reports to the owner, or to the next stores in placement order if it does
 // not answer. If none answers, this process decides by its own evidence.
 func (g *Guard) reportToOwner(ctx context.Context) {
-	owners := placement.Stores(ownerKey, g.owners())
+	owners := placement.RankStores(ownerKey, g.owners())
 	for _, owner := range owners[:min(len(owners), maxOwnersTried)] {
 		if ctx.Err() != nil || g.reportTo(ctx, owner) {
 			return
@@ -298,7 +298,7 @@
 }
 
 func (g *Guard) sendTrialRequest(ctx context.Context, request quarantine.Digest) (trial Trial, err error) {
-	owners := placement.Stores(ownerKey, g.owners())
+	owners := placement.RankStores(ownerKey, g.owners())
 	if len(owners) == 0 {
 		return trial, api.NewError("ask for a trial", "", api.CodeNoContact, api.OutcomeNotRun, "no store is known")
 	}
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -166,7 +166,7 @@
 // nextRequest returns the next token request and its owner, and false if no owner is
 // available. A request for no tokens means that no request is waiting any more.
 func (l *Limiter) nextRequest(tenant string) (api.Node, ratelimit.Ask, bool) {
-	candidates := placement.Stores(tenant, l.owners())
+	candidates := placement.RankStores(tenant, l.owners())
 	now := clock.Now()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -24,7 +24,7 @@
 
 var (
 	tolerance = ratelimit.Tolerance{Window: 5 * time.Second}
-	clinic    = route.Tenant{Name: "clinic", Limit: route.Limit{Rate: 0.001, Burst: 5}}
+	clinic    = route.Tenant{Name: "clinic", Limit: route.RateLimit{Rate: 0.001, Burst: 5}}
 )
 
 // fixture is a Limiter with owners that can be made unresponsive. The nodes are in placement
@@ -55,7 +55,7 @@
 		f.unresponsive[id], f.requests[id] = unresponsive, requests
 		f.nodes = append(f.nodes, api.Node{ID: id, Role: api.RoleStore, Address: strings.TrimPrefix(server.URL, "http://")})
 	}
-	f.nodes = placement.Stores(clinic.Name, f.nodes)
+	f.nodes = placement.RankStores(clinic.Name, f.nodes)
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	registry, log := prometheus.NewRegistry(), logrus.NewEntry(logger)
@@ -183,7 +183,7 @@
 }
 
 func TestIsBackup(t *testing.T) {
-	nodes := placement.Stores("t", []api.Node{{ID: "a", Role: api.RoleStore}, {ID: "b", Role: api.RoleStore}, {ID: "f", Role: api.RoleFrontend}})
+	nodes := placement.RankStores("t", []api.Node{{ID: "a", Role: api.RoleStore}, {ID: "b", Role: api.RoleStore}, {ID: "f", Role: api.RoleFrontend}})
 	first, second := nodes[0], nodes[1]
 	suspected, leaving := first, first
 	suspected.Suspected, leaving.Leaving = true, true
--- a/internal/limiter/owner.go
+++ b/internal/limiter/owner.go
@@ -62,7 +62,7 @@
 
 // isBackup reports whether a live owner of the tenant precedes this one in placement order.
 func (o *Owner) isBackup(tenant string) bool {
-	for _, node := range placement.Stores(tenant, o.nodes()) {
+	for _, node := range placement.RankStores(tenant, o.nodes()) {
 		if node.ID == o.self {
 			return false
 		}
--- a/internal/limiter/peer_test.go
+++ b/internal/limiter/peer_test.go
@@ -90,7 +90,7 @@
 	if result.Level < -0.5 || result.Level > 0.5 {
 		t.Errorf("%.2f tokens are left, want 0", result.Level)
 	}
-	if first := placement.Stores(clinic.Name, p.nodes)[0].ID; result.Owner != first {
+	if first := placement.RankStores(clinic.Name, p.nodes)[0].ID; result.Owner != first {
 		t.Errorf("%s answered", result.Owner)
 	}
 }
--- a/internal/router/forward.go
+++ b/internal/router/forward.go
@@ -34,7 +34,7 @@
 		Name:    "forward",
 		Filters: []routing.Filter{routing.NotTriedFilter{}},
 		Scorers: []routing.WeightedScorer{{Scorer: routing.LoadScorer{}, Weight: 1}},
-		Picker:  routing.TwoChoicesPicker{Random: rand.New(globalSource{})},
+		Picker:  routing.PowerOfTwoPicker{Random: rand.New(globalSource{})},
 	}}
 	f.homes.Store(&map[api.RowKey][]routing.Endpoint{})
 	return f
--- a/internal/router/homing.go
+++ b/internal/router/homing.go
@@ -65,8 +65,8 @@
 
 // assign recomputes the workers that this router is home of. The caller holds the mutex.
 func (h *homeWorkers) assign() {
-	h.own = h.homes.Mine(h.workers)
-	if len(h.takeover.SetHomed(h.own)) > 0 {
+	h.own = h.homes.OwnWorkers(h.workers)
+	if len(h.takeover.SetWorkers(h.own)) > 0 {
 		select {
 		case h.pollNow <- struct{}{}:
 		default:
@@ -173,7 +173,7 @@
 	h.router.admission.Tell(admission.Load{
 		Worker: worker.ID, Running: load.Running, Waiting: load.Waiting, Leaving: load.Leaving, Asked: requestedAt,
 	})
-	if h.takeover.Report(worker.ID, load.Running+load.Waiting, inFlight) {
+	if h.takeover.RecordReport(worker.ID, load.Running+load.Waiting, inFlight) {
 		h.publish()
 	}
 	return true
@@ -185,7 +185,7 @@
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		h.router.admission.Tell(admission.Unreachable{Worker: worker.ID})
 	}
-	if h.takeover.Failed(worker.ID) {
+	if h.takeover.RecordFailure(worker.ID) {
 		h.publish()
 	}
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -126,7 +126,7 @@
 		r.admission.Tell(admission.Unreachable{Worker: worker})
 		return
 	}
-	r.admission.Tell(admission.Broken{Worker: worker})
+	r.admission.Tell(admission.ResponseAborted{Worker: worker})
 }
 
 // backendOf returns the client for a class. Each class has its own connections.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -67,8 +67,8 @@
 	router.machine = admission.NewMachine(admission.Settings{
 		Online: routing.OnlineProfile(common.Settings.Node.Location(), newRandom()), Batch: routing.BatchProfile(newRandom()),
 		RetryAfter: refusalRetryAfter, Reserve: common.Settings.Router.BatchReserve,
-		Filling:  batchPolicy(common.Settings.Router),
-		Ceilings: newQuotaHolder(common),
+		BatchPolicy: batchPolicy(common.Settings.Router),
+		Ceilings:    newQuotaHolder(common),
 	})
 	router.admission = shell.Start(common.System, router.machine, router.execute)
 	router.homeWorkers = newHomeWorkers(router)
@@ -83,8 +83,8 @@
 	return router, nil
 }
 
-func batchPolicy(settings config.Router) admission.Filling {
-	filling := admission.DefaultFilling()
+func batchPolicy(settings config.Router) admission.BatchPolicy {
+	filling := admission.DefaultBatchPolicy()
 	filling.StartPressure = settings.BatchStartPressure
 	return filling
 }
--- a/internal/router/shares.go
+++ b/internal/router/shares.go
@@ -24,7 +24,7 @@
 	groups := common.Settings.Store.Groups
 	return quota.NewHolder(quota.HolderSettings{
 		Settings: settings, Router: common.ID(), Instance: uint64(time.Now().UnixMilli()),
-		GroupOf: func(key api.RowKey) api.GroupID { return placement.GroupOfRow(key, groups) },
+		GroupOf: func(key api.RowKey) api.GroupID { return placement.RowGroup(key, groups) },
 	})
 }
 
@@ -35,7 +35,7 @@
 	for {
 		select {
 		case <-ticker.C:
-			r.admission.Tell(admission.Ceiling{Message: quota.Tick{}})
+			r.admission.Tell(admission.QuotaMessage{Message: quota.Tick{}})
 		case <-ctx.Done():
 			return
 		}
@@ -58,5 +58,5 @@
 		return
 	}
 	r.metrics.shareReports.Inc()
-	r.admission.Tell(admission.Ceiling{Message: quota.Granted{Group: report.Group, Grant: grant}})
+	r.admission.Tell(admission.QuotaMessage{Message: quota.Granted{Group: report.Group, Grant: grant}})
 }
--- a/internal/sidecar/claim.go
+++ b/internal/sidecar/claim.go
@@ -120,7 +120,7 @@
 }
 
 func (s *Sidecar) groupOf(request *onlineRequest) api.GroupID {
-	return placement.GroupOf(request.routed.Tenant, s.node.Settings.Store.Groups)
+	return placement.TenantGroup(request.routed.Tenant, s.node.Settings.Store.Groups)
 }
 
 // isHolderRunning asks the sidecar that holds a claim whether the request is in progress. If
--- a/internal/sidecar/files.go
+++ b/internal/sidecar/files.go
@@ -98,7 +98,7 @@
 		return
 	}
 	tenant := tenantOf(r)
-	group := placement.GroupOf(tenant, s.node.Settings.Store.Groups)
+	group := placement.TenantGroup(tenant, s.node.Settings.Store.Groups)
 	purpose := "batch"
 	for {
 		part, err := parts.NextPart()
--- a/internal/sidecar/homes.go
+++ b/internal/sidecar/homes.go
@@ -95,7 +95,7 @@
 			{Scorer: routing.LoadScorer{}, Weight: 2},
 			{Scorer: routing.ZoneScorer{Self: self}, Weight: 0.25},
 		},
-		Picker: routing.TwoChoicesPicker{Random: random},
+		Picker: routing.PowerOfTwoPicker{Random: random},
 	}
 }
 
--- a/internal/sidecar/online.go
+++ b/internal/sidecar/online.go
@@ -63,7 +63,7 @@
 // outcome of the returned failure is unknown if that of any attempt was.
 func (s *Sidecar) sendWithRetries(ctx context.Context, request *onlineRequest) (*upstreamResponse, *api.Error) {
 	s.mutex.Lock()
-	s.policy.FirstAttempt()
+	s.policy.RecordFirstAttempt()
 	s.mutex.Unlock()
 	outcome := api.OutcomeNotRun
 	for number := 1; ; number++ {
@@ -75,7 +75,7 @@
 			outcome = api.OutcomeUnknown
 		}
 		decision := s.decideRetry(request, number, failure)
-		if !decision.Again || !pause.For(ctx, decision.Delay) {
+		if !decision.Retry || !pause.For(ctx, decision.Delay) {
 			final := *failure
 			final.Outcome = outcome
 			return nil, &final
--- a/internal/sidecar/page.go
+++ b/internal/sidecar/page.go
@@ -52,7 +52,7 @@
 		return failure
 	}
 	tenant := tenantOf(r)
-	group := placement.GroupOf(tenant, s.node.Settings.Store.Groups)
+	group := placement.TenantGroup(tenant, s.node.Settings.Store.Groups)
 	after := r.URL.Query().Get("after")
 	if err := s.stores.Read(r.Context(), group, path(group, tenant, after, limit), found); err != nil {
 		return api.AsError(step, err)
--- a/internal/slopes/machines_test.go
+++ b/internal/slopes/machines_test.go
@@ -77,7 +77,7 @@
 		homes.SetNodes(nodes)
 		b.Run(fmt.Sprintf("rehome/nodes=%d/workers=%d", count, size.Workers), func(b *testing.B) {
 			for b.Loop() {
-				homes.Mine(workers)
+				homes.OwnWorkers(workers)
 			}
 		})
 		b.Run(fmt.Sprintf("same/nodes=%d", count), func(b *testing.B) {
--- a/internal/store/bootstrap.go
+++ b/internal/store/bootstrap.go
@@ -235,9 +235,9 @@
 func (s *Store) initialMembers(id api.GroupID, candidates []placement.Store) (replication.Members, bool) {
 	settings := s.node.Settings.Store
 	if settings.Gathered() {
-		return placement.GatheredMembers(id, candidates, settings.Voters())
+		return placement.CompactMembers(id, candidates, settings.Voters())
 	}
-	return placement.FirstMembers(id, candidates, settings.Voters())
+	return placement.SpreadMembers(id, candidates, settings.Voters())
 }
 
 // replicaCounts returns for each store how many groups it is an initial voter of.
--- a/internal/transport/send.go
+++ b/internal/transport/send.go
@@ -66,21 +66,21 @@
 
 // progress blocks further writes on the request's connections and reports whether any byte
 // may have been sent.
-func (w *connTrace) progress() retry.Evidence {
+func (w *connTrace) progress() retry.AttemptProgress {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	progress := retry.Evidence{Connected: w.untracked || len(w.conns) > 0, BytesLeft: w.untracked}
+	progress := retry.AttemptProgress{Connected: w.untracked || len(w.conns) > 0, BytesWritten: w.untracked}
 	for i, conn := range w.conns {
 		conn.blockWrites()
 		if conn.attempted.Load() != w.baseline[i] {
-			progress.BytesLeft = true
+			progress.BytesWritten = true
 		}
 	}
 	return progress
 }
 
-func sendFailure(step, peer string, err error, progress retry.Evidence) *api.Error {
-	return &api.Error{Step: step, Peer: peer, Code: errorCode(err), Outcome: retry.OutcomeOf(progress), Err: err}
+func sendFailure(step, peer string, err error, progress retry.AttemptProgress) *api.Error {
+	return &api.Error{Step: step, Peer: peer, Code: errorCode(err), Outcome: retry.OutcomeWithoutResponse(progress), Err: err}
 }
 
 func errorCode(err error) api.ErrorCode {
--- a/internal/transport/send_test.go
+++ b/internal/transport/send_test.go
@@ -150,7 +150,7 @@
 	conn := &countingConn{Conn: near}
 	var watch connTrace
 	watch.conns, watch.baseline = []*countingConn{conn}, []int64{0}
-	if progress := watch.progress(); progress.BytesLeft || !progress.Connected {
+	if progress := watch.progress(); progress.BytesWritten || !progress.Connected {
 		t.Fatalf("got %+v for a connection without a write", progress)
 	}
 	if _, err := conn.Write([]byte("late")); err == nil {
--- a/jobs/queue.go
+++ b/jobs/queue.go
@@ -43,7 +43,7 @@
 
 // Home returns the group that counts the queue, out of the given number of groups.
 func (q QueueName) Home(groups int) api.GroupID {
-	return placement.GroupOf(api.TenantID(q), groups)
+	return placement.TenantGroup(api.TenantID(q), groups)
 }
 
 // admissionTTL is how long an admitted job counts without a report by its own group.
--- a/membership/homes_test.go
+++ b/membership/homes_test.go
@@ -88,7 +88,7 @@
 		h.routers[member.Node.ID] = owner
 	}
 	if member.Machine.Settled() && owner.homes.SetNodes(member.Machine.Nodes()) {
-		owner.owned = owner.homes.Mine(h.workers)
+		owner.owned = owner.homes.OwnWorkers(h.workers)
 	}
 	return owner.owned
 }
--- a/placement/gather.go
+++ b/placement/gather.go
@@ -8,12 +8,12 @@
 	"github.com/dykewing/dykewing/replication"
 )
 
-// GatheredMembers chooses the first voters of a group that does not have to survive the loss
+// CompactMembers chooses the first voters of a group that does not have to survive the loss
 // of a zone. They span as few zones as possible, preferably of one region, to limit
 // cross-zone replication traffic. Equal zones and the stores within a zone are chosen by
 // the lowest number of groups per store, then by rendezvous hashing. It returns false if
 // there are fewer stores than replicas.
-func GatheredMembers(group api.GroupID, stores []Store, replicas int) (replication.Members, bool) {
+func CompactMembers(group api.GroupID, stores []Store, replicas int) (replication.Members, bool) {
 	var members replication.Members
 	rest := candidateStores(stores, nil)
 	if len(rest) < replicas {
--- a/placement/gather_test.go
+++ b/placement/gather_test.go
@@ -50,13 +50,13 @@
 	} {
 		stores := storesInZones(test.sizes...)
 		for group := range api.GroupID(20) {
-			members, ok := GatheredMembers(group, stores, test.replicas)
+			members, ok := CompactMembers(group, stores, test.replicas)
 			if got := len(votersByZone(stores, members)); !ok || len(members.Voters) != test.replicas || got != test.zones {
 				t.Errorf("%s: group %d has %v in %d zones, want %d", test.name, group, members.Voters, got, test.zones)
 			}
 		}
 	}
-	if _, ok := GatheredMembers(0, storesInZones(3, 1), 5); ok {
+	if _, ok := CompactMembers(0, storesInZones(3, 1), 5); ok {
 		t.Error("got five replicas from four stores")
 	}
 }
@@ -67,7 +67,7 @@
 		stores[6+i].Location.Region = "other"
 	}
 	for group := range api.GroupID(20) {
-		members, _ := GatheredMembers(group, stores, 5)
+		members, _ := CompactMembers(group, stores, 5)
 		regions := map[api.RegionName]bool{}
 		for location := range votersByZone(stores, members) {
 			regions[location.Region] = true
@@ -82,7 +82,7 @@
 	const groups = 5
 	stores := storesInZones(3, 3, 3, 2)
 	for group := range api.GroupID(groups) {
-		members, _ := GatheredMembers(group, stores, 5)
+		members, _ := CompactMembers(group, stores, 5)
 		for i := range stores {
 			if slices.Contains(members.Voters, stores[i].Replica) {
 				stores[i].Groups++
@@ -100,7 +100,7 @@
 func TestReplacementKeepsGroupCompact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stores := storesInZones(4, 4, 4)
-		members, _ := GatheredMembers(api.GroupID(rapid.IntRange(0, 9).Draw(t, "group")), stores, 5)
+		members, _ := CompactMembers(api.GroupID(rapid.IntRange(0, 9).Draw(t, "group")), stores, 5)
 		lost := map[replication.ReplicaID]bool{}
 		for _, voter := range members.Voters[1:] {
 			if len(lost) < 2 && rapid.Bool().Draw(t, "lost") {
@@ -108,7 +108,7 @@
 			}
 		}
 		live := slices.DeleteFunc(slices.Clone(stores), func(store Store) bool { return lost[store.Replica] })
-		view := GroupView{Self: members.Voters[0], Members: members, Stores: live, Replicas: 5, Gathered: true}
+		view := GroupView{Self: members.Voters[0], Members: members, Stores: live, Replicas: 5, Compact: true}
 		var last replication.Members
 		recordLast := func(view GroupView) (replication.Members, bool) {
 			next, ok := NextChange(view)
@@ -162,10 +162,10 @@
 		survivesZone       bool
 		maxCrossZoneCopies int // voters in other zones, for the worst leader
 	}{
-		{"spread, 3", FirstMembers, 3, 1, true, 2},
-		{"gathered, 3", GatheredMembers, 3, 1, false, 0},
-		{"spread, 5", FirstMembers, 5, 2, true, 4},
-		{"gathered, 5", GatheredMembers, 5, 2, false, 3},
+		{"spread, 3", SpreadMembers, 3, 1, true, 2},
+		{"gathered, 3", CompactMembers, 3, 1, false, 0},
+		{"spread, 5", SpreadMembers, 5, 2, true, 4},
+		{"gathered, 5", CompactMembers, 5, 2, false, 3},
 	} {
 		members, _ := test.choose(1, stores, test.replicas)
 		if !hasMajorityAfter(stores, members, test.machines, machine) || hasMajorityAfter(stores, members, test.machines+1, machine) {
--- a/placement/groups.go
+++ b/placement/groups.go
@@ -17,10 +17,10 @@
 	Groups   int  // number of replicas held
 }
 
-// FirstMembers chooses the first voters of a group. They span as many zones as possible. In
+// SpreadMembers chooses the first voters of a group. They span as many zones as possible. In
 // a zone, stores are chosen by the lowest number of groups, then by rendezvous hashing. It
 // returns false if there are fewer stores than replicas.
-func FirstMembers(group api.GroupID, stores []Store, replicas int) (replication.Members, bool) {
+func SpreadMembers(group api.GroupID, stores []Store, replicas int) (replication.Members, bool) {
 	var members replication.Members
 	rest := candidateStores(stores, nil)
 	if len(rest) < replicas {
@@ -87,7 +87,7 @@
 	Lost     func(replica replication.ReplicaID) bool // reports a replica down for longer than the timeout
 	Leaving  func(replica replication.ReplicaID) bool // reports a replica on a machine being decommissioned
 	Replicas int                                      // target number of voters
-	Gathered bool                                     // prefers few zones
+	Compact  bool                                     // prefers few zones
 }
 
 // NextChange returns the next membership of a group that has a lost or leaving replica, one
@@ -156,7 +156,7 @@
 	}
 	members := v.without("")
 	added := bestStore(v.Group, candidates, v.healthyZones(), true)
-	if v.Gathered {
+	if v.Compact {
 		added = nearestStore(v.Group, candidates, v.healthyZones())
 	}
 	members.Learners = []replication.ReplicaID{added.Replica}
@@ -183,7 +183,7 @@
 		locations[store.Replica] = store.Location
 	}
 	shared := func(a, b replication.ReplicaID) int {
-		if v.Gathered {
+		if v.Compact {
 			a, b = b, a
 		}
 		return cmp.Compare(countOf(zones, locations[b]), countOf(zones, locations[a]))
--- a/placement/groups_test.go
+++ b/placement/groups_test.go
@@ -31,7 +31,7 @@
 		stores = append(stores, Store{Replica: replication.ReplicaID(fmt.Sprint("store-", i)), Location: api.Location{Region: "r", Zone: zone}})
 	}
 	for group := range api.GroupID(groups) {
-		members, ok := FirstMembers(group, stores, replicas)
+		members, ok := SpreadMembers(group, stores, replicas)
 		if !ok {
 			t.Fatal("no members")
 		}
@@ -51,7 +51,7 @@
 func TestSpreadMembersUseDistinctZones(t *testing.T) {
 	stores := testStores(9, 3)
 	for group := range api.GroupID(50) {
-		members, ok := FirstMembers(group, stores, 3)
+		members, ok := SpreadMembers(group, stores, 3)
 		if !ok {
 			t.Fatal("no members from nine stores for three replicas")
 		}
@@ -65,7 +65,7 @@
 			t.Fatalf("group %d has voters %v in %d zones, want 3", group, members.Voters, len(zones))
 		}
 	}
-	if _, ok := FirstMembers(0, stores[:2], 3); ok {
+	if _, ok := SpreadMembers(0, stores[:2], 3); ok {
 		t.Fatal("got three replicas from two stores")
 	}
 }
@@ -159,7 +159,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		replicas := rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "replicas")
 		stores := testStores(rapid.IntRange(replicas, replicas+4).Draw(t, "stores"), 3)
-		members, _ := FirstMembers(0, stores, replicas)
+		members, _ := SpreadMembers(0, stores, replicas)
 		lost, leaving := map[replication.ReplicaID]bool{}, map[replication.ReplicaID]bool{}
 		for _, voter := range members.Voters[1:] {
 			if len(lost) < replicas/2 && rapid.Bool().Draw(t, "lost") {
@@ -187,7 +187,7 @@
 		return NextChange(view)
 	}
 	stores := testStores(4, 3)
-	members, _ := FirstMembers(0, stores, 3)
+	members, _ := SpreadMembers(0, stores, 3)
 	lost := map[replication.ReplicaID]bool{members.Voters[1]: true}
 	view := GroupView{Self: members.Voters[0], Members: members, Stores: stores, Replicas: 3}
 	if runReplacement(removeFirst, view, lost, nil) == nil {
--- a/placement/homes.go
+++ b/placement/homes.go
@@ -60,8 +60,8 @@
 	return seen == len(h.routers)
 }
 
-// Mine returns the workers whose home is this router, in the given order.
-func (h *Homes) Mine(workers []api.Worker) []api.Worker {
+// OwnWorkers returns the workers whose home is this router, in the given order.
+func (h *Homes) OwnWorkers(workers []api.Worker) []api.Worker {
 	if !h.eligible {
 		return nil
 	}
--- a/placement/homes_test.go
+++ b/placement/homes_test.go
@@ -45,7 +45,7 @@
 					want = append(want, worker)
 				}
 			}
-			if got := homes.Mine(workers); !slices.Equal(got, want) {
+			if got := homes.OwnWorkers(workers); !slices.Equal(got, want) {
 				t.Fatalf("home of workers %v, want %v", got, want)
 			}
 			if !changed && !slices.Equal(want, before) {
--- a/placement/rendezvous.go
+++ b/placement/rendezvous.go
@@ -70,15 +70,15 @@
 	return best, bestName != ""
 }
 
-// GroupOf returns the group that stores a tenant's jobs and its claims on requests
+// TenantGroup returns the group that stores a tenant's jobs and its claims on requests
 // that are not repeatable. groups must be positive.
-func GroupOf(tenant api.TenantID, groups int) api.GroupID {
+func TenantGroup(tenant api.TenantID, groups int) api.GroupID {
 	return api.GroupID(xxhash.Sum64String(string(tenant)) % uint64(groups))
 }
 
-// GroupOfRow returns the group whose leader grants the shares of a row's ceilings.
+// RowGroup returns the group whose leader grants the shares of a row's ceilings.
 // groups must be positive.
-func GroupOfRow(key api.RowKey, groups int) api.GroupID {
+func RowGroup(key api.RowKey, groups int) api.GroupID {
 	return api.GroupID(xxhash.Sum64String("ceiling\x00"+key.String()) % uint64(groups))
 }
 
--- a/placement/stores.go
+++ b/placement/stores.go
@@ -7,9 +7,9 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Stores returns the stores sorted by their rendezvous score for key. The first one owns the
+// RankStores returns the stores sorted by their rendezvous score for key. The first one owns the
 // key. Processes with the same stores agree on the order.
-func Stores(key string, nodes []api.Node) []api.Node {
+func RankStores(key string, nodes []api.Node) []api.Node {
 	stores := slices.DeleteFunc(slices.Clone(nodes), func(node api.Node) bool { return node.Role != api.RoleStore })
 	slices.SortFunc(stores, func(a, b api.Node) int {
 		return cmp.Or(cmp.Compare(Score(key, b.ID), Score(key, a.ID)), cmp.Compare(a.ID, b.ID))
--- a/placement/takeover.go
+++ b/placement/takeover.go
@@ -24,8 +24,8 @@
 	return &Takeover{pending: map[api.WorkerID]*inheritedLoad{}, known: map[api.WorkerID]bool{}}
 }
 
-// SetHomed replaces the workers whose home is this router and returns the new ones.
-func (t *Takeover) SetHomed(workers []api.Worker) []api.Worker {
+// SetWorkers replaces the workers whose home is this router and returns the new ones.
+func (t *Takeover) SetWorkers(workers []api.Worker) []api.Worker {
 	var adopted []api.Worker
 	known := make(map[api.WorkerID]bool, len(workers))
 	for _, worker := range workers {
@@ -47,11 +47,11 @@
 // Pending reports whether the worker may still run requests of its previous home.
 func (t *Takeover) Pending(worker api.WorkerID) bool { return t.pending[worker] != nil }
 
-// Report records the number of requests running at the worker and the number that
+// RecordReport records the number of requests running at the worker and the number that
 // this router had sent at the time. It reports whether the result of Adjust
 // changed. The difference can only decrease, since the previous home sends no new
 // requests.
-func (t *Takeover) Report(worker api.WorkerID, running, own int) bool {
+func (t *Takeover) RecordReport(worker api.WorkerID, running, own int) bool {
 	inherited, ok := t.pending[worker]
 	if !ok {
 		return false
@@ -68,9 +68,9 @@
 	return changed
 }
 
-// Failed records that no report could be obtained. It reports whether the result of
+// RecordFailure records that no report could be obtained. It reports whether the result of
 // Adjust changed.
-func (t *Takeover) Failed(worker api.WorkerID) bool {
+func (t *Takeover) RecordFailure(worker api.WorkerID) bool {
 	inherited, ok := t.pending[worker]
 	if !ok || inherited.reported {
 		return false
--- a/placement/takeover_test.go
+++ b/placement/takeover_test.go
@@ -9,7 +9,7 @@
 func TestTakeoverReservesSlotsOfPreviousHome(t *testing.T) {
 	worker := api.Worker{ID: "w", Slots: 8}
 	takeover := NewTakeover()
-	if adopted := takeover.SetHomed([]api.Worker{worker}); len(adopted) != 1 {
+	if adopted := takeover.SetWorkers([]api.Worker{worker}); len(adopted) != 1 {
 		t.Fatalf("adopted %v, want the worker", adopted)
 	}
 	steps := []struct {
@@ -25,18 +25,18 @@
 		t.Fatalf("%d slots before the first report, want 1", slots)
 	}
 	for i, step := range steps {
-		takeover.Report(worker.ID, step.running, step.own)
+		takeover.RecordReport(worker.ID, step.running, step.own)
 		if slots := takeover.Adjust(worker).Slots; slots != step.slots {
 			t.Fatalf("step %d: %d slots, want %d", i, slots, step.slots)
 		}
 	}
-	if adopted := takeover.SetHomed([]api.Worker{worker}); len(adopted) != 0 {
+	if adopted := takeover.SetWorkers([]api.Worker{worker}); len(adopted) != 0 {
 		t.Fatal("a worker that was kept was adopted again")
 	}
-	takeover.SetHomed(nil)
-	takeover.SetHomed([]api.Worker{worker})
+	takeover.SetWorkers(nil)
+	takeover.SetWorkers([]api.Worker{worker})
 	for range maxFailedReports {
-		takeover.Failed(worker.ID)
+		takeover.RecordFailure(worker.ID)
 	}
 	if slots := takeover.Adjust(worker).Slots; slots != 8 {
 		t.Fatalf("%d slots of a worker that never reports, want all", slots)
--- a/ratelimit/answered_test.go
+++ b/ratelimit/answered_test.go
@@ -10,7 +10,7 @@
 
 func TestDuplicateRequestCountsOnce(t *testing.T) {
 	start := time.Unix(1_700_000_000, 0)
-	limit := route.Limit{Rate: 10, Burst: 10}
+	limit := route.RateLimit{Rate: 10, Burst: 10}
 	request := Ask{Tenant: "t", Limit: limit, Version: 1, Tokens: 2, Elsewhere: 1, Holder: "f", Sequence: 7}
 	other := func(change func(*Ask)) Ask {
 		changed := request
@@ -52,12 +52,12 @@
 	o := NewOwner(tolerance)
 	now := time.Unix(1_700_000_000, 0)
 	for i := range 3 * maxCachedGrants {
-		o.Step(now, Ask{Tenant: fmt.Sprint(i % 10), Limit: route.Limit{Rate: 1}, Tokens: 1, Holder: "f", Sequence: uint64(i)}, false)
+		o.Step(now, Ask{Tenant: fmt.Sprint(i % 10), Limit: route.RateLimit{Rate: 1}, Tokens: 1, Holder: "f", Sequence: uint64(i)}, false)
 	}
 	if n := len(o.recentGrants.grants); n > maxCachedGrants || n != len(o.recentGrants.order) {
 		t.Errorf("%d grants cached, %d in order", n, len(o.recentGrants.order))
 	}
-	o.Step(now.Add(time.Second), Ask{Tenant: "t", Limit: route.Limit{Rate: 1}, Holder: "f", Sequence: 1}, false)
+	o.Step(now.Add(time.Second), Ask{Tenant: "t", Limit: route.RateLimit{Rate: 1}, Holder: "f", Sequence: 1}, false)
 	if n := len(o.recentGrants.grants); n != 1 {
 		t.Errorf("%d grants cached a second later", n)
 	}
--- a/ratelimit/holder.go
+++ b/ratelimit/holder.go
@@ -93,7 +93,7 @@
 
 // Ask returns the request to send to the tenant's owner for the given number of waiting
 // requests, plus the tokens to prefetch. The caller sets its Holder and Sequence.
-func (h *Holder) Ask(now time.Time, owner, tenant string, limit route.Limit, version int64, waiting int) Ask {
+func (h *Holder) Ask(now time.Time, owner, tenant string, limit route.RateLimit, version int64, waiting int) Ask {
 	t := h.tenant(now, tenant)
 	prefetch := int(t.rate * prefetchTime.Seconds())
 	return Ask{Tenant: tenant, Limit: limit, Version: version, Tokens: waiting + prefetch, Elsewhere: t.spentElsewhere[owner]}
@@ -153,7 +153,7 @@
 // reports whether it is admitted; draw is a random number in [0,1). Together the holders
 // spend at most the rate that localRate returns, a fraction of the slack, and the bucket
 // level last returned by the owner.
-func (h *Holder) Alone(now time.Time, tenant string, limit route.Limit, holders int, draw float64) bool {
+func (h *Holder) Alone(now time.Time, tenant string, limit route.RateLimit, holders int, draw float64) bool {
 	t := h.tenant(now, tenant)
 	share := 1 / float64(max(holders, 1))
 	if now.Sub(t.creditAt) > h.tolerance.Window || t.creditAt.IsZero() {
@@ -179,7 +179,7 @@
 // localRate returns the tokens per second that all holders together spend without an owner:
 // the whole rate while the tenant's traffic is normal, else so little that isolated holders
 // stay within the slack while an owner serves the others.
-func (h *Holder) localRate(limit route.Limit, normal bool) float64 {
+func (h *Holder) localRate(limit route.RateLimit, normal bool) float64 {
 	if normal {
 		return limit.Rate
 	}
--- a/ratelimit/owner.go
+++ b/ratelimit/owner.go
@@ -39,7 +39,7 @@
 // bucket is the token bucket of one tenant. Its level is negative after more tokens were spent
 // elsewhere than it held.
 type bucket struct {
-	limit    route.Limit
+	limit    route.RateLimit
 	version  int64
 	level    float64
 	promised float64 // tokens that rejected requests will retry for
@@ -119,7 +119,7 @@
 }
 
 // capacity returns the largest level of a bucket.
-func (o *Owner) capacity(limit route.Limit) float64 {
+func (o *Owner) capacity(limit route.RateLimit) float64 {
 	return max(limit.Burst+slackFraction*o.tolerance.slack(limit), 1)
 }
 
--- a/ratelimit/ratelimit.go
+++ b/ratelimit/ratelimit.go
@@ -26,12 +26,12 @@
 }
 
 // Bound returns the largest number of requests that may run in any window under a limit.
-func (t Tolerance) Bound(limit route.Limit) float64 {
+func (t Tolerance) Bound(limit route.RateLimit) float64 {
 	return (limit.Rate*t.Window.Seconds()+limit.Burst)*(1+t.Overshoot) + t.Allowance
 }
 
 // slack returns the number of tolerated requests above the limit itself.
-func (t Tolerance) slack(limit route.Limit) float64 {
+func (t Tolerance) slack(limit route.RateLimit) float64 {
 	return t.Bound(limit) - limit.Rate*t.Window.Seconds() - limit.Burst
 }
 
@@ -43,10 +43,10 @@
 
 // Ask is a holder's request for tokens.
 type Ask struct {
-	Tenant  string      `json:"tenant"`
-	Limit   route.Limit `json:"limit"`
-	Version int64       `json:"version"` // version of the configuration with the limit
-	Tokens  int         `json:"tokens"`  // wanted
+	Tenant  string          `json:"tenant"`
+	Limit   route.RateLimit `json:"limit"`
+	Version int64           `json:"version"` // version of the configuration with the limit
+	Tokens  int             `json:"tokens"`  // wanted
 	// Elsewhere is the number of tokens that the holder has spent without this owner since it
 	// last reported them.
 	Elsewhere int `json:"elsewhere,omitempty"`
--- a/ratelimit/simulation_test.go
+++ b/ratelimit/simulation_test.go
@@ -23,7 +23,7 @@
 type scenario struct {
 	holders      int
 	owners       int
-	limit        route.Limit
+	limit        route.RateLimit
 	normalRate   float64 // normal rate, requests per second
 	hotFactor    float64 // factor
 	hotAt        time.Duration
@@ -174,7 +174,7 @@
 // per second and a burst of the given number of seconds of its rate.
 func scenarios(rate, burst float64) map[string]scenario {
 	usual := scenario{
-		holders: 50, owners: 4, limit: route.Limit{Rate: 1.6 * rate, Burst: 1.6 * rate * burst}, normalRate: rate, hotFactor: 1, length: 45 * time.Second,
+		holders: 50, owners: 4, limit: route.RateLimit{Rate: 1.6 * rate, Burst: 1.6 * rate * burst}, normalRate: rate, hotFactor: 1, length: 45 * time.Second,
 	}
 	hot := usual
 	hot.hotFactor, hot.hotAt, hot.hotDuration = 7.5, 20*time.Second, 12*time.Second
--- a/reservation/born_test.go
+++ b/reservation/born_test.go
@@ -19,45 +19,45 @@
 	}
 	tests := []struct {
 		name  string
-		apply func(b *Book)
+		apply func(b *Ledger)
 		want  int
 	}{
-		{"same incarnation", func(b *Book) { b.Began(first) }, 4},
-		{"restart", func(b *Book) { b.Began(second) }, 0},
-		{"late report of the first incarnation", func(b *Book) {
-			b.Began(second)
+		{"same incarnation", func(b *Ledger) { b.RecordStart(first) }, 4},
+		{"restart", func(b *Ledger) { b.RecordStart(second) }, 0},
+		{"late report of the first incarnation", func(b *Ledger) {
+			b.RecordStart(second)
 			b.Report(start, report(2, first, 5))
 		}, 0},
-		{"report of the second incarnation", func(b *Book) {
-			b.Began(second)
+		{"report of the second incarnation", func(b *Ledger) {
+			b.RecordStart(second)
 			b.Report(start, report(2, second, 1))
 		}, 1},
-		{"report before its restart is known", func(b *Book) {
+		{"report before its restart is known", func(b *Ledger) {
 			b.Report(start, report(2, second, 1))
-			b.Began(second)
+			b.RecordStart(second)
 		}, 1},
-		{"start of the first incarnation known late", func(b *Book) {
-			b.Began(second)
+		{"start of the first incarnation known late", func(b *Ledger) {
+			b.RecordStart(second)
 			b.Report(start, report(2, second, 1))
-			b.Began(first)
+			b.RecordStart(first)
 		}, 1},
-		{"report without a start time", func(b *Book) {
-			b.Began(second)
+		{"report without a start time", func(b *Ledger) {
+			b.RecordStart(second)
 			b.Report(start, report(2, worker.Incarnation{ID: "w"}, 2))
 		}, 2},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			b := New()
-			b.Began(first)
+			b.RecordStart(first)
 			b.Report(start, report(1, first, 3))
-			b.Give(start, "f", "w")
+			b.Grant(start, "f", "w")
 			test.apply(b)
-			if n := b.Online("w"); n != test.want {
+			if n := b.InFlight("w"); n != test.want {
 				t.Errorf("%d requests online, want %d", n, test.want)
 			}
 			b.Expire(start.Add(time.Hour))
-			if n := b.Online("w"); n != 0 {
+			if n := b.InFlight("w"); n != 0 {
 				t.Errorf("%d requests online after expiry, want 0", n)
 			}
 		})
--- a/reservation/queue.go
+++ b/reservation/queue.go
@@ -9,22 +9,22 @@
 	"github.com/dykewing/dykewing/overload"
 )
 
-// Waiting is a request that waits for a slot.
-type Waiting struct {
-	Node  api.NodeID
-	Ask   Ask
-	Since time.Time
-	Order hold.Request
-	// Place receives the response. It is buffered, so that sending does not block.
-	Place chan Answer
+// Waiter is a request that waits for a slot.
+type Waiter struct {
+	Node       api.NodeID
+	Request    Request
+	EnqueuedAt time.Time
+	Order      hold.Request
+	// Response receives the response. It is buffered, so that sending does not block.
+	Response chan Response
 }
 
-// Wait returns the queue entry for a request of the frontend that arrived at now. Its
+// NewWaiter returns the queue entry for a request of the frontend that arrived at now. Its
 // deadlines are computed from the durations in ask.
-func Wait(now time.Time, node api.NodeID, ask Ask) *Waiting {
-	w := &Waiting{
-		Node: node, Ask: ask, Since: now, Place: make(chan Answer, 1),
-		Order: hold.Request{Rank: ask.Rank, Target: now.Add(ask.Begin), Deadline: now.Add(ask.Last)},
+func NewWaiter(now time.Time, node api.NodeID, ask Request) *Waiter {
+	w := &Waiter{
+		Node: node, Request: ask, EnqueuedAt: now, Response: make(chan Response, 1),
+		Order: hold.Request{Rank: ask.Rank, Target: now.Add(ask.TimeToTarget), Deadline: now.Add(ask.TimeToDeadline)},
 	}
 	if ask.Promise != nil {
 		w.Order.Promised = now.Add(*ask.Promise)
@@ -35,32 +35,32 @@
 // Queue holds the waiting requests of one service and the overload controller that bounds
 // their wait. The zero value is ready to use.
 type Queue struct {
-	Line    overload.Controller
-	waiters []*Waiting
+	Controller overload.Controller
+	waiters    []*Waiter
 }
 
 func (q *Queue) Len() int { return len(q.waiters) }
 
-// Arrived records the arrival of a request. A request that returns after a rejection takes
+// RecordArrival records the arrival of a request. A request that returns after a rejection takes
 // over the promise of an earlier one and precedes new requests of its rank.
-func (q *Queue) Arrived(now time.Time, w *Waiting) {
+func (q *Queue) RecordArrival(now time.Time, w *Waiter) {
 	switch {
-	case w.Ask.Again:
-	case w.Ask.Returned:
-		w.Order.Promised, _ = q.Line.Claim(now, w.Ask.Rank, w.Ask.Last)
+	case w.Request.Requeued:
+	case w.Request.Returning:
+		w.Order.Promised, _ = q.Controller.Claim(now, w.Request.Rank, w.Request.TimeToDeadline)
 	default:
-		q.Line.RecordArrival(now, w.Ask.Rank)
+		q.Controller.RecordArrival(now, w.Request.Rank)
 	}
 }
 
-// Placed records that a request was granted a slot.
-func (q *Queue) Placed(now time.Time, w *Waiting) {
-	q.Line.RecordPlacement(now, w.Order.Rank, w.Order.Class(now) == hold.OnTime)
+// RecordPlacement records that a request was granted a slot.
+func (q *Queue) RecordPlacement(now time.Time, w *Waiter) {
+	q.Controller.RecordPlacement(now, w.Order.Rank, w.Order.Class(now) == hold.OnTime)
 }
 
 // Full returns the response for a request that got no slot and no longer waits.
-func (q *Queue) Full(now time.Time, w *Waiting) Answer {
-	answer := Answer{Full: true, Waiting: q.Len(), Until: q.Line.Evaluate(now, overloadRequest(now, w, false), q.countAhead(now, w)).ExpectedWait}
+func (q *Queue) Full(now time.Time, w *Waiter) Response {
+	answer := Response{Full: true, Waiting: q.Len(), ExpectedWait: q.Controller.Evaluate(now, overloadRequest(now, w, false), q.countAhead(now, w)).ExpectedWait}
 	if !w.Order.Promised.IsZero() {
 		due := w.Order.Promised.Sub(now)
 		answer.Promise = &due
@@ -68,32 +68,32 @@
 	return answer
 }
 
-func (q *Queue) Add(w *Waiting) { q.waiters = append(q.waiters, w) }
+func (q *Queue) Add(w *Waiter) { q.waiters = append(q.waiters, w) }
 
 // Remove removes a request and reports whether it was queued.
-func (q *Queue) Remove(w *Waiting) bool {
+func (q *Queue) Remove(w *Waiter) bool {
 	before := len(q.waiters)
-	q.waiters = slices.DeleteFunc(q.waiters, func(other *Waiting) bool { return other == w })
+	q.waiters = slices.DeleteFunc(q.waiters, func(other *Waiter) bool { return other == w })
 	return len(q.waiters) < before
 }
 
 // Sorted returns the waiting requests in the order in which they are to be granted slots.
-func (q *Queue) Sorted(now time.Time) []*Waiting {
-	slices.SortStableFunc(q.waiters, func(a, b *Waiting) int { return hold.Compare(now, a.Order, b.Order) })
+func (q *Queue) Sorted(now time.Time) []*Waiter {
+	slices.SortStableFunc(q.waiters, func(a, b *Waiter) int { return hold.Compare(now, a.Order, b.Order) })
 	return slices.Clone(q.waiters)
 }
 
 // Decide decides whether a request that finds no free slot waits or is rejected.
-func (q *Queue) Decide(now time.Time, w *Waiting) overload.Decision {
-	if w.Ask.Elsewhere {
-		return q.Line.Evaluate(now, overloadRequest(now, w, false), q.countAhead(now, w))
+func (q *Queue) Decide(now time.Time, w *Waiter) overload.Decision {
+	if w.Request.HasAlternative {
+		return q.Controller.Evaluate(now, overloadRequest(now, w, false), q.countAhead(now, w))
 	}
-	return q.Line.Decide(now, overloadRequest(now, w, false), q.countAhead(now, w))
+	return q.Controller.Decide(now, overloadRequest(now, w, false), q.countAhead(now, w))
 }
 
 // countAhead returns the number of waiting requests that precede w, including those whose
 // promised slot is due before w must start.
-func (q *Queue) countAhead(now time.Time, w *Waiting) (ahead int) {
+func (q *Queue) countAhead(now time.Time, w *Waiter) (ahead int) {
 	for _, other := range q.waiters {
 		due := !other.Order.Promised.IsZero() && !other.Order.Promised.After(w.Order.Target) && other.Order.Rank.Compare(w.Order.Rank) <= 0
 		if other != w && (due || hold.Compare(now, other.Order, w.Order) <= 0) {
@@ -103,19 +103,19 @@
 	return ahead
 }
 
-// Refused is a request that was removed from the queue, with the reason.
-type Refused struct {
-	*Waiting
-	Verdict overload.Decision
+// Rejected is a request that was removed from the queue, with the reason.
+type Rejected struct {
+	*Waiter
+	Decision overload.Decision
 }
 
-// Refuse removes and returns the requests that are not expected to get a slot in time.
-func (q *Queue) Refuse(now time.Time) (refused []Refused) {
+// Shed removes and returns the requests that are not expected to get a slot in time.
+func (q *Queue) Shed(now time.Time) (refused []Rejected) {
 	ahead := 0
 	for _, w := range q.Sorted(now) {
-		if verdict := q.Line.Decide(now, overloadRequest(now, w, true), ahead); verdict.Reject {
+		if verdict := q.Controller.Decide(now, overloadRequest(now, w, true), ahead); verdict.Reject {
 			q.Remove(w)
-			refused = append(refused, Refused{Waiting: w, Verdict: verdict})
+			refused = append(refused, Rejected{Waiter: w, Decision: verdict})
 			continue
 		}
 		ahead++
@@ -126,9 +126,9 @@
 // overloadRequest describes a request to the overload controller. A returning request counts as
 // waiting: it is assumed to have no further attempt, so it is rejected only when no slot is
 // expected in time.
-func overloadRequest(now time.Time, w *Waiting, waits bool) overload.Request {
+func overloadRequest(now time.Time, w *Waiter, waits bool) overload.Request {
 	return overload.Request{
-		Rank: w.Order.Rank, TimeToTarget: w.Order.Target.Sub(now), TimeToDeadline: w.Order.Deadline.Sub(now), Queued: waits || w.Ask.Returned,
+		Rank: w.Order.Rank, TimeToTarget: w.Order.Target.Sub(now), TimeToDeadline: w.Order.Deadline.Sub(now), Queued: waits || w.Request.Returning,
 		Promised: !w.Order.Promised.IsZero(), Due: w.Order.Promised.Sub(now),
 	}
 }
--- a/reservation/replay_test.go
+++ b/reservation/replay_test.go
@@ -66,7 +66,7 @@
 
 // caller is one request and its outcome.
 type caller struct {
-	*Waiting
+	*Waiter
 	tenant        int
 	arrivedAt     time.Time
 	tries         int
@@ -123,8 +123,8 @@
 		c.tries++
 		c.askedAt = now
 		left := c.arrivedAt.Add(callerTimeout).Sub(now)
-		c.Waiting = Wait(now, "f", Ask{
-			Begin: c.arrivedAt.Add(startTarget).Sub(now), Last: time.Duration(startDeadlineShare * float64(left)), Returned: c.tries > 1,
+		c.Waiter = NewWaiter(now, "f", Request{
+			TimeToTarget: c.arrivedAt.Add(startTarget).Sub(now), TimeToDeadline: time.Duration(startDeadlineShare * float64(left)), Returning: c.tries > 1,
 		})
 		if refused, back := p.arrive(now, c, waiting, free); refused {
 			reject(c, back)
@@ -241,30 +241,30 @@
 // queuePolicy is the Queue under test.
 func queuePolicy() *policy {
 	q, p := &Queue{}, fifoPolicy()
-	p.observe = q.Line.Observe
-	p.placed = func(now time.Time, c *caller) { q.Placed(now, c.Waiting) }
+	p.observe = q.Controller.Observe
+	p.placed = func(now time.Time, c *caller) { q.RecordPlacement(now, c.Waiter) }
 	p.compare = compareByClass
 	p.arrive = func(now time.Time, c *caller, waiting []*caller, free bool) (bool, time.Duration) {
 		q.waiters = nil
 		for _, other := range waiting {
-			q.Add(other.Waiting)
+			q.Add(other.Waiter)
 		}
-		q.Arrived(now, c.Waiting)
+		q.RecordArrival(now, c.Waiter)
 		if free {
 			return false, 0
 		}
-		v := q.Decide(now, c.Waiting)
+		v := q.Decide(now, c.Waiter)
 		return v.Reject, v.RetryAfter
 	}
 	p.shed = func(now time.Time, waiting []*caller) (list []shedCaller) {
 		q.waiters = nil
 		for _, c := range waiting {
-			q.Add(c.Waiting)
+			q.Add(c.Waiter)
 		}
-		q.Line.SetWaiting(now, len(waiting) > 0)
-		for _, r := range q.Refuse(now) {
-			i := slices.IndexFunc(waiting, func(c *caller) bool { return c.Waiting == r.Waiting })
-			list = append(list, shedCaller{waiting[i], r.Verdict.RetryAfter})
+		q.Controller.SetWaiting(now, len(waiting) > 0)
+		for _, r := range q.Shed(now) {
+			i := slices.IndexFunc(waiting, func(c *caller) bool { return c.Waiter == r.Waiter })
+			list = append(list, shedCaller{waiting[i], r.Decision.RetryAfter})
 		}
 		return list
 	}
@@ -296,7 +296,7 @@
 			}
 		}
 		until := time.Duration(float64(ahead) / max(rate*math.Exp(-now.Sub(at).Seconds()), 5) * float64(time.Second))
-		return until > c.Ask.Last, until
+		return until > c.Request.TimeToDeadline, until
 	}
 	return p
 }
