--- a/reservation/reservation.go
+++ b/reservation/reservation.go
@@ -23,50 +23,50 @@
 
 // Report is the number of requests that a frontend has at the workers led by the receiver.
 type Report struct {
-	Node     api.NodeID     `json:"node"`
-	Sequence uint64         `json:"sequence"`       // increases with each report, also across restarts
-	Seen     uint64         `json:"seen,omitempty"` // latest grant included in this report
-	Held     map[string]int `json:"held,omitempty"` // requests in flight by worker
-	// Heard is what the frontend has observed of these workers since its last report, at
-	// most reservation.MaximumWords entries.
-	Heard []Word `json:"heard,omitempty"`
-	// Born is the start time, by worker, of those that report one.
-	Born map[string]time.Time `json:"born,omitempty"`
+	Node      api.NodeID     `json:"node"`
+	Sequence  uint64         `json:"sequence"`       // increases with each report, also across restarts
+	LastGrant uint64         `json:"seen,omitempty"` // latest grant included in this report
+	InFlight  map[string]int `json:"held,omitempty"` // requests in flight by worker
+	// Observations is what the frontend has observed of these workers since its last report, at
+	// most reservation.MaxObservations entries.
+	Observations []Observation `json:"heard,omitempty"`
+	// StartedAt is the start time, by worker, of those that report one.
+	StartedAt map[string]time.Time `json:"born,omitempty"`
 }
 
-// MaximumWords is the maximum number of worker observations in one report. It exceeds the
+// MaxObservations is the maximum number of worker observations in one report. It exceeds the
 // number of workers that a frontend observes at one leader between two messages.
-const MaximumWords = 64
+const MaxObservations = 64
 
-// Word is what a frontend has observed of one incarnation of a worker.
-type Word struct {
-	Worker string    `json:"worker"`
-	Born   time.Time `json:"born,omitzero"` // start time of the worker, if reported
+// Observation is what a frontend has observed of one incarnation of a worker.
+type Observation struct {
+	Worker    string    `json:"worker"`
+	StartedAt time.Time `json:"born,omitzero"` // start time of the worker, if reported
 	// Pace is the pace last reported by the worker, PaceAge ago; 0 if none.
-	Pace    float64       `json:"pace,omitempty"`
-	PaceAge time.Duration `json:"pace_age,omitempty"`
-	Streams int           `json:"streams,omitempty"` // number of streams that ended
-	Step    time.Duration `json:"step,omitempty"`    // mean interval between their events
+	Pace          float64       `json:"pace,omitempty"`
+	PaceAge       time.Duration `json:"pace_age,omitempty"`
+	Streams       int           `json:"streams,omitempty"` // number of streams that ended
+	EventInterval time.Duration `json:"step,omitempty"`    // mean interval between their events
 	worker.Outcomes
 }
 
 // Add counts n requests at a worker.
 func (r *Report) Add(w worker.Incarnation, n int) {
-	if r.Held == nil {
-		r.Held = map[string]int{}
+	if r.InFlight == nil {
+		r.InFlight = map[string]int{}
 	}
-	r.Held[w.ID] += n
+	r.InFlight[w.ID] += n
 	if w.StartedAt.IsZero() {
 		return
 	}
-	if r.Born == nil {
-		r.Born = map[string]time.Time{}
+	if r.StartedAt == nil {
+		r.StartedAt = map[string]time.Time{}
 	}
-	r.Born[w.ID] = w.StartedAt
+	r.StartedAt[w.ID] = w.StartedAt
 }
 
-// Ask is a request for a slot at a worker of a service.
-type Ask struct {
+// Request is a request for a slot at a worker of a service.
+type Request struct {
 	Service  string        `json:"service"`
 	Worker   string        `json:"worker"` // the frontend's choice
 	Parts    []worker.Part `json:"parts,omitempty"`
@@ -74,21 +74,21 @@
 	Excluded []string      `json:"excluded,omitempty"`
 	Zone     string        `json:"zone,omitempty"` // of the frontend
 	Rank     hold.Rank     `json:"rank"`
-	// Begin is the time left until the request must start to meet its target. It is
+	// TimeToTarget is the time left until the request must start to meet its target. It is
 	// negative once that has passed.
-	Begin time.Duration `json:"begin"`
-	// Last is the time left until the request must start to be served at all. It is
+	TimeToTarget time.Duration `json:"begin"`
+	// TimeToDeadline is the time left until the request must start to be served at all. It is
 	// negative once that has passed.
-	Last time.Duration `json:"last"`
-	Wait time.Duration `json:"wait,omitempty"` // maximum time in the queue; 0 disables queueing
-	// Returned reports that the caller was probably rejected before, judging by the time
+	TimeToDeadline time.Duration `json:"last"`
+	Wait           time.Duration `json:"wait,omitempty"` // maximum time in the queue; 0 disables queueing
+	// Returning reports that the caller was probably rejected before, judging by the time
 	// it has left.
-	Returned bool `json:"returned,omitempty"`
-	// Again reports that this attempt has queued at a leader before.
-	Again bool `json:"again,omitempty"`
-	// Elsewhere reports that the frontend tries another leader if this one has no slot in
+	Returning bool `json:"returned,omitempty"`
+	// Requeued reports that this attempt has queued at a leader before.
+	Requeued bool `json:"again,omitempty"`
+	// HasAlternative reports that the frontend tries another leader if this one has no slot in
 	// time, so that a rejection records no promise.
-	Elsewhere bool `json:"elsewhere,omitempty"`
+	HasAlternative bool `json:"elsewhere,omitempty"`
 	// Promise is the time until the slot that the caller was told to return for. An
 	// attempt that queues again keeps it.
 	Promise *time.Duration `json:"promise,omitempty"`
@@ -96,28 +96,28 @@
 
 // Message is a frontend's report with an optional request for a slot.
 type Message struct {
-	Report Report `json:"report"`
-	Ask    *Ask   `json:"ask,omitempty"`
+	Report  Report   `json:"report"`
+	Request *Request `json:"ask,omitempty"`
 }
 
-// Answer is the reply to a Message that requests a slot. It grants a slot at a worker, or
+// Response is the reply to a Message that requests a slot. It grants a slot at a worker, or
 // sets exactly one of the three flags that say why none was granted.
-type Answer struct {
+type Response struct {
 	Worker string `json:"worker,omitempty"` // where the slot was granted
 	Grant  uint64 `json:"grant,omitempty"`  // number of the grant
-	// Blind reports that the process became leader recently and has no slot counts yet.
-	Blind bool `json:"blind,omitempty"`
+	// WarmingUp reports that the process became leader recently and has no slot counts yet.
+	WarmingUp bool `json:"blind,omitempty"`
 	// Full reports that no slot is free. Waiting is the length of the queue.
 	Full    bool `json:"full,omitempty"`
 	Waiting int  `json:"waiting,omitempty"`
-	// Until is the expected wait for a slot, set with Full; 0 if unknown.
-	Until time.Duration `json:"until,omitempty"`
+	// ExpectedWait is the expected wait for a slot, set with Full; 0 if unknown.
+	ExpectedWait time.Duration `json:"until,omitempty"`
 	// Promise is the time until the slot promised to the request, set with Full.
 	Promise *time.Duration `json:"promise,omitempty"`
-	// Hopeless reports that no slot is expected in time. The caller should retry after
+	// NoSlotInTime reports that no slot is expected in time. The caller should retry after
 	// RetryAfter.
-	Hopeless   bool          `json:"hopeless,omitempty"`
-	RetryAfter time.Duration `json:"retry_after,omitempty"`
+	NoSlotInTime bool          `json:"hopeless,omitempty"`
+	RetryAfter   time.Duration `json:"retry_after,omitempty"`
 	// Paces is the machine part of the pace of some workers led by the process, estimated
 	// from the observations of all frontends. Consecutive responses cover the workers
 	// in turn. It may accompany any response.
@@ -133,9 +133,9 @@
 	grantTTL = 500 * time.Millisecond
 )
 
-// Book counts the requests at each worker from reports and grants. The zero value is not
+// Ledger counts the requests at each worker from reports and grants. The zero value is not
 // usable; create one with New.
-type Book struct {
+type Ledger struct {
 	frontends map[api.NodeID]*frontend
 	online    map[string]int // requests by worker
 	ended     map[string]int // finished requests by worker, until they are read
@@ -161,28 +161,28 @@
 }
 
 // New returns an empty value without reports and grants.
-func New() *Book {
-	return &Book{frontends: map[api.NodeID]*frontend{}, online: map[string]int{}, ended: map[string]int{}, startedAt: map[string]time.Time{}, changed: map[string]bool{}}
+func New() *Ledger {
+	return &Ledger{frontends: map[api.NodeID]*frontend{}, online: map[string]int{}, ended: map[string]int{}, startedAt: map[string]time.Time{}, changed: map[string]bool{}}
 }
 
-// Touched returns the workers whose count may have changed since the last call.
-func (b *Book) Touched() map[string]bool {
+// TakeChanged returns the workers whose count may have changed since the last call.
+func (b *Ledger) TakeChanged() map[string]bool {
 	touched := b.changed
 	b.changed = map[string]bool{}
 	return touched
 }
 
-// Ended returns the number of requests that ended at each worker since the last call,
+// TakeEnded returns the number of requests that ended at each worker since the last call,
 // according to the reports.
-func (b *Book) Ended() map[string]int {
+func (b *Ledger) TakeEnded() map[string]int {
 	ended := b.ended
 	b.ended = map[string]int{}
 	return ended
 }
 
-// Began records the start time of a worker. Requests and grants of an earlier incarnation
+// RecordStart records the start time of a worker. Requests and grants of an earlier incarnation
 // no longer count.
-func (b *Book) Began(w worker.Incarnation) {
+func (b *Ledger) RecordStart(w worker.Incarnation) {
 	if !w.StartedAt.After(b.startedAt[w.ID]) {
 		return
 	}
@@ -200,17 +200,17 @@
 }
 
 // isStale reports whether a start time in reported precedes the known start of the worker.
-func (b *Book) isStale(reported map[string]time.Time, worker string) bool {
+func (b *Ledger) isStale(reported map[string]time.Time, worker string) bool {
 	at, ok := reported[worker]
 	return ok && at.Before(b.startedAt[worker])
 }
 
-// Online returns the number of requests at a worker, including those that were granted a
+// InFlight returns the number of requests at a worker, including those that were granted a
 // slot and have not been reported yet.
-func (b *Book) Online(worker string) int { return b.online[worker] }
+func (b *Ledger) InFlight(worker string) int { return b.online[worker] }
 
 // Report replaces the counts of a frontend, unless a newer report was received before.
-func (b *Book) Report(now time.Time, report Report) {
+func (b *Ledger) Report(now time.Time, report Report) {
 	f := b.frontends[report.Node]
 	if f == nil {
 		f = &frontend{}
@@ -219,17 +219,17 @@
 	if report.Sequence <= f.sequence {
 		return
 	}
-	held := maps.Clone(report.Held)
-	maps.DeleteFunc(held, func(worker string, _ int) bool { return b.isStale(report.Born, worker) })
-	b.recordEnded(f, held, report.Seen)
+	held := maps.Clone(report.InFlight)
+	maps.DeleteFunc(held, func(worker string, _ int) bool { return b.isStale(report.StartedAt, worker) })
+	b.recordEnded(f, held, report.LastGrant)
 	b.addAll(f.held, -1)
 	b.addAll(held, 1)
-	f.reportedAt, f.sequence, f.held, f.startedAt = now, report.Sequence, held, report.Born
-	b.removePending(f, func(g pendingGrant) bool { return g.grant <= report.Seen })
+	f.reportedAt, f.sequence, f.held, f.startedAt = now, report.Sequence, held, report.StartedAt
+	b.removePending(f, func(g pendingGrant) bool { return g.grant <= report.LastGrant })
 }
 
 // recordEnded counts the requests that are missing from a frontend's new report.
-func (b *Book) recordEnded(f *frontend, held map[string]int, seen uint64) {
+func (b *Ledger) recordEnded(f *frontend, held map[string]int, seen uint64) {
 	had := maps.Clone(f.held)
 	if had == nil {
 		had = map[string]int{}
@@ -246,8 +246,8 @@
 	}
 }
 
-// Give records a grant to a frontend and returns its number.
-func (b *Book) Give(now time.Time, node api.NodeID, worker string) uint64 {
+// Grant records a grant to a frontend and returns its number.
+func (b *Ledger) Grant(now time.Time, node api.NodeID, worker string) uint64 {
 	f := b.frontends[node]
 	if f == nil {
 		f = &frontend{reportedAt: now}
@@ -261,7 +261,7 @@
 }
 
 // Expire drops reports and grants that are older than their TTL.
-func (b *Book) Expire(now time.Time) {
+func (b *Ledger) Expire(now time.Time) {
 	for id, f := range b.frontends {
 		b.removePending(f, func(g pendingGrant) bool { return now.Sub(g.grantedAt) > grantTTL })
 		if now.Sub(f.reportedAt) > reportTTL {
@@ -274,7 +274,7 @@
 	}
 }
 
-func (b *Book) removePending(f *frontend, ended func(pendingGrant) bool) {
+func (b *Ledger) removePending(f *frontend, ended func(pendingGrant) bool) {
 	kept := f.pending[:0]
 	for _, g := range f.pending {
 		if ended(g) {
@@ -286,13 +286,13 @@
 	f.pending = kept
 }
 
-func (b *Book) addAll(held map[string]int, sign int) {
+func (b *Ledger) addAll(held map[string]int, sign int) {
 	for worker, n := range held {
 		b.add(worker, sign*n)
 	}
 }
 
-func (b *Book) add(worker string, n int) {
+func (b *Ledger) add(worker string, n int) {
 	b.changed[worker] = true
 	b.online[worker] += n
 	if b.online[worker] == 0 {
--- a/reservation/reservation_test.go
+++ b/reservation/reservation_test.go
@@ -14,36 +14,36 @@
 
 func TestGrantCountsUntilReported(t *testing.T) {
 	b := New()
-	b.Report(start, Report{Node: "f", Sequence: 1, Held: map[string]int{"w": 2}})
-	grant := b.Give(start, "f", "w")
-	if n := b.Online("w"); n != 3 {
+	b.Report(start, Report{Node: "f", Sequence: 1, InFlight: map[string]int{"w": 2}})
+	grant := b.Grant(start, "f", "w")
+	if n := b.InFlight("w"); n != 3 {
 		t.Fatalf("%d requests online after the grant, want 3", n)
 	}
-	b.Report(start, Report{Node: "f", Sequence: 2, Seen: grant - 1, Held: map[string]int{"w": 1}})
-	if n := b.Online("w"); n != 2 {
+	b.Report(start, Report{Node: "f", Sequence: 2, LastGrant: grant - 1, InFlight: map[string]int{"w": 1}})
+	if n := b.InFlight("w"); n != 2 {
 		t.Errorf("%d requests online after a report without the grant, want 2", n)
 	}
-	b.Report(start, Report{Node: "f", Sequence: 4, Seen: grant, Held: map[string]int{"w": 2}})
-	b.Report(start, Report{Node: "f", Sequence: 3, Seen: grant, Held: map[string]int{"w": 9}})
-	if n := b.Online("w"); n != 2 {
+	b.Report(start, Report{Node: "f", Sequence: 4, LastGrant: grant, InFlight: map[string]int{"w": 2}})
+	b.Report(start, Report{Node: "f", Sequence: 3, LastGrant: grant, InFlight: map[string]int{"w": 9}})
+	if n := b.InFlight("w"); n != 2 {
 		t.Errorf("%d requests online after a report with the grant and an older report, want 2", n)
 	}
 }
 
 func TestReportsAndGrantsExpire(t *testing.T) {
 	b := New()
-	b.Report(start, Report{Node: "f", Sequence: 1, Held: map[string]int{"w": 2}})
-	b.Give(start.Add(reportTTL), "f", "w")
+	b.Report(start, Report{Node: "f", Sequence: 1, InFlight: map[string]int{"w": 2}})
+	b.Grant(start.Add(reportTTL), "f", "w")
 	b.Expire(start.Add(reportTTL))
-	if n := b.Online("w"); n != 3 {
+	if n := b.InFlight("w"); n != 3 {
 		t.Errorf("%d requests online before expiry, want 3", n)
 	}
 	b.Expire(start.Add(reportTTL + time.Millisecond))
-	if n := b.Online("w"); n != 1 {
+	if n := b.InFlight("w"); n != 1 {
 		t.Errorf("%d requests online after the report expired, want 1", n)
 	}
 	b.Expire(start.Add(reportTTL + grantTTL + time.Millisecond))
-	if n := b.Online("w"); n != 0 {
+	if n := b.InFlight("w"); n != 0 {
 		t.Errorf("%d requests online after the grant expired, want 0", n)
 	}
 }
@@ -51,9 +51,9 @@
 // Sequence numbers start from the clock, so that reports of a restarted frontend are newer.
 func TestReportOfRestartedFrontendIsAccepted(t *testing.T) {
 	b := New()
-	b.Report(start, Report{Node: "f", Sequence: 100, Held: map[string]int{"w": 5}})
+	b.Report(start, Report{Node: "f", Sequence: 100, InFlight: map[string]int{"w": 5}})
 	b.Report(start, Report{Node: "f", Sequence: 200})
-	if n := b.Online("w"); n != 0 {
+	if n := b.InFlight("w"); n != 0 {
 		t.Errorf("%d requests online, want 0", n)
 	}
 }
@@ -71,7 +71,7 @@
 			worker := rapid.SampledFrom([]string{"v", "w"}).Draw(t, "worker")
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0: // a slot is granted and used
-				seen[node] = b.Give(start, node, worker)
+				seen[node] = b.Grant(start, node, worker)
 				held[node][worker]++
 			case 1: // a request ends
 				if held[node][worker] > 0 {
@@ -79,9 +79,9 @@
 				}
 			case 2: // a report is sent
 				sequence++
-				report := Report{Node: node, Sequence: sequence, Seen: seen[node], Held: map[string]int{}}
+				report := Report{Node: node, Sequence: sequence, LastGrant: seen[node], InFlight: map[string]int{}}
 				for id, n := range held[node] {
-					report.Held[id] = n
+					report.InFlight[id] = n
 				}
 				inFlight = append(inFlight, report)
 			case 3: // a report arrives or is lost
@@ -94,8 +94,8 @@
 				}
 			}
 			for _, id := range []string{"v", "w"} {
-				if n := held["f"][id] + held["g"][id]; b.Online(id) < n {
-					t.Fatalf("worker %s: %d requests counted, %d in flight", id, b.Online(id), n)
+				if n := held["f"][id] + held["g"][id]; b.InFlight(id) < n {
+					t.Fatalf("worker %s: %d requests counted, %d in flight", id, b.InFlight(id), n)
 				}
 			}
 		}
@@ -106,18 +106,18 @@
 	const ms = time.Millisecond
 	var q Queue
 	for i := range 101 { // 100 slots per second become free
-		q.Line.Observe(start.Add(time.Duration(i)*10*ms), 100, 100, 1)
+		q.Controller.Observe(start.Add(time.Duration(i)*10*ms), 100, 100, 1)
 	}
 	now := start.Add(time.Second)
-	wait := func(rank int, begin time.Duration) *Waiting {
-		return Wait(now, "f", Ask{Rank: hold.Rank{Route: rank}, Begin: begin, Last: 3 * time.Second})
+	wait := func(rank int, begin time.Duration) *Waiter {
+		return NewWaiter(now, "f", Request{Rank: hold.Rank{Route: rank}, TimeToTarget: begin, TimeToDeadline: 3 * time.Second})
 	}
 	for range 50 {
 		q.Add(wait(1, 200*ms))
 	}
 	tests := []struct {
 		name     string
-		request  *Waiting
+		request  *Waiter
 		min, max time.Duration
 	}{
 		{"ahead of all", wait(0, 200*ms), 5 * ms, 40 * ms},
@@ -159,18 +159,18 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			b := New()
-			b.Report(start, Report{Node: "f", Sequence: 1, Held: map[string]int{"w": 3}})
+			b.Report(start, Report{Node: "f", Sequence: 1, InFlight: map[string]int{"w": 3}})
 			seen := uint64(0)
 			for i := range test.granted {
-				if grant := b.Give(start, "f", "w"); i < test.seen {
+				if grant := b.Grant(start, "f", "w"); i < test.seen {
 					seen = grant
 				}
 			}
-			b.Report(start, Report{Node: "f", Sequence: 2, Seen: seen, Held: test.held})
-			if got := b.Ended()["w"]; got != test.want {
+			b.Report(start, Report{Node: "f", Sequence: 2, LastGrant: seen, InFlight: test.held})
+			if got := b.TakeEnded()["w"]; got != test.want {
 				t.Errorf("unexpected number of ended requests: %d", got)
 			}
-			if got := b.Ended()["w"]; got != 0 {
+			if got := b.TakeEnded()["w"]; got != 0 {
 				t.Errorf("%d requests ended on the second call, want 0", got)
 			}
 		})
@@ -184,11 +184,11 @@
 	now := start
 	for i := range 1500 {
 		now = start.Add(time.Duration(i) * 10 * time.Millisecond)
-		q.Line.Observe(now, 100, 100, 1)
+		q.Controller.Observe(now, 100, 100, 1)
 		for n := i * arrivals / 100; n < (i+1)*arrivals/100; n++ {
-			q.Line.RecordArrival(now, hold.Rank{})
+			q.Controller.RecordArrival(now, hold.Rank{})
 		}
-		q.Line.RecordPlacement(now, hold.Rank{}, true)
+		q.Controller.RecordPlacement(now, hold.Rank{}, true)
 	}
 	return q, now
 }
@@ -196,18 +196,18 @@
 func TestRequestsThatCannotBeServedAreRejected(t *testing.T) {
 	q, now := saturatedQueue(200)
 	for range 30 {
-		q.Add(Wait(now, "f", Ask{Begin: 200 * time.Millisecond, Last: 3 * time.Second}))
+		q.Add(NewWaiter(now, "f", Request{TimeToTarget: 200 * time.Millisecond, TimeToDeadline: 3 * time.Second}))
 	}
-	refused := q.Refuse(now)
+	refused := q.Shed(now)
 	if q.Len() < 18 || q.Len() > 20 || len(refused)+q.Len() != 30 {
 		t.Errorf("%d requests wait and %d were rejected, want 18 to 20 of 30 to wait", q.Len(), len(refused))
 	}
 	for _, r := range refused {
-		if r.Verdict.RetryAfter <= 0 {
-			t.Errorf("rejected without a retry delay: %+v", r.Verdict)
+		if r.Decision.RetryAfter <= 0 {
+			t.Errorf("rejected without a retry delay: %+v", r.Decision)
 		}
 	}
-	if refused := q.Refuse(now.Add(201 * time.Millisecond)); len(refused) == 0 || q.Len() != 0 {
+	if refused := q.Shed(now.Add(201 * time.Millisecond)); len(refused) == 0 || q.Len() != 0 {
 		t.Errorf("%d late requests still wait, want 0", q.Len())
 	}
 }
@@ -217,24 +217,24 @@
 func TestReturningRequestGoesFirstWhenDue(t *testing.T) {
 	q, now := saturatedQueue(200)
 	for range 30 {
-		q.Add(Wait(now, "f", Ask{Begin: 200 * time.Millisecond, Last: 3 * time.Second}))
+		q.Add(NewWaiter(now, "f", Request{TimeToTarget: 200 * time.Millisecond, TimeToDeadline: 3 * time.Second}))
 	}
-	verdict := q.Decide(now, Wait(now, "f", Ask{Begin: 200 * time.Millisecond, Last: 3 * time.Second}))
+	verdict := q.Decide(now, NewWaiter(now, "f", Request{TimeToTarget: 200 * time.Millisecond, TimeToDeadline: 3 * time.Second}))
 	if !verdict.Reject || verdict.RetryAfter <= 0 {
 		t.Fatalf("want a rejection with a retry delay, got %+v", verdict)
 	}
 	later := now.Add(verdict.RetryAfter)
-	back := Wait(later, "f", Ask{Begin: -time.Millisecond, Last: 2 * time.Second, Returned: true})
-	q.Arrived(later, back)
+	back := NewWaiter(later, "f", Request{TimeToTarget: -time.Millisecond, TimeToDeadline: 2 * time.Second, Returning: true})
+	q.RecordArrival(later, back)
 	if v := q.Decide(later, back); v.Reject {
 		t.Fatalf("returning request was rejected: %+v", v)
 	}
-	early := q.countAhead(now, Wait(now, "f", Ask{Begin: verdict.RetryAfter + time.Second, Last: 3 * time.Second}))
+	early := q.countAhead(now, NewWaiter(now, "f", Request{TimeToTarget: verdict.RetryAfter + time.Second, TimeToDeadline: 3 * time.Second}))
 	q.Add(back)
-	if q.countAhead(now, Wait(now, "f", Ask{Begin: verdict.RetryAfter + time.Second, Last: 3 * time.Second})) != early+1 {
+	if q.countAhead(now, NewWaiter(now, "f", Request{TimeToTarget: verdict.RetryAfter + time.Second, TimeToDeadline: 3 * time.Second})) != early+1 {
 		t.Error("a promise that is due earlier does not count as ahead")
 	}
-	q.Add(Wait(later, "f", Ask{Begin: time.Millisecond, Last: 3 * time.Second}))
+	q.Add(NewWaiter(later, "f", Request{TimeToTarget: time.Millisecond, TimeToDeadline: 3 * time.Second}))
 	if q.Sorted(later)[0] != back {
 		t.Error("a new request precedes the returning one")
 	}
@@ -242,8 +242,8 @@
 	if answer.Promise == nil {
 		t.Fatalf("answer without promise: %+v", answer)
 	}
-	again := Wait(later, "f", Ask{Begin: -time.Millisecond, Last: time.Second, Returned: true, Again: true, Promise: answer.Promise})
-	q.Arrived(later, again)
+	again := NewWaiter(later, "f", Request{TimeToTarget: -time.Millisecond, TimeToDeadline: time.Second, Returning: true, Requeued: true, Promise: answer.Promise})
+	q.RecordArrival(later, again)
 	if again.Order.Promised != back.Order.Promised {
 		t.Errorf("promised %v, want %v", again.Order.Promised, back.Order.Promised)
 	}
@@ -252,12 +252,12 @@
 // Requests that queue again and probes do not count as new arrivals.
 func TestArrivalRateCountsOnlyNewCallers(t *testing.T) {
 	q, now := saturatedQueue(50)
-	before := q.Line.Evaluate(now, overloadRequest(now, Wait(now, "f", Ask{Rank: hold.Rank{Route: 1}, Begin: time.Second, Last: time.Second}), false), 0).Rate
+	before := q.Controller.Evaluate(now, overloadRequest(now, NewWaiter(now, "f", Request{Rank: hold.Rank{Route: 1}, TimeToTarget: time.Second, TimeToDeadline: time.Second}), false), 0).Rate
 	for range 100 {
-		q.Arrived(now, Wait(now, "f", Ask{Again: true, Begin: time.Second, Last: time.Second}))
-		q.Full(now, Wait(now, "f", Ask{Begin: time.Second, Last: time.Second}))
+		q.RecordArrival(now, NewWaiter(now, "f", Request{Requeued: true, TimeToTarget: time.Second, TimeToDeadline: time.Second}))
+		q.Full(now, NewWaiter(now, "f", Request{TimeToTarget: time.Second, TimeToDeadline: time.Second}))
 	}
-	after := q.Line.Evaluate(now, overloadRequest(now, Wait(now, "f", Ask{Rank: hold.Rank{Route: 1}, Begin: time.Second, Last: time.Second}), false), 0).Rate
+	after := q.Controller.Evaluate(now, overloadRequest(now, NewWaiter(now, "f", Request{Rank: hold.Rank{Route: 1}, TimeToTarget: time.Second, TimeToDeadline: time.Second}), false), 0).Rate
 	if before != after || before < 40 || before > 60 {
 		t.Errorf("rate left for later ranks is %.1f per second, was %.1f, want 40 to 60 unchanged", after, before)
 	}
@@ -268,16 +268,16 @@
 func TestReturningRequestWaitsWhereNewOneIsRejected(t *testing.T) {
 	q, now := saturatedQueue(50) // leaves 50 slots per second
 	for range 50 {
-		q.Add(Wait(now, "f", Ask{Begin: time.Millisecond, Last: 3 * time.Second}))
+		q.Add(NewWaiter(now, "f", Request{TimeToTarget: time.Millisecond, TimeToDeadline: 3 * time.Second}))
 	}
 	late := func(returned bool) bool {
-		return q.Decide(now, Wait(now, "f", Ask{Begin: -time.Millisecond, Last: 1500 * time.Millisecond, Returned: returned})).Reject
+		return q.Decide(now, NewWaiter(now, "f", Request{TimeToTarget: -time.Millisecond, TimeToDeadline: 1500 * time.Millisecond, Returning: returned})).Reject
 	}
 	if !late(false) || late(true) {
 		t.Errorf("rejected: new request %t, returning request %t; want true, false", late(false), late(true))
 	}
 	for range 50 {
-		q.Add(Wait(now, "f", Ask{Begin: time.Millisecond, Last: 3 * time.Second}))
+		q.Add(NewWaiter(now, "f", Request{TimeToTarget: time.Millisecond, TimeToDeadline: 3 * time.Second}))
 	}
 	if !late(true) {
 		t.Error("a returning request waits although no slot is expected in time")
--- a/reservation/words_test.go
+++ b/reservation/words_test.go
@@ -18,9 +18,9 @@
 		text   string // expected encoding; not checked if empty
 	}{
 		{"no observation", Report{Node: "f", Sequence: 1}, `{"node":"f","sequence":1}`},
-		{"worker without start time", Report{Node: "f", Sequence: 1, Heard: []Word{{Worker: "w", Pace: 0.7}}}, `{"node":"f","sequence":1,"heard":[{"worker":"w","pace":0.7}]}`},
-		{"all fields", Report{Node: "f", Sequence: 1, Heard: []Word{{
-			Worker: "w", Born: start.UTC(), Pace: 1.7, PaceAge: time.Millisecond, Streams: 2, Step: time.Second, Outcomes: worker.Outcomes{Succeeded: 1, Failed: 2},
+		{"worker without start time", Report{Node: "f", Sequence: 1, Observations: []Observation{{Worker: "w", Pace: 0.7}}}, `{"node":"f","sequence":1,"heard":[{"worker":"w","pace":0.7}]}`},
+		{"all fields", Report{Node: "f", Sequence: 1, Observations: []Observation{{
+			Worker: "w", StartedAt: start.UTC(), Pace: 1.7, PaceAge: time.Millisecond, Streams: 2, EventInterval: time.Second, Outcomes: worker.Outcomes{Succeeded: 1, Failed: 2},
 		}}}, ""},
 	}
 	for _, test := range tests {
--- a/retry/outcome.go
+++ b/retry/outcome.go
@@ -6,23 +6,23 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Evidence describes how far an attempt without a response got.
-type Evidence struct {
-	Connected bool // the request got a connection
-	BytesLeft bool // a byte of the request was written to it
+// AttemptProgress describes how far an attempt without a response got.
+type AttemptProgress struct {
+	Connected    bool // the request got a connection
+	BytesWritten bool // a byte of the request was written to it
 }
 
-// OutcomeOf returns the outcome of an attempt without a response. It is
+// OutcomeWithoutResponse returns the outcome of an attempt without a response. It is
 // api.OutcomeNotRun only if no byte of the request can have reached the peer.
-func OutcomeOf(evidence Evidence) api.Outcome {
-	if !evidence.Connected || !evidence.BytesLeft {
+func OutcomeWithoutResponse(evidence AttemptProgress) api.Outcome {
+	if !evidence.Connected || !evidence.BytesWritten {
 		return api.OutcomeNotRun
 	}
 	return api.OutcomeUnknown
 }
 
-// BackendAnswer is the header of a backend's response.
-type BackendAnswer struct {
+// BackendResponse is the header of a backend's response.
+type BackendResponse struct {
 	Status     int
 	Outcome    api.Outcome // from HeaderOutcome; may be empty
 	RetryAfter bool        // a Retry-After header is present
@@ -31,9 +31,9 @@
 	Application bool
 }
 
-// OutcomeOfAnswer returns the outcome for a backend's response. After
+// OutcomeOfResponse returns the outcome for a backend's response. After
 // api.OutcomeRan the response is forwarded unchanged. See docs/design/retries.md.
-func OutcomeOfAnswer(answer BackendAnswer) api.Outcome {
+func OutcomeOfResponse(answer BackendResponse) api.Outcome {
 	if answer.Outcome == api.OutcomeNotRun || answer.Outcome == api.OutcomeUnknown {
 		return answer.Outcome
 	}
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -19,34 +19,34 @@
 	Number     int // 1 for the first
 	Failure    *api.Error
 	Repeatable bool
-	// Started reports that part of the response was forwarded to the caller.
-	Started   bool
-	Remaining time.Duration // until the request's deadline
+	// ResponseStarted reports that part of the response was forwarded to the caller.
+	ResponseStarted bool
+	Remaining       time.Duration // until the request's deadline
 }
 
 // Decision is the reaction to a failed attempt.
 type Decision struct {
-	Again bool
+	Retry bool
 	Delay time.Duration // before the next attempt
 }
 
 // Settings configures a Policy.
 type Settings struct {
-	MaximumAttempts int
-	BudgetRatio     float64 // retries per first attempt
-	BudgetBurst     float64 // maximum budget
+	MaxAttempts int
+	BudgetRatio float64 // retries per first attempt
+	BudgetBurst float64 // maximum budget
 	// BaseDelay is the maximum delay before the second attempt. The maximum
 	// doubles with each attempt up to a limit, and the delay is drawn
 	// uniformly between 0 and it (exponential backoff with full jitter).
-	BaseDelay    time.Duration
-	MaximumDelay time.Duration // limit of the maximum
+	BaseDelay time.Duration
+	MaxDelay  time.Duration // limit of the maximum
 }
 
 // DefaultSettings returns settings for online requests.
 func DefaultSettings() Settings {
 	return Settings{
-		MaximumAttempts: 4, BudgetRatio: 0.2, BudgetBurst: 20,
-		BaseDelay: 5 * time.Millisecond, MaximumDelay: 200 * time.Millisecond,
+		MaxAttempts: 4, BudgetRatio: 0.2, BudgetBurst: 20,
+		BaseDelay: 5 * time.Millisecond, MaxDelay: 200 * time.Millisecond,
 	}
 }
 
@@ -66,20 +66,20 @@
 	return &Policy{settings: settings, budget: settings.BudgetBurst, random: random}
 }
 
-// FirstAttempt replenishes the budget. It must be called once per request.
-func (p *Policy) FirstAttempt() {
+// RecordFirstAttempt replenishes the budget. It must be called once per request.
+func (p *Policy) RecordFirstAttempt() {
 	p.budget = min(p.budget+p.settings.BudgetRatio, p.settings.BudgetBurst)
 }
 
 // Decide decides whether to retry after a failed attempt. A retry consumes budget.
 func (p *Policy) Decide(attempt Attempt) Decision {
-	if attempt.Started || !retryable(attempt.Failure) {
+	if attempt.ResponseStarted || !retryable(attempt.Failure) {
 		return Decision{}
 	}
 	if !attempt.Repeatable && attempt.Failure.Outcome != api.OutcomeNotRun && !p.faultRetryUnknown {
 		return Decision{}
 	}
-	if attempt.Number >= p.settings.MaximumAttempts {
+	if attempt.Number >= p.settings.MaxAttempts {
 		return Decision{}
 	}
 	delay := p.delay(attempt.Number)
@@ -87,12 +87,12 @@
 		return Decision{}
 	}
 	p.budget--
-	return Decision{Again: true, Delay: delay}
+	return Decision{Retry: true, Delay: delay}
 }
 
 // delay returns the backoff delay with full jitter.
 func (p *Policy) delay(number int) time.Duration {
-	bound := min(p.settings.BaseDelay<<(number-1), p.settings.MaximumDelay)
+	bound := min(p.settings.BaseDelay<<(number-1), p.settings.MaxDelay)
 	if bound <= 0 {
 		return 0
 	}
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -25,7 +25,7 @@
 	outcomes := []api.Outcome{api.OutcomeNotRun, api.OutcomeRan, api.OutcomeUnknown}
 	return Attempt{
 		Number: rapid.IntRange(1, 6).Draw(t, "number"), Repeatable: rapid.Bool().Draw(t, "repeatable"),
-		Started: rapid.Bool().Draw(t, "started"), Remaining: time.Duration(rapid.Int64Range(-1e9, 1e10).Draw(t, "remaining")),
+		ResponseStarted: rapid.Bool().Draw(t, "started"), Remaining: time.Duration(rapid.Int64Range(-1e9, 1e10).Draw(t, "remaining")),
 		Failure: &api.Error{
 			Code: rapid.SampledFrom(allCodes).Draw(t, "code"), Outcome: rapid.SampledFrom(outcomes).Draw(t, "outcome"),
 		},
@@ -34,17 +34,17 @@
 
 // violatedRule returns the first rule that a decision violates.
 func violatedRule(attempt Attempt, decision Decision) string {
-	if !decision.Again {
+	if !decision.Retry {
 		return ""
 	}
 	switch {
 	case !attempt.Repeatable && attempt.Failure.Outcome != api.OutcomeNotRun:
 		return "non-repeatable request retried after outcome " + string(attempt.Failure.Outcome)
-	case attempt.Started:
+	case attempt.ResponseStarted:
 		return "retry after the response started"
 	case attempt.Remaining <= decision.Delay:
 		return "retry after the deadline"
-	case attempt.Number >= DefaultSettings().MaximumAttempts:
+	case attempt.Number >= DefaultSettings().MaxAttempts:
 		return "too many attempts"
 	}
 	return ""
@@ -77,10 +77,10 @@
 		requests := rapid.IntRange(1, 2000).Draw(t, "requests")
 		retries := 0
 		for range requests {
-			policy.FirstAttempt()
+			policy.RecordFirstAttempt()
 			for number := 1; ; number++ {
 				attempt := Attempt{Number: number, Repeatable: true, Remaining: time.Minute, Failure: &api.Error{Code: api.CodeUpstream, Outcome: api.OutcomeUnknown}}
-				if !policy.Decide(attempt).Again {
+				if !policy.Decide(attempt).Retry {
 					break
 				}
 				retries++
@@ -95,35 +95,35 @@
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		evidence Evidence
+		evidence AttemptProgress
 		want     api.Outcome
 	}{
-		{"no connection", Evidence{}, api.OutcomeNotRun},
-		{"connection, no byte", Evidence{Connected: true}, api.OutcomeNotRun},
-		{"byte written", Evidence{Connected: true, BytesLeft: true}, api.OutcomeUnknown},
+		{"no connection", AttemptProgress{}, api.OutcomeNotRun},
+		{"connection, no byte", AttemptProgress{Connected: true}, api.OutcomeNotRun},
+		{"byte written", AttemptProgress{Connected: true, BytesWritten: true}, api.OutcomeUnknown},
 	} {
-		if got := OutcomeOf(c.evidence); got != c.want {
+		if got := OutcomeWithoutResponse(c.evidence); got != c.want {
 			t.Errorf("%s: %s, want %s", c.name, got, c.want)
 		}
 	}
 	for _, c := range []struct {
 		name   string
-		answer BackendAnswer
+		answer BackendResponse
 		want   api.Outcome
 	}{
-		{"200", BackendAnswer{Status: 200}, api.OutcomeRan},
-		{"400", BackendAnswer{Status: 400}, api.OutcomeRan},
-		{"302 is forwarded", BackendAnswer{Status: 302}, api.OutcomeRan},
-		{"429", BackendAnswer{Status: 429}, api.OutcomeNotRun},
-		{"429 from an application", BackendAnswer{Status: 429, Application: true}, api.OutcomeNotRun},
-		{"503 with Retry-After from an engine", BackendAnswer{Status: 503, RetryAfter: true}, api.OutcomeNotRun},
-		{"503 without Retry-After", BackendAnswer{Status: 503}, api.OutcomeUnknown},
-		{"503 from an application", BackendAnswer{Status: 503, RetryAfter: true, Application: true}, api.OutcomeUnknown},
-		{"503 from an application with outcome not run", BackendAnswer{Status: 503, Application: true, Outcome: api.OutcomeNotRun}, api.OutcomeNotRun},
-		{"500", BackendAnswer{Status: 500}, api.OutcomeUnknown},
-		{"502 with Retry-After", BackendAnswer{Status: 502, RetryAfter: true}, api.OutcomeUnknown},
+		{"200", BackendResponse{Status: 200}, api.OutcomeRan},
+		{"400", BackendResponse{Status: 400}, api.OutcomeRan},
+		{"302 is forwarded", BackendResponse{Status: 302}, api.OutcomeRan},
+		{"429", BackendResponse{Status: 429}, api.OutcomeNotRun},
+		{"429 from an application", BackendResponse{Status: 429, Application: true}, api.OutcomeNotRun},
+		{"503 with Retry-After from an engine", BackendResponse{Status: 503, RetryAfter: true}, api.OutcomeNotRun},
+		{"503 without Retry-After", BackendResponse{Status: 503}, api.OutcomeUnknown},
+		{"503 from an application", BackendResponse{Status: 503, RetryAfter: true, Application: true}, api.OutcomeUnknown},
+		{"503 from an application with outcome not run", BackendResponse{Status: 503, Application: true, Outcome: api.OutcomeNotRun}, api.OutcomeNotRun},
+		{"500", BackendResponse{Status: 500}, api.OutcomeUnknown},
+		{"502 with Retry-After", BackendResponse{Status: 502, RetryAfter: true}, api.OutcomeUnknown},
 	} {
-		if got := OutcomeOfAnswer(c.answer); got != c.want {
+		if got := OutcomeOfResponse(c.answer); got != c.want {
 			t.Errorf("%s: %s, want %s", c.name, got, c.want)
 		}
 	}
--- a/route/route.go
+++ b/route/route.go
@@ -28,16 +28,16 @@
 
 // Route sends requests for Host under Prefix to the services of Shares.
 type Route struct {
-	Name      string
-	Host      string
-	Prefix    string // starts and ends with a slash
-	Kind      Kind
-	Shares    []Share       // at least one
-	Timeout   time.Duration // maximum duration of a request; 0 if unlimited
-	Target    time.Duration // latency objective of the response or first event
-	GapTarget time.Duration // objective for the interval between events
-	RunTarget time.Duration // batch: due time of all results after submission
-	Keep      time.Duration // batch: time after which an item may be abandoned; 0 if never
+	Name             string
+	Host             string
+	Prefix           string // starts and ends with a slash
+	Kind             Kind
+	Shares           []Share       // at least one
+	Timeout          time.Duration // maximum duration of a request; 0 if unlimited
+	Target           time.Duration // latency objective of the response or first event
+	GapTarget        time.Duration // objective for the interval between events
+	CompletionTarget time.Duration // batch: due time of all results after submission
+	AbandonAfter     time.Duration // batch: time after which an item may be abandoned; 0 if never
 	// MaxQueuedTokens bounds the tokens that a tenant may have queued on a batch route,
 	// or all callers together if there are no tenants; 0 if unlimited.
 	MaxQueuedTokens int64
@@ -157,8 +157,8 @@
 	return Route{}, false
 }
 
-// TakesPublicJobs reports whether the host has a public batch route.
-func (c *Configuration) TakesPublicJobs(host string) bool {
+// HasPublicBatchRoute reports whether the host has a public batch route.
+func (c *Configuration) HasPublicBatchRoute(host string) bool {
 	return slices.ContainsFunc(c.byHost[host], func(index int) bool {
 		return c.Routes[index].Kind == KindBatch && c.Routes[index].Public
 	})
--- a/route/tenant.go
+++ b/route/tenant.go
@@ -21,17 +21,17 @@
 	Name     string
 	Keys     []Key
 	Priority int // precedes the priority of routes; 0 is the highest
-	Limit    Limit
+	Limit    RateLimit
 }
 
-// Limit is the rate limit of a tenant over all processes together.
-type Limit struct {
+// RateLimit is the rate limit of a tenant over all processes together.
+type RateLimit struct {
 	Rate  float64 // requests per second; 0 if unlimited
 	Burst float64 // requests admitted at once above Rate
 }
 
 // Bounded reports whether there is a limit.
-func (l Limit) Bounded() bool { return l.Rate > 0 }
+func (l RateLimit) Bounded() bool { return l.Rate > 0 }
 
 // WithTenants sets the tenants and returns the errors found in them. It must be called
 // before the configuration is used. An error does not affect other tenants: a tenant
@@ -98,8 +98,8 @@
 // HasTenants reports whether requests on non-public routes need a key.
 func (c *Configuration) HasTenants() bool { return len(c.tenants) > 0 }
 
-// Tenants returns the number of tenants.
-func (c *Configuration) Tenants() int { return len(c.tenants) }
+// TenantCount returns the number of tenants.
+func (c *Configuration) TenantCount() int { return len(c.tenants) }
 
 // Identify returns the tenant to which the key belongs.
 func (c *Configuration) Identify(key Key) (Tenant, bool) {
--- a/route/tenant_test.go
+++ b/route/tenant_test.go
@@ -38,9 +38,9 @@
 func TestNegativeLimitsAreIgnored(t *testing.T) {
 	c := New(1, nil, nil, Limits{})
 	key := KeyOf("a")
-	problems := c.WithTenants([]Tenant{{Name: "x", Keys: []Key{key}, Limit: Limit{Rate: -1, Burst: -2}}})
+	problems := c.WithTenants([]Tenant{{Name: "x", Keys: []Key{key}, Limit: RateLimit{Rate: -1, Burst: -2}}})
 	got, found := c.Identify(key)
-	if !found || got.Limit != (Limit{}) || got.Limit.Bounded() || len(problems) != 2 {
+	if !found || got.Limit != (RateLimit{}) || got.Limit.Bounded() || len(problems) != 2 {
 		t.Errorf("%+v, %v", got, problems)
 	}
 }
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -25,15 +25,15 @@
 	return scored[best]
 }
 
-// TwoChoicesPicker implements the power of two choices: it draws two endpoints and
+// PowerOfTwoPicker implements the power of two choices: it draws two endpoints and
 // picks the better one, so that choosers with stale data do not herd.
-type TwoChoicesPicker struct{ Random *rand.Rand }
+type PowerOfTwoPicker struct{ Random *rand.Rand }
 
 // Name is the stage's name in logs.
-func (TwoChoicesPicker) Name() string { return "two-choices" }
+func (PowerOfTwoPicker) Name() string { return "two-choices" }
 
 // Pick returns the better one of two random endpoints.
-func (p TwoChoicesPicker) Pick(_ *Request, scored []Scored) Scored {
+func (p PowerOfTwoPicker) Pick(_ *Request, scored []Scored) Scored {
 	first := scored[p.Random.IntN(len(scored))]
 	second := scored[p.Random.IntN(len(scored))]
 	if second.Score > first.Score {
--- a/routing/prefix.go
+++ b/routing/prefix.go
@@ -11,16 +11,16 @@
 
 // PrefixSettings configures a PrefixIndex.
 type PrefixSettings struct {
-	MaximumBlocks int           // maximum hashes kept; the least recently seen are evicted first
-	Lifetime      time.Duration // time after which an unseen block counts as evicted
-	// GapTrust replaces the lifetime after a gap in a worker's events, which may have
+	MaxBlocks int           // maximum hashes kept; the least recently seen are evicted first
+	TTL       time.Duration // time after which an unseen block counts as evicted
+	// TTLAfterGap replaces the lifetime after a gap in a worker's events, which may have
 	// contained evictions. Recently seen blocks are evicted last.
-	GapTrust time.Duration
+	TTLAfterGap time.Duration
 }
 
 // DefaultPrefixSettings returns settings that limit the index to about 10 MB.
 func DefaultPrefixSettings() PrefixSettings {
-	return PrefixSettings{MaximumBlocks: 65536, Lifetime: time.Minute, GapTrust: 10 * time.Second}
+	return PrefixSettings{MaxBlocks: 65536, TTL: time.Minute, TTLAfterGap: 10 * time.Second}
 }
 
 // PrefixIndex estimates which workers have which prompt blocks in their prefix
@@ -84,7 +84,7 @@
 	case sequence <= state.sequence:
 		state.distrustBefore = now // the engine restarted with an empty cache
 	case state.sequence > 0 && sequence > state.sequence+1:
-		state.distrustBefore = maxTime(state.distrustBefore, now.Add(-x.settings.GapTrust))
+		state.distrustBefore = maxTime(state.distrustBefore, now.Add(-x.settings.TTLAfterGap))
 	}
 	state.sequence = sequence
 }
@@ -97,13 +97,13 @@
 	return 0
 }
 
-// Sent records that a prompt was sent to the worker, which then caches it.
-func (x *PrefixIndex) Sent(now time.Time, worker api.WorkerID, prefix []uint64) {
+// RecordPrompt records that a prompt was sent to the worker, which then caches it.
+func (x *PrefixIndex) RecordPrompt(now time.Time, worker api.WorkerID, prefix []uint64) {
 	x.add(now, x.worker(worker), prefix)
 }
 
-// Forget removes a worker.
-func (x *PrefixIndex) Forget(worker api.WorkerID) {
+// Remove removes a worker.
+func (x *PrefixIndex) Remove(worker api.WorkerID) {
 	if state, ok := x.workers[worker]; ok {
 		state.removed = true
 		delete(x.workers, worker)
@@ -127,7 +127,7 @@
 // extendMatch counts the block for the workers that have all blocks before it. It
 // reports whether there are any.
 func (x *PrefixIndex) extendMatch(now time.Time, block *prefixBlock, position int) bool {
-	oldest := now.Add(-x.settings.Lifetime)
+	oldest := now.Add(-x.settings.TTL)
 	found := false
 	for i := range block.holders {
 		holder := &block.holders[i]
@@ -139,8 +139,8 @@
 	return found
 }
 
-// Cached returns the number of leading blocks at the worker, by the latest Match.
-func (x *PrefixIndex) Cached(worker api.WorkerID) int {
+// CachedBlocks returns the number of leading blocks at the worker, by the latest Match.
+func (x *PrefixIndex) CachedBlocks(worker api.WorkerID) int {
 	if state, ok := x.workers[worker]; ok {
 		return state.matched
 	}
@@ -166,7 +166,7 @@
 		x.lru.MoveToFront(element)
 		element.Value.(*prefixBlock).addHolder(worker, now)
 	}
-	for x.lru.Len() > x.settings.MaximumBlocks {
+	for x.lru.Len() > x.settings.MaxBlocks {
 		oldest := x.lru.Back()
 		delete(x.blocks, oldest.Value.(*prefixBlock).hash)
 		x.lru.Remove(oldest)
@@ -212,14 +212,14 @@
 
 // Bounds of prompt hashing.
 const (
-	PrefixBlockBytes    = 64  // size of a block of prompt text
-	MaximumPrefixBlocks = 128 // maximum blocks hashed per prompt
+	PrefixBlockBytes = 64  // size of a block of prompt text
+	MaxPrefixBlocks  = 128 // maximum blocks hashed per prompt
 )
 
 // PrefixHashes returns the hashes of the prefixes of a prompt that end at block
 // boundaries. An incomplete last block is ignored.
 func PrefixHashes(prompt []byte) []uint64 {
-	count := min(len(prompt)/PrefixBlockBytes, MaximumPrefixBlocks)
+	count := min(len(prompt)/PrefixBlockBytes, MaxPrefixBlocks)
 	hashes := make([]uint64, count)
 	digest := xxhash.New()
 	for i := range hashes {
--- a/routing/prefix_test.go
+++ b/routing/prefix_test.go
@@ -13,11 +13,11 @@
 
 func cachedAt(x *PrefixIndex, now time.Time, worker api.WorkerID, prefix ...uint64) int {
 	x.Match(now, prefix)
-	return x.Cached(worker)
+	return x.CachedBlocks(worker)
 }
 
 func TestPrefixIndexAppliesEvents(t *testing.T) {
-	settings := PrefixSettings{MaximumBlocks: 100, Lifetime: time.Minute, GapTrust: 10 * time.Second}
+	settings := PrefixSettings{MaxBlocks: 100, TTL: time.Minute, TTLAfterGap: 10 * time.Second}
 	minutes := func(n int) time.Time { return prefixStart.Add(time.Duration(n) * time.Minute) }
 	seconds := func(n int) time.Time { return prefixStart.Add(time.Duration(n) * time.Second) }
 	stored := []CacheEvent{{Sequence: 1, Stored: []uint64{1, 2, 3}}}
@@ -33,9 +33,9 @@
 		"gap keeps recent blocks":          {func(x *PrefixIndex) { x.Apply(seconds(5), "w", []CacheEvent{{Sequence: 9}}) }, seconds(5), 3},
 		"no gap":                           {func(x *PrefixIndex) { x.Apply(seconds(30), "w", []CacheEvent{{Sequence: 2}}) }, seconds(30), 3},
 		"restart clears the cache":         {func(x *PrefixIndex) { x.Apply(seconds(1), "w", []CacheEvent{{Sequence: 1}}) }, seconds(1), 0},
-		"forgotten worker":                 {func(x *PrefixIndex) { x.Forget("w") }, seconds(1), 0},
+		"forgotten worker":                 {func(x *PrefixIndex) { x.Remove("w") }, seconds(1), 0},
 		"eviction at another worker":       {func(x *PrefixIndex) { x.Apply(seconds(1), "v", []CacheEvent{{Sequence: 1, Removed: []uint64{1}}}) }, seconds(1), 3},
-		"repeated prompt refreshes blocks": {func(x *PrefixIndex) { x.Sent(minutes(1), "w", []uint64{1, 2, 3}) }, minutes(2).Add(-time.Second), 3},
+		"repeated prompt refreshes blocks": {func(x *PrefixIndex) { x.RecordPrompt(minutes(1), "w", []uint64{1, 2, 3}) }, minutes(2).Add(-time.Second), 3},
 	}
 	for name, test := range cases {
 		index := NewPrefixIndex(settings)
@@ -49,12 +49,12 @@
 
 func TestPrefixIndexIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		index := NewPrefixIndex(PrefixSettings{MaximumBlocks: 20, Lifetime: time.Minute, GapTrust: time.Second})
+		index := NewPrefixIndex(PrefixSettings{MaxBlocks: 20, TTL: time.Minute, TTLAfterGap: time.Second})
 		for i := range 60 {
 			worker := api.WorkerID(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "worker"))
 			hashes := rapid.SliceOfN(rapid.Uint64Range(0, 50), 0, 8).Draw(t, "hashes")
 			if rapid.Bool().Draw(t, "sent") {
-				index.Sent(prefixStart, worker, hashes)
+				index.RecordPrompt(prefixStart, worker, hashes)
 			} else {
 				index.Apply(prefixStart, worker, []CacheEvent{{Sequence: uint64(i + 1), Removed: hashes}})
 			}
@@ -76,16 +76,16 @@
 	if other[0] != long[0] || other[1] == long[1] || other[2] == long[2] {
 		t.Fatal("a change must affect the hashes of its block and all later ones")
 	}
-	if got := len(PrefixHashes(make([]byte, 1<<20))); got != MaximumPrefixBlocks {
+	if got := len(PrefixHashes(make([]byte, 1<<20))); got != MaxPrefixBlocks {
 		t.Fatalf("%d hashes of a long prompt", got)
 	}
 }
 
 func BenchmarkPrefixMatch(b *testing.B) {
 	index := NewPrefixIndex(DefaultPrefixSettings())
-	prefix := PrefixHashes(make([]byte, MaximumPrefixBlocks*PrefixBlockBytes))
+	prefix := PrefixHashes(make([]byte, MaxPrefixBlocks*PrefixBlockBytes))
 	for _, worker := range []api.WorkerID{"a", "b", "c"} {
-		index.Sent(prefixStart, worker, prefix)
+		index.RecordPrompt(prefixStart, worker, prefix)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -94,7 +94,7 @@
 }
 
 func BenchmarkPrefixHashes(b *testing.B) {
-	prompt := make([]byte, MaximumPrefixBlocks*PrefixBlockBytes)
+	prompt := make([]byte, MaxPrefixBlocks*PrefixBlockBytes)
 	b.SetBytes(int64(len(prompt)))
 	b.ReportAllocs()
 	for b.Loop() {
--- a/routing/profiles.go
+++ b/routing/profiles.go
@@ -51,7 +51,7 @@
 			{Scorer: LoadScorer{}, Weight: homeLoadWeight},
 			{Scorer: ZoneScorer{Self: self}, Weight: homeZoneWeight},
 		},
-		Picker: TwoChoicesPicker{Random: random},
+		Picker: PowerOfTwoPicker{Random: random},
 	}
 }
 
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -25,24 +25,24 @@
 // Endpoint is a candidate: a worker as seen by its home, or a home as seen by other
 // nodes.
 type Endpoint struct {
-	Name     string // worker id or node id
-	Address  string
-	Key      api.RowKey
-	Location api.Location
-	Slots    int
-	Online   int // online requests in flight, including those sent since the last report
-	Batch    int
-	Starting int // those of Online without a first token
-	Leaving  bool
+	Name               string // worker id or node id
+	Address            string
+	Key                api.RowKey
+	Location           api.Location
+	Slots              int
+	Online             int // online requests in flight, including those sent since the last report
+	Batch              int
+	AwaitingFirstToken int // those of Online without a first token
+	Leaving            bool
 	// The number of requests sent since the report of the load, as a correction;
 	// nil if the load is exact.
 	Sent *atomic.Int64
-	// Cached is the estimated number of leading prompt blocks of the request in
+	// CachedBlocks is the estimated number of leading prompt blocks of the request in
 	// the endpoint's prefix cache.
-	Cached int
-	// Pending is the number of uncached prompt blocks of the online requests there
+	CachedBlocks int
+	// PendingBlocks is the number of uncached prompt blocks of the online requests there
 	// that have no first token yet.
-	Pending int
+	PendingBlocks int
 	// BatchStarting is the number of recently sent batch requests, whose prefill is
 	// probably running.
 	BatchStarting int
--- a/routing/scorer.go
+++ b/routing/scorer.go
@@ -57,7 +57,7 @@
 	if len(request.Prefix) == 0 {
 		return 0
 	}
-	return float64(endpoint.Cached) / float64(len(request.Prefix))
+	return float64(endpoint.CachedBlocks) / float64(len(request.Prefix))
 }
 
 // FirstTokenScorer prefers endpoints with the shortest expected time to first token,
@@ -75,7 +75,7 @@
 
 // Score returns 1 if no block has to be computed, and decreases towards 0.
 func (FirstTokenScorer) Score(request *Request, endpoint *Endpoint) float64 {
-	blocks := float64(endpoint.Pending + len(request.Prefix) - endpoint.Cached)
+	blocks := float64(endpoint.PendingBlocks + len(request.Prefix) - endpoint.CachedBlocks)
 	blocks += batchStartingBlocks * float64(endpoint.BatchStarting)
 	blocks += onlineRequestBlocks * float64(endpoint.Online)
 	return halfScoreBlocks / (halfScoreBlocks + blocks)
--- a/routing/stages_test.go
+++ b/routing/stages_test.go
@@ -49,11 +49,11 @@
 		"fewer batch":                            {LoadScorer{}, batch, Endpoint{Slots: 8, Batch: 1}, Endpoint{Slots: 8, Batch: 2}},
 		"own zone":                               {ZoneScorer{Self: here}, online, Endpoint{Location: here}, Endpoint{Location: near}},
 		"own region":                             {ZoneScorer{Self: here}, online, Endpoint{Location: near}, Endpoint{Location: far}},
-		"longer prefix":                          {PrefixScorer{}, online, Endpoint{Cached: 5}, Endpoint{Cached: 4}},
-		"cached prompt":                          {FirstTokenScorer{}, online, Endpoint{Cached: 5}, Endpoint{Cached: 4}},
-		"fewer pending prompts":                  {FirstTokenScorer{}, online, Endpoint{Pending: 1}, Endpoint{Pending: 2}},
+		"longer prefix":                          {PrefixScorer{}, online, Endpoint{CachedBlocks: 5}, Endpoint{CachedBlocks: 4}},
+		"cached prompt":                          {FirstTokenScorer{}, online, Endpoint{CachedBlocks: 5}, Endpoint{CachedBlocks: 4}},
+		"fewer pending prompts":                  {FirstTokenScorer{}, online, Endpoint{PendingBlocks: 1}, Endpoint{PendingBlocks: 2}},
 		"no batch in prefill":                    {FirstTokenScorer{}, online, Endpoint{}, Endpoint{BatchStarting: 1}},
-		"cached prefix outweighs pending blocks": {FirstTokenScorer{}, online, Endpoint{Cached: 10, Pending: 5}, Endpoint{Cached: 0}},
+		"cached prefix outweighs pending blocks": {FirstTokenScorer{}, online, Endpoint{CachedBlocks: 10, PendingBlocks: 5}, Endpoint{CachedBlocks: 0}},
 	}
 	for name, test := range cases {
 		better, worse := test.scorer.Score(&test.request, &test.better), test.scorer.Score(&test.request, &test.worse)
@@ -64,7 +64,7 @@
 }
 
 func TestPrefixScorerWithoutPrompt(t *testing.T) {
-	if got := (PrefixScorer{}).Score(&Request{}, &Endpoint{Cached: 3}); got != 0 {
+	if got := (PrefixScorer{}).Score(&Request{}, &Endpoint{CachedBlocks: 3}); got != 0 {
 		t.Fatalf("score %v", got)
 	}
 }
@@ -72,7 +72,7 @@
 func TestPickers(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	scored := []Scored{{&Endpoint{Name: "a"}, 0.5}, {&Endpoint{Name: "b"}, 0.9}, {&Endpoint{Name: "c"}, 0.9}}
-	for name, picker := range map[string]Picker{"best": BestPicker{Random: random}, "two choices": TwoChoicesPicker{Random: random}} {
+	for name, picker := range map[string]Picker{"best": BestPicker{Random: random}, "two choices": PowerOfTwoPicker{Random: random}} {
 		counts := map[string]int{}
 		for range 900 {
 			counts[picker.Pick(&Request{}, scored).Endpoint.Name]++
