--- a/internal/batchrun/leader.go
+++ b/internal/batchrun/leader.go
@@ -66,7 +66,7 @@
 	service       *Service
 	group         api.GroupID
 	state         *jobs.State
-	propose       dispatch.Propose
+	propose       dispatch.ProposeFunc
 	log           *logrus.Entry
 	startedAt     time.Time
 	ctx           context.Context
@@ -86,7 +86,7 @@
 	pollOffset int // position in the rotation of load polls
 }
 
-func newLeader(service *Service, group api.GroupID, state *jobs.State, propose dispatch.Propose) *Leader {
+func newLeader(service *Service, group api.GroupID, state *jobs.State, propose dispatch.ProposeFunc) *Leader {
 	l := &Leader{
 		service: service, group: group, state: state, propose: propose, log: service.log.WithField("group", group),
 		wake: make(chan struct{}, 1), checkpointNow: make(chan struct{}, 1), results: make(chan jobs.InlineResult, maxResultsPerCommand),
--- a/internal/batchrun/service.go
+++ b/internal/batchrun/service.go
@@ -93,8 +93,8 @@
 	storeAttemptTimeout = 500 * time.Millisecond
 )
 
-// Registered returns the registry of store nodes.
-func (s *Service) Registered() *storeclient.Registered { return s.members }
+// RegisteredStores returns the registry of store nodes.
+func (s *Service) RegisteredStores() *storeclient.Registered { return s.members }
 
 // Catalog returns the service's view of configuration and workers.
 func (s *Service) Catalog() *catalog.Catalog { return s.catalog }
@@ -159,9 +159,9 @@
 	s.applyLoadReport(w, report)
 }
 
-// Lead starts running a group's open jobs. It returns an error if they cannot be read from state.
+// StartLeader starts running a group's open jobs. It returns an error if they cannot be read from state.
 // It is a store.StartInlineRunner.
-func (s *Service) Lead(group api.GroupID, state *jobs.State, propose dispatch.Propose) (store.InlineRunner, error) {
+func (s *Service) StartLeader(group api.GroupID, state *jobs.State, propose dispatch.ProposeFunc) (store.InlineRunner, error) {
 	leader := newLeader(s, group, state, propose)
 	if err := leader.loadJobs(); err != nil {
 		leader.cancel()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -157,7 +157,7 @@
 	prefix := common.Settings.KeyValueService.Prefix
 	records := &store.GroupRecords{Prefix: prefix}
 	runner.Catalog().Also(prefix+storeclient.PrefixGroups, records)
-	options := []store.Option{store.WithInlineRunner(runner.Lead), store.WithRegistered(runner.Registered()), store.WithGroupRecords(records)}
+	options := []store.Option{store.WithInlineRunner(runner.StartLeader), store.WithRegistered(runner.RegisteredStores()), store.WithGroupRecords(records)}
 	if platform.Decommissions != nil {
 		runner.Catalog().Also(platform.Decommissions.Prefix, platform.Decommissions)
 		options = append(options, store.WithDecommissions(platform.Decommissions))
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -18,13 +18,13 @@
 	proposeTimeout = 10 * time.Second
 )
 
-// Propose commits a command and returns its result.
-type Propose func(ctx context.Context, command jobs.Command) (jobs.Result, *api.Error)
+// ProposeFunc commits a command and returns its result.
+type ProposeFunc func(ctx context.Context, command jobs.Command) (jobs.Result, *api.Error)
 
 // Leadership runs the dispatcher of a replica while that leads its group. Its methods are safe for
 // concurrent use. Only Settle waits for Propose.
 type Leadership struct {
-	propose Propose
+	propose ProposeFunc
 	log     *logrus.Entry
 	ctx     context.Context // cancelled by Stop
 	cancel  context.CancelFunc
@@ -40,7 +40,7 @@
 
 // Start starts dispatching the state's waiting items and returns an error if the state cannot be
 // read. The state must have applied all commands of earlier leaders.
-func Start(state *jobs.State, settings jobs.DispatcherSettings, propose Propose, log *logrus.Entry) (*Leadership, error) {
+func Start(state *jobs.State, settings jobs.DispatcherSettings, propose ProposeFunc, log *logrus.Entry) (*Leadership, error) {
 	dispatcher, err := jobs.NewDispatcher(state, settings, time.Now())
 	if err != nil {
 		return nil, err
--- a/internal/store/inline.go
+++ b/internal/store/inline.go
@@ -23,7 +23,7 @@
 
 // StartInlineRunner starts a runner of the state's open jobs, which proposes their results.
 // The state must have applied all that earlier leaders committed.
-type StartInlineRunner func(group api.GroupID, state *jobs.State, propose dispatch.Propose) (InlineRunner, error)
+type StartInlineRunner func(group api.GroupID, state *jobs.State, propose dispatch.ProposeFunc) (InlineRunner, error)
 
 func serveInlineResults(w http.ResponseWriter, r *http.Request, group *group) {
 	from, _ := strconv.Atoi(r.URL.Query().Get("from"))
