--- a/feed/feed.go
+++ b/feed/feed.go
@@ -21,32 +21,32 @@
 type Member struct {
 	ID      api.NodeID
 	Address string // of its internal protocol, host:port
-	// Strong members have spare capacity and become watchers first.
-	Strong bool
+	// Preferred members have spare capacity and become watchers first.
+	Preferred bool
 }
 
 // Settings configure a Chooser.
 type Settings struct {
 	Self     api.NodeID
 	Watchers int // per zone
-	// Deputies is the number of standbys per zone: the members ranked after the watchers,
+	// Standbys is the number of standbys per zone: the members ranked after the watchers,
 	// which poll the service as soon as the watchers have lost contact with it. The
 	// remaining members poll them before they fall back to the service.
-	Deputies int
+	Standbys int
 	// LongWait is the long-poll wait at the service of a process that polls it for itself
 	// only. ShortWait is the wait where watchers poll for the zone.
 	LongWait  time.Duration
 	ShortWait time.Duration
-	// Fresh is the maximum staleness: the time since a watcher's last answer from the
+	// MaxStaleness is the maximum staleness: the time since a watcher's last answer from the
 	// service after which other members stop relying on it.
-	Fresh time.Duration
-	// Start is how long a process that has no state yet waits for watchers that have none
+	MaxStaleness time.Duration
+	// StartupWait is how long a process that has no state yet waits for watchers that have none
 	// either.
-	Start time.Duration
-	// Alone is the time after its last answer at which a process that is neither a watcher
+	StartupWait time.Duration
+	// FallbackDelay is the time after its last answer at which a process that is neither a watcher
 	// nor a standby polls the service itself, while the watchers and standbys report that
 	// they have lost contact.
-	Alone time.Duration
+	FallbackDelay time.Duration
 }
 
 // Fractions of the time within which a change must reach every process. The loss of a
@@ -71,21 +71,21 @@
 // others.
 const standbysPerZone = 2
 
-// Within returns the settings for a fleet in which every process must learn of a change
+// NewSettings returns the settings for a fleet in which every process must learn of a change
 // within apply. longWait is the long-poll wait of a process that polls for itself only.
-func Within(self api.NodeID, apply, longWait time.Duration) Settings {
+func NewSettings(self api.NodeID, apply, longWait time.Duration) Settings {
 	part := func(share float64) time.Duration { return time.Duration(share * float64(apply)) }
-	return Settings{Self: self, Watchers: watchersPerZone, Deputies: standbysPerZone, LongWait: longWait, ShortWait: part(shortWaitShare), Fresh: part(maxStalenessShare), Start: part(startupShare), Alone: part(fallbackShare)}
+	return Settings{Self: self, Watchers: watchersPerZone, Standbys: standbysPerZone, LongWait: longWait, ShortWait: part(shortWaitShare), MaxStaleness: part(maxStalenessShare), StartupWait: part(startupShare), FallbackDelay: part(fallbackShare)}
 }
 
-// GatherPause is the delay before a watcher's next poll after one that returned changes, so
+// BatchDelay is the delay before a watcher's next poll after one that returned changes, so
 // that further changes arrive in one batch.
-func (s Settings) GatherPause() time.Duration {
+func (s Settings) BatchDelay() time.Duration {
 	return time.Duration(batchDelayShare / shortWaitShare * float64(s.ShortWait))
 }
 
-// Question is a query to a peer or to the service.
-type Question struct {
+// Query is a query to a peer or to the service.
+type Query struct {
 	Peer Member // zero: the service itself
 	// Wait is the maximum time until the answer while there is no change; 0: answer
 	// immediately.
@@ -94,15 +94,15 @@
 	NotBefore time.Time
 }
 
-// OfService reports whether the query goes to the service itself.
-func (q Question) OfService() bool { return q.Peer.ID == "" }
+// ToService reports whether the query goes to the service itself.
+func (q Query) ToService() bool { return q.Peer.ID == "" }
 
 // Outcome is the result of a query.
 type Outcome int
 
 const (
 	Answered    Outcome = iota
-	Behind              // the peer has lost contact with the service, or its state is older
+	Stale               // the peer has lost contact with the service, or its state is older
 	Unreachable         // no answer, or an error
 )
 
@@ -142,8 +142,8 @@
 	return &Chooser{settings: settings, sources: map[api.NodeID]*sourceState{}}
 }
 
-// Members replaces the processes of the zone that can be queried, including this one.
-func (c *Chooser) Members(members []Member) {
+// SetMembers replaces the processes of the zone that can be queried, including this one.
+func (c *Chooser) SetMembers(members []Member) {
 	c.ranked = slices.Clone(members)
 	slices.SortFunc(c.ranked, compareRank)
 	c.rank = slices.IndexFunc(c.ranked, func(m Member) bool { return m.ID == c.settings.Self })
@@ -163,11 +163,11 @@
 
 // compareRank orders members with spare capacity first, and then by a hash of the id.
 func compareRank(a, b Member) int {
-	return cmp.Or(-compareBool(a.Strong, b.Strong), cmp.Compare(xxhash.Sum64String(string(a.ID)), xxhash.Sum64String(string(b.ID))), cmp.Compare(a.ID, b.ID))
+	return cmp.Or(-compareBool(a.Preferred, b.Preferred), cmp.Compare(xxhash.Sum64String(string(a.ID)), xxhash.Sum64String(string(b.ID))), cmp.Compare(a.ID, b.ID))
 }
 
-// Abroad replaces the known candidates for watchers in other zones, one list per zone.
-func (c *Chooser) Abroad(zones [][]Member) {
+// SetRemoteMembers replaces the known candidates for watchers in other zones, one list per zone.
+func (c *Chooser) SetRemoteMembers(zones [][]Member) {
 	c.remoteWatchers = c.remoteWatchers[:0]
 	for _, members := range zones {
 		if len(members) > 0 {
@@ -192,10 +192,10 @@
 	return c.remoteWatchers[:before]
 }
 
-// Teller returns the upstream watcher that reads the full state before this one; false if
+// Upstream returns the upstream watcher that reads the full state before this one; false if
 // this process has to read it from the service.
-func (c *Chooser) Teller(now time.Time) (Member, bool) {
-	if !c.Watching() {
+func (c *Chooser) Upstream(now time.Time) (Member, bool) {
+	if !c.IsWatcher() {
 		return Member{}, false
 	}
 	for _, peer := range c.upstreams() {
@@ -216,36 +216,36 @@
 	return -1
 }
 
-// Shared reports whether watchers poll the service for the zone, which is so where that
+// UsesWatchers reports whether watchers poll the service for the zone, which is so where that
 // costs fewer calls than every member polling for itself.
-func (c *Chooser) Shared() bool {
+func (c *Chooser) UsesWatchers() bool {
 	direct := float64(len(c.ranked)) / c.settings.LongWait.Seconds()
 	return c.rank >= 0 && direct > float64(c.settings.Watchers)/c.settings.ShortWait.Seconds()
 }
 
-// Keeps reports whether other members may query this process: any process in a zone without
+// ServesPeers reports whether other members may query this process: any process in a zone without
 // watchers, else only watchers and standbys.
-func (c *Chooser) Keeps() bool {
-	return !c.Shared() || c.rank < c.settings.Watchers+c.settings.Deputies
+func (c *Chooser) ServesPeers() bool {
+	return !c.UsesWatchers() || c.rank < c.settings.Watchers+c.settings.Standbys
 }
 
-// Watching reports whether this process polls the service for the zone.
-func (c *Chooser) Watching() bool { return c.Shared() && c.rank < c.settings.Watchers }
+// IsWatcher reports whether this process polls the service for the zone.
+func (c *Chooser) IsWatcher() bool { return c.UsesWatchers() && c.rank < c.settings.Watchers }
 
-// Follows reports whether watchers poll the service for this process.
-func (c *Chooser) Follows() bool { return c.Shared() && c.rank >= c.settings.Watchers }
+// IsFollower reports whether watchers poll the service for this process.
+func (c *Chooser) IsFollower() bool { return c.UsesWatchers() && c.rank >= c.settings.Watchers }
 
 // Next returns the next query for changes.
-func (c *Chooser) Next(now time.Time) Question { return c.earliest(now, c.changesOrder()) }
+func (c *Chooser) Next(now time.Time) Query { return c.earliest(now, c.changesOrder()) }
 
-// Whole returns the next query for the full state. Watchers query their upstreams before
+// NextFullRead returns the next query for the full state. Watchers query their upstreams before
 // the service, and the service for changes afterwards.
-func (c *Chooser) Whole(now time.Time) Question { return c.earliest(now, c.fullReadOrder()) }
+func (c *Chooser) NextFullRead(now time.Time) Query { return c.earliest(now, c.fullReadOrder()) }
 
 // earliest returns the query to the first of peers that may be queried now, else to the one
 // that may be queried soonest.
-func (c *Chooser) earliest(now time.Time, peers []Member) Question {
-	var best Question
+func (c *Chooser) earliest(now time.Time, peers []Member) Query {
+	var best Query
 	for i, peer := range peers {
 		query := c.query(now, peer)
 		if !query.NotBefore.After(now) {
@@ -260,7 +260,7 @@
 
 // fullReadOrder lists the sources of the full state, the service last.
 func (c *Chooser) fullReadOrder() []Member {
-	if c.Watching() {
+	if c.IsWatcher() {
 		return append(slices.Clone(c.upstreams()), Member{})
 	}
 	return c.changesOrder()
@@ -269,7 +269,7 @@
 // changesOrder lists the sources of changes, preferred first; the zero Member is the service.
 func (c *Chooser) changesOrder() []Member {
 	service := Member{}
-	if !c.Shared() {
+	if !c.UsesWatchers() {
 		return []Member{service}
 	}
 	watchers := c.ranked[:min(c.settings.Watchers, len(c.ranked))]
@@ -279,7 +279,7 @@
 	}
 	// Followers are spread over the watchers by rank.
 	order := c.rotate(watchers)
-	if standbys := c.ranked[len(watchers):min(len(watchers)+c.settings.Deputies, len(c.ranked))]; !c.Keeps() {
+	if standbys := c.ranked[len(watchers):min(len(watchers)+c.settings.Standbys, len(c.ranked))]; !c.ServesPeers() {
 		order = append(order, c.rotate(standbys)...)
 	}
 	return append(order, service)
@@ -294,22 +294,22 @@
 	return append(slices.Clone(members[first:]), members[:first]...)
 }
 
-func (c *Chooser) query(now time.Time, peer Member) Question {
-	query := Question{Peer: peer, NotBefore: now}
+func (c *Chooser) query(now time.Time, peer Member) Query {
+	query := Query{Peer: peer, NotBefore: now}
 	state := c.sources[peer.ID]
 	if state != nil && state.notBefore.After(now) {
 		query.NotBefore = state.notBefore
 	}
-	if earliest := c.serviceNotBefore(); query.OfService() && earliest.After(query.NotBefore) {
+	if earliest := c.serviceNotBefore(); query.ToService() && earliest.After(query.NotBefore) {
 		query.NotBefore = earliest
 	}
 	switch {
-	case query.OfService() && c.Shared():
+	case query.ToService() && c.UsesWatchers():
 		query.Wait = c.settings.ShortWait
-	case query.OfService():
+	case query.ToService():
 		query.Wait = c.settings.LongWait
 	case state != nil && state.failures == 0 && c.lastSource == peer.ID:
-		query.Wait = c.settings.Fresh
+		query.Wait = c.settings.MaxStaleness
 	}
 	return query
 }
@@ -318,18 +318,18 @@
 // while its watchers and standbys have lost contact; zero: immediately.
 func (c *Chooser) serviceNotBefore() time.Time {
 	switch {
-	case c.staleSince.IsZero() || c.Watching() || !c.Shared():
+	case c.staleSince.IsZero() || c.IsWatcher() || !c.UsesWatchers():
 		return time.Time{}
 	case c.lastAnswer.IsZero():
-		return c.staleSince.Add(c.settings.Start)
-	case c.Keeps():
+		return c.staleSince.Add(c.settings.StartupWait)
+	case c.ServesPeers():
 		return time.Time{}
 	}
-	return c.lastAnswer.Add(c.settings.Alone)
+	return c.lastAnswer.Add(c.settings.FallbackDelay)
 }
 
-// Ended records the outcome of a query.
-func (c *Chooser) Ended(now time.Time, query Question, outcome Outcome) {
+// RecordOutcome records the outcome of a query.
+func (c *Chooser) RecordOutcome(now time.Time, query Query, outcome Outcome) {
 	state := c.sources[query.Peer.ID]
 	if state == nil {
 		state = &sourceState{}
@@ -340,22 +340,22 @@
 		c.lastSource, c.lastAnswer, c.staleSince = query.Peer.ID, now, time.Time{}
 		return
 	}
-	if outcome == Behind && c.staleSince.IsZero() {
+	if outcome == Stale && c.staleSince.IsZero() {
 		c.staleSince = now
 	}
 	state.failures++
 	state.notBefore = now.Add(c.backoff(query, outcome, state.failures))
 }
 
-func (c *Chooser) backoff(query Question, outcome Outcome, failures int) time.Duration {
+func (c *Chooser) backoff(query Query, outcome Outcome, failures int) time.Duration {
 	switch {
-	case query.OfService() && !c.Keeps():
+	case query.ToService() && !c.ServesPeers():
 		return followerServiceBackoff
-	case query.OfService():
+	case query.ToService():
 		return min(minServiceBackoff<<min(failures-1, maxDoublings), maxServiceBackoff)
-	case outcome == Behind:
+	case outcome == Stale:
 		return staleBackoff
-	case c.Keeps(): // others rely on a standby, so it must not block on lost watchers often
+	case c.ServesPeers(): // others rely on a standby, so it must not block on lost watchers often
 		return unreachableBackoff << min(failures-1, maxDoublings/2)
 	}
 	return unreachableBackoff
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -19,7 +19,7 @@
 func newZone(members int) []Member {
 	var list []Member
 	for i := range members {
-		list = append(list, Member{ID: api.NodeID(fmt.Sprintf("node-%02d", i)), Address: fmt.Sprintf("10.0.0.%d:1", i), Strong: i < 5})
+		list = append(list, Member{ID: api.NodeID(fmt.Sprintf("node-%02d", i)), Address: fmt.Sprintf("10.0.0.%d:1", i), Preferred: i < 5})
 	}
 	return list
 }
@@ -27,11 +27,11 @@
 // chooserAtRank returns the chooser of the member with the given rank and the members of
 // its zone in rank order.
 func chooserAtRank(members, rank int) (*Chooser, []Member) {
-	sorted := New(Within("", apply, longWait))
-	sorted.Members(newZone(members))
+	sorted := New(NewSettings("", apply, longWait))
+	sorted.SetMembers(newZone(members))
 	list := sorted.ranked
-	c := New(Within(list[rank].ID, apply, longWait))
-	c.Members(newZone(members))
+	c := New(NewSettings(list[rank].ID, apply, longWait))
+	c.SetMembers(newZone(members))
 	return c, list
 }
 
@@ -57,11 +57,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			c, list := chooserAtRank(test.members, test.rank)
 			for _, rank := range test.failed {
-				query := Question{}
+				query := Query{}
 				if rank >= 0 {
 					query.Peer = list[rank]
 				}
-				c.Ended(start, query, Unreachable)
+				c.RecordOutcome(start, query, Unreachable)
 			}
 			want := Member{}
 			if test.want >= 0 {
@@ -77,7 +77,7 @@
 
 func TestWatchersArePreferredMembers(t *testing.T) {
 	_, list := chooserAtRank(50, 0)
-	if !list[0].Strong || !list[1].Strong {
+	if !list[0].Preferred || !list[1].Preferred {
 		t.Errorf("watchers without spare capacity: %+v", list[:2])
 	}
 }
@@ -88,11 +88,11 @@
 	if first.Wait != 0 {
 		t.Errorf("first query to a peer has a wait of %v, want 0", first.Wait)
 	}
-	c.Ended(start, first, Answered)
-	if got := c.Next(start); got.Peer != first.Peer || got.Wait != c.settings.Fresh {
+	c.RecordOutcome(start, first, Answered)
+	if got := c.Next(start); got.Peer != first.Peer || got.Wait != c.settings.MaxStaleness {
 		t.Errorf("query after an answer: %+v", got)
 	}
-	c.Ended(start, first, Unreachable)
+	c.RecordOutcome(start, first, Unreachable)
 	later := start.Add(unreachableBackoff)
 	if got := c.Next(later); got.Peer != first.Peer || got.Wait != 0 {
 		t.Errorf("query after a failure: %+v", got)
@@ -101,11 +101,11 @@
 
 func TestSourceWithEarliestRetryIsUsedWhenAllFailed(t *testing.T) {
 	c, list := chooserAtRank(50, 7)
-	c.Ended(start, Question{Peer: list[1]}, Unreachable)
-	c.Ended(start, Question{Peer: list[0]}, Behind)
-	c.Ended(start, Question{Peer: list[2]}, Unreachable)
-	c.Ended(start, Question{Peer: list[3]}, Unreachable)
-	c.Ended(start, Question{}, Unreachable)
+	c.RecordOutcome(start, Query{Peer: list[1]}, Unreachable)
+	c.RecordOutcome(start, Query{Peer: list[0]}, Stale)
+	c.RecordOutcome(start, Query{Peer: list[2]}, Unreachable)
+	c.RecordOutcome(start, Query{Peer: list[3]}, Unreachable)
+	c.RecordOutcome(start, Query{}, Unreachable)
 	got := c.Next(start)
 	if got.Peer != list[0] || got.NotBefore.Sub(start) != staleBackoff {
 		t.Errorf("next query %+v does not go to the source with the earliest retry", got)
@@ -115,9 +115,9 @@
 func TestServiceBackoffIsBounded(t *testing.T) {
 	c, _ := chooserAtRank(6, 0)
 	for range 20 {
-		c.Ended(start, Question{}, Unreachable)
+		c.RecordOutcome(start, Query{}, Unreachable)
 	}
-	if got := c.Next(start); !got.OfService() || got.NotBefore.Sub(start) != maxServiceBackoff {
+	if got := c.Next(start); !got.ToService() || got.NotBefore.Sub(start) != maxServiceBackoff {
 		t.Errorf("next query %+v does not go to the service after the maximum backoff", got)
 	}
 }
@@ -125,10 +125,10 @@
 // A removed member is no longer queried, and its failures are forgotten.
 func TestRemovedMembersAreForgotten(t *testing.T) {
 	c, list := chooserAtRank(50, 7)
-	c.Ended(start, Question{Peer: list[1]}, Unreachable)
+	c.RecordOutcome(start, Query{Peer: list[1]}, Unreachable)
 	rest := slices.DeleteFunc(newZone(50), func(m Member) bool { return m.ID == list[1].ID })
-	c.Members(rest)
-	if got := c.Next(start); got.Peer.ID == list[1].ID || got.OfService() {
+	c.SetMembers(rest)
+	if got := c.Next(start); got.Peer.ID == list[1].ID || got.ToService() {
 		t.Errorf("next query %+v does not go to a remaining watcher", got)
 	}
 	if len(c.sources) != 0 {
--- a/feed/fleet_test.go
+++ b/feed/fleet_test.go
@@ -85,11 +85,11 @@
 		var members []Member
 		for n := range nodesPerZone {
 			id := api.NodeID(fmt.Sprintf("zone-%d-%02d", z, n))
-			members = append(members, Member{ID: id, Address: string(id), Strong: n < 5})
+			members = append(members, Member{ID: id, Address: string(id), Preferred: n < 5})
 		}
 		for _, member := range members {
-			c := New(Within(member.ID, apply, longWait))
-			c.Members(members)
+			c := New(NewSettings(member.ID, apply, longWait))
+			c.SetMembers(members)
 			node := &fleetNode{zone: z, rank: c.rank, id: member.ID, chooser: c}
 			f.nodes = append(f.nodes, node)
 			f.byID[member.ID] = node
@@ -177,14 +177,14 @@
 		return
 	}
 	node.queries++
-	if query.OfService() {
+	if query.ToService() {
 		f.queryService(now, node, query)
 		return
 	}
 	f.queryPeer(now, node, query)
 }
 
-func (f *fleet) queryService(now time.Time, node *fleetNode, query Question) {
+func (f *fleet) queryService(now time.Time, node *fleetNode, query Query) {
 	f.calls++
 	number := node.queries
 	switch hit := f.faultsOf(now, node); {
@@ -194,7 +194,7 @@
 	case hit.silent:
 		f.schedule(now.Add(silentTimeout), func(now time.Time) { f.finish(now, node, number, query, Unreachable, 0) })
 		return
-	case hit.watchSilent && !node.chooser.Watching():
+	case hit.watchSilent && !node.chooser.IsWatcher():
 		f.schedule(now.Add(query.Wait+watchTimeoutMargin), func(now time.Time) { f.finish(now, node, number, query, Unreachable, 0) })
 		return
 	case hit.watchSilent: // a second call reads the revision, and a full read what was missed
@@ -227,14 +227,14 @@
 
 // queryPeer answers as soon as the peer knows a newer revision or has received an answer
 // from the service since the query arrived.
-func (f *fleet) queryPeer(now time.Time, node *fleetNode, query Question) {
+func (f *fleet) queryPeer(now time.Time, node *fleetNode, query Query) {
 	number := node.queries
 	arrived, deadline := now.Add(peerDelay), now.Add(peerDelay+query.Wait)
 	timeout := now.Add(query.Wait + peerTimeoutMargin)
 	peer := f.byID[query.Peer.ID]
 	var poll func(now time.Time)
 	poll = func(now time.Time) {
-		fresh := now.Sub(peer.lastContact) <= node.chooser.settings.Fresh
+		fresh := now.Sub(peer.lastContact) <= node.chooser.settings.MaxStaleness
 		switch {
 		case f.faultsOf(now, peer).frozen || f.faultsOf(now, node).frozen:
 			f.schedule(timeout, func(now time.Time) { f.finish(now, node, number, query, Unreachable, 0) })
@@ -242,7 +242,7 @@
 			revision := max(peer.revision, node.revision)
 			f.schedule(now.Add(peerDelay), func(now time.Time) { f.finish(now, node, number, query, Answered, revision) })
 		case !now.Before(deadline):
-			f.schedule(now.Add(peerDelay), func(now time.Time) { f.finish(now, node, number, query, Behind, 0) })
+			f.schedule(now.Add(peerDelay), func(now time.Time) { f.finish(now, node, number, query, Stale, 0) })
 		default:
 			f.schedule(now.Add(10*time.Millisecond), poll)
 		}
@@ -250,19 +250,19 @@
 	f.schedule(arrived, poll)
 }
 
-func (f *fleet) finish(now time.Time, node *fleetNode, number int, query Question, outcome Outcome, revision int64) {
+func (f *fleet) finish(now time.Time, node *fleetNode, number int, query Query, outcome Outcome, revision int64) {
 	if node.queries != number {
 		return
 	}
-	node.chooser.Ended(now, query, outcome)
+	node.chooser.RecordOutcome(now, query, outcome)
 	changed := outcome == Answered && revision > node.revision
 	for outcome == Answered && node.revision < revision {
 		node.latencies = append(node.latencies, now.Sub(f.changes[node.revision]))
 		node.revision++
 	}
 	next := now
-	if changed && query.OfService() {
-		next = now.Add(node.chooser.settings.GatherPause())
+	if changed && query.ToService() {
+		next = now.Add(node.chooser.settings.BatchDelay())
 	}
 	f.schedule(next, func(now time.Time) { f.query(now, node) })
 }
@@ -336,7 +336,7 @@
 func TestUnboundedPeerWaitMissesChanges(t *testing.T) {
 	f := newFleet(changesEverySecond(1, 35), []fault{{from: 10 * time.Second, to: 19 * time.Second, affects: func(_, rank int) bool { return rank < watchersPerZone }, frozen: true}})
 	for _, node := range f.nodes {
-		node.chooser.settings.Fresh = time.Minute
+		node.chooser.settings.MaxStaleness = time.Minute
 	}
 	f.run()
 	if missed, _ := f.missed(); missed == 0 {
--- a/feed/start_test.go
+++ b/feed/start_test.go
@@ -12,8 +12,8 @@
 // because its watchers, which start at the same time, have no state yet.
 func TestStartingZoneReadsStateThroughWatchers(t *testing.T) {
 	const loaded = 700 * time.Millisecond // after the start: the watchers have the full state
-	settings := Within("", apply, longWait)
-	if loaded > settings.Start {
+	settings := NewSettings("", apply, longWait)
+	if loaded > settings.StartupWait {
 		t.Fatal("the watchers of the test load the state after the startup wait has ended")
 	}
 	for _, members := range []int{100, 200} {
@@ -22,16 +22,16 @@
 			c, list := chooserAtRank(members, rank)
 			now := start
 			for c.lastAnswer.IsZero() {
-				query := c.Whole(now)
+				query := c.NextFullRead(now)
 				now = later(now, query.NotBefore)
 				switch {
-				case query.OfService():
+				case query.ToService():
 					calls++
-					c.Ended(now, query, Answered)
+					c.RecordOutcome(now, query, Answered)
 				case now.Sub(start) < loaded && query.Peer.ID != list[rank].ID:
-					c.Ended(now, query, Behind)
+					c.RecordOutcome(now, query, Stale)
 				default:
-					c.Ended(now, query, Answered)
+					c.RecordOutcome(now, query, Answered)
 				}
 			}
 		}
@@ -56,7 +56,7 @@
 		outcome Outcome
 		want    time.Duration
 	}{
-		{"watchers without state", Behind, Within("", apply, longWait).Start},
+		{"watchers without state", Stale, NewSettings("", apply, longWait).StartupWait},
 		{"unreachable watchers", Unreachable, 0},
 	}
 	for _, test := range tests {
@@ -64,12 +64,12 @@
 			c, _ := chooserAtRank(50, 7)
 			now := start
 			for {
-				query := c.Whole(now)
+				query := c.NextFullRead(now)
 				now = later(now, query.NotBefore)
-				if query.OfService() {
+				if query.ToService() {
 					break
 				}
-				c.Ended(now, query, test.outcome)
+				c.RecordOutcome(now, query, test.outcome)
 			}
 			if now.Sub(start) != test.want {
 				t.Errorf("service queried after %v, want %v", now.Sub(start), test.want)
@@ -100,31 +100,31 @@
 				}
 			}
 			for _, member := range members {
-				c := New(Within(member.ID, apply, longWait))
-				c.Members(members)
-				c.Abroad(abroad)
-				if !c.Watching() {
+				c := New(NewSettings(member.ID, apply, longWait))
+				c.SetMembers(members)
+				c.SetRemoteMembers(abroad)
+				if !c.IsWatcher() {
 					continue
 				}
-				query := c.Whole(start)
-				if query.OfService() {
+				query := c.NextFullRead(start)
+				if query.ToService() {
 					reads++
 					continue
 				}
-				if upstream, ok := c.Teller(start); !ok || upstream != query.Peer {
+				if upstream, ok := c.Upstream(start); !ok || upstream != query.Peer {
 					t.Errorf("%s: upstream %q, but the query for the full state goes to %q", member.ID, upstream.ID, query.Peer.ID)
 				}
 				upstreams[member.ID] = query.Peer.ID
-				if next := c.Next(start); !next.OfService() {
+				if next := c.Next(start); !next.ToService() {
 					t.Errorf("%s queries %q for changes, want the service", member.ID, next.Peer.ID)
 				}
-				c.Ended(start, query, Unreachable)
+				c.RecordOutcome(start, query, Unreachable)
 				for range zones + watchersPerZone {
-					if query = c.Whole(start); !query.OfService() {
-						c.Ended(start, query, Unreachable)
+					if query = c.NextFullRead(start); !query.ToService() {
+						c.RecordOutcome(start, query, Unreachable)
 					}
 				}
-				if !query.OfService() || query.NotBefore.After(start) {
+				if !query.ToService() || query.NotBefore.After(start) {
 					t.Errorf("%s queries %q after all upstreams failed, want the service", member.ID, query.Peer.ID)
 				}
 			}
--- a/internal/backend/evacuation.go
+++ b/internal/backend/evacuation.go
@@ -28,8 +28,8 @@
 	return &evacuations{prefix: prefix, pool: p, log: log, zones: map[string]bool{}}
 }
 
-// Whole replaces the set of evacuated zones.
-func (e *evacuations) Whole(result kv.RangeResult) {
+// Reset replaces the set of evacuated zones.
+func (e *evacuations) Reset(result kv.RangeResult) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	zones := map[string]bool{}
@@ -46,8 +46,8 @@
 	}
 }
 
-// Changes applies created and deleted keys.
-func (e *evacuations) Changes(batch kv.Batch) {
+// Apply applies created and deleted keys.
+func (e *evacuations) Apply(batch kv.Batch) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, event := range batch.Events {
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -256,7 +256,7 @@
 func (p *Pool) WorkersChanged(changes []catalog.Change) {
 	p.withLock(func(pool *worker.Pool) {
 		for _, change := range changes {
-			if change.Gone {
+			if change.Removed {
 				pool.Remove(change.ID)
 			} else {
 				pool.Put(change.Worker)
--- a/internal/batchrun/service.go
+++ b/internal/batchrun/service.go
@@ -63,21 +63,21 @@
 	s.pool = backend.NewPool(worker.DefaultSettings(common.Settings.Node.Zone), s.wakeAll)
 	s.pool.SetGroups(func(id string) int { return int(placement.WorkerGroup(id, max(s.groups, 1))) })
 	s.catalog = catalog.New(source, common.KeyValue, common.Logger("catalog"), s.pool)
-	common.OnResume(s.catalog.Renew)
-	s.catalog.Freshness(common.Settings.Platform.Freshness)
+	common.OnResume(s.catalog.RestartWatch)
+	s.catalog.SetMaxStaleness(common.Settings.Platform.Freshness)
 	s.guard = guard.New(guard.Settings{
 		Self: common.ID(), Owners: func() []api.Node { return storeclient.Owners(common.Nodes(), s.members.With) },
 		Accepts: s.pool.Accepts, CurrentIncarnation: s.pool.Current, WatchDown: s.catalog.OutOfContact, OnTrialGranted: s.wakeAll, KeyValue: common.KeyValue,
 		Prefix: common.Settings.KeyValueService.Prefix, Log: common.Logger("guard"), Registry: common.Registry,
 	})
 	if source.EvacuationPrefix != "" {
-		s.catalog.Also(source.EvacuationPrefix, s.pool.Evacuations(source.EvacuationPrefix, common.Logger("catalog")))
+		s.catalog.AddView(source.EvacuationPrefix, s.pool.Evacuations(source.EvacuationPrefix, common.Logger("catalog")))
 	}
-	s.catalog.Also(common.Settings.KeyValueService.Prefix+guard.Prefix, s.guard.View())
+	s.catalog.AddView(common.Settings.KeyValueService.Prefix+guard.Prefix, s.guard.View())
 	s.guard.RegisterOwner(common.Mux)
 	s.guard.RegisterAdmin(common.Mux)
 	common.Registry.MustRegister(s.catalog.Metrics()...)
-	s.catalog.Also(common.Settings.KeyValueService.Prefix+storeclient.PrefixStores, s.members)
+	s.catalog.AddView(common.Settings.KeyValueService.Prefix+storeclient.PrefixStores, s.members)
 	s.stores = &storeclient.Client{
 		HTTP: common.Traffic.Count(transport.NewClient(storeConnections), transport.KindJobs), AttemptTimeout: storeAttemptTimeout,
 		Nodes: func() []api.Node { return s.members.With(common.Nodes()) },
@@ -104,7 +104,7 @@
 func (s *Service) Run(ctx context.Context, peers catalog.Peers) {
 	var running sync.WaitGroup
 	running.Go(func() { s.catalog.Run(ctx) })
-	running.Go(func() { s.catalog.AskPeers(ctx, peers) })
+	running.Go(func() { s.catalog.BootstrapFromPeers(ctx, peers) })
 	running.Go(func() { s.pollLoads(ctx) })
 	running.Go(func() { s.guard.Run(ctx) })
 	running.Wait()
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -73,14 +73,14 @@
 	c := &Catalog{source: source, service: service, log: log, listener: listener}
 	c.startedAt, c.restart = clock.Now(), make(chan struct{}, 1)
 	c.metrics = newMetrics(c.ContactAge)
-	c.Also(source.ConfigurationPrefix, &configurationView{catalog: c})
-	c.Also(source.WorkerPrefix, &workerView{catalog: c, revisions: map[string]int64{}, startTimes: map[string]time.Time{}, retained: map[string]bool{}})
+	c.AddView(source.ConfigurationPrefix, &configurationView{catalog: c})
+	c.AddView(source.WorkerPrefix, &workerView{catalog: c, revisions: map[string]int64{}, startTimes: map[string]time.Time{}, retained: map[string]bool{}})
 	return c
 }
 
-// Freshness sets the maximum time between two answers of a working watch, which is used to
+// SetMaxStaleness sets the maximum time between two answers of a working watch, which is used to
 // detect outages in which calls hang; 0: unknown. Call it before Run.
-func (c *Catalog) Freshness(limit time.Duration) { c.outages.maxStaleness = limit }
+func (c *Catalog) SetMaxStaleness(limit time.Duration) { c.outages.maxStaleness = limit }
 
 // Configuration returns the configuration in force; nil before the first.
 func (c *Catalog) Configuration() *route.Configuration { return c.configuration.Load() }
@@ -93,18 +93,18 @@
 	return nil
 }
 
-// Renew restarts the pending call immediately. Call it after the machine was suspended, when
+// RestartWatch restarts the pending call immediately. Call it after the machine was suspended, when
 // the call may wait on a dead connection whose timeout did not advance meanwhile.
-func (c *Catalog) Renew() {
+func (c *Catalog) RestartWatch() {
 	select {
 	case c.restart <- struct{}{}:
 	default:
 	}
 }
 
-// Age returns the time since the configuration came into force here, or since New before the
+// ConfigurationAge returns the time since the configuration came into force here, or since New before the
 // first.
-func (c *Catalog) Age() time.Duration {
+func (c *Catalog) ConfigurationAge() time.Duration {
 	if at := c.changedAt.Load(); at != nil {
 		return clock.Since(*at)
 	}
@@ -136,12 +136,12 @@
 
 // View receives the full state of a prefix and then its changes, in order.
 type View interface {
-	Whole(result kv.RangeResult)
-	Changes(batch kv.Batch)
+	Reset(result kv.RangeResult)
+	Apply(batch kv.Batch)
 }
 
-// Also adds a view of another prefix. Call it before Run.
-func (c *Catalog) Also(prefix string, view View) {
+// AddView adds a view of another prefix. Call it before Run.
+func (c *Catalog) AddView(prefix string, view View) {
 	c.views = append(c.views, prefixView{prefix: prefix, view: view})
 }
 
@@ -199,7 +199,7 @@
 		c.contactMade()
 		c.metrics.fullReads.Inc()
 		for _, each := range c.views {
-			each.view.Whole(each.filterState(result))
+			each.view.Reset(each.filterState(result))
 		}
 		*fullRead, *revision = false, result.Revision
 	}
@@ -208,7 +208,7 @@
 		c.contactMade()
 		for _, each := range c.views {
 			if part := each.filterBatch(batch); len(part.Events) > 0 {
-				each.view.Changes(part)
+				each.view.Apply(part)
 			}
 		}
 		*revision = max(*revision, batch.Revision)
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -105,7 +105,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, change := range changes {
-		if change.Gone {
+		if change.Removed {
 			delete(r.workers, change.ID)
 			r.removed = append(r.removed, change.ID)
 		} else {
--- a/internal/catalog/configuration.go
+++ b/internal/catalog/configuration.go
@@ -43,15 +43,15 @@
 // configurationView adopts configurations from the service.
 type configurationView struct{ catalog *Catalog }
 
-// Whole adopts the configuration if the state has one.
-func (v *configurationView) Whole(result kv.RangeResult) {
+// Reset adopts the configuration if the state has one.
+func (v *configurationView) Reset(result kv.RangeResult) {
 	for _, pair := range result.Pairs {
 		v.take(pair)
 	}
 }
 
-// Changes adopts newer configurations.
-func (v *configurationView) Changes(batch kv.Batch) {
+// Apply adopts newer configurations.
+func (v *configurationView) Apply(batch kv.Batch) {
 	for _, event := range batch.Events {
 		if !event.Deleted {
 			v.take(event.Pair)
--- a/internal/catalog/cut_test.go
+++ b/internal/catalog/cut_test.go
@@ -136,7 +136,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	for _, change := range changes {
-		if change.Gone {
+		if change.Removed {
 			g.at[change.ID] = g.service.now()
 		}
 	}
@@ -151,7 +151,7 @@
 		log.SetOutput(io.Discard)
 		g := &removalRecorder{recorder: recorder{workers: map[string]worker.Worker{}}, service: s, at: map[string]time.Duration{}}
 		c := New(testSource(), s, logrus.NewEntry(log), g)
-		c.Freshness(stalenessLimit)
+		c.SetMaxStaleness(stalenessLimit)
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
 		running.Go(func() { c.Run(ctx) })
--- a/internal/catalog/peers.go
+++ b/internal/catalog/peers.go
@@ -37,9 +37,9 @@
 	transport.WriteJSON(w, http.StatusOK, document{Raw: raw})
 }
 
-// AskPeers requests the configuration of other processes until one is in force or ctx ends, so
+// BootstrapFromPeers requests the configuration of other processes until one is in force or ctx ends, so
 // that a process can start while the service is unavailable.
-func (c *Catalog) AskPeers(ctx context.Context, peers Peers) {
+func (c *Catalog) BootstrapFromPeers(ctx context.Context, peers Peers) {
 	client := transport.NewClient(1)
 	defer client.CloseIdleConnections()
 	for attempt := 0; ctx.Err() == nil && c.Configuration() == nil; attempt++ {
--- a/internal/catalog/renew_test.go
+++ b/internal/catalog/renew_test.go
@@ -56,7 +56,7 @@
 				go c.Run(ctx)
 				time.Sleep(5 * time.Second)
 				if test.renew {
-					c.Renew()
+					c.RestartWatch()
 				}
 				time.Sleep(time.Second)
 				if age := c.ContactAge(); age != test.want {
--- a/internal/catalog/workers.go
+++ b/internal/catalog/workers.go
@@ -16,10 +16,10 @@
 
 // Change is one change of the list of workers.
 type Change struct {
-	ID     string
-	Worker worker.Worker // zero for a removal
-	Gone   bool
-	reason reason
+	ID      string
+	Worker  worker.Worker // zero for a removal
+	Removed bool
+	reason  reason
 }
 
 // reason is the cause of a change, for the log.
@@ -46,8 +46,8 @@
 	rejectionLog logLimiter
 }
 
-// Whole replaces the list; entries that are not in the state are removed.
-func (v *workerView) Whole(result kv.RangeResult) {
+// Reset replaces the list; entries that are not in the state are removed.
+func (v *workerView) Reset(result kv.RangeResult) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	var changes []Change
@@ -64,8 +64,8 @@
 	v.publish(changes)
 }
 
-// Changes applies written and deleted entries.
-func (v *workerView) Changes(batch kv.Batch) {
+// Apply applies written and deleted entries.
+func (v *workerView) Apply(batch kv.Batch) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	var changes []Change
@@ -181,7 +181,7 @@
 }
 
 func (v *workerView) removal(key string, why reason) Change {
-	return Change{ID: v.id(key), Gone: true, reason: why}
+	return Change{ID: v.id(key), Removed: true, reason: why}
 }
 
 func (v *workerView) publish(changes []Change) {
@@ -210,7 +210,7 @@
 	for _, change := range changes {
 		v.catalog.log.WithFields(logrus.Fields{
 			"event": "worker_changed", "worker": change.ID, "service": change.Worker.Service, "address": change.Worker.Address,
-			"leaving": change.Worker.Draining, "gone": change.Gone, "reason": change.reason,
+			"leaving": change.Worker.Draining, "gone": change.Removed, "reason": change.reason,
 		}).Info("Worker list changed.")
 	}
 }
@@ -223,7 +223,7 @@
 	for _, change := range changes {
 		reasons[change.reason]++
 		switch {
-		case change.Gone:
+		case change.Removed:
 			removed = append(removed, change.ID)
 		case change.Worker.Draining:
 			leaving = append(leaving, change.ID)
--- a/internal/catalog/workers_test.go
+++ b/internal/catalog/workers_test.go
@@ -66,9 +66,9 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			v, r, _ := newTestView(t)
-			v.Changes(written(1, "b", "none"))
+			v.Apply(written(1, "b", "none"))
 			for _, batch := range test.batches {
-				v.Changes(batch)
+				v.Apply(batch)
 			}
 			got := int64(-1)
 			if w, ok := r.workers["a"]; ok {
@@ -87,15 +87,15 @@
 // A retained entry is replaced by its worker's next start, which must not expire with it.
 func TestRetainedEntryIsReplacedByWorkersNextStart(t *testing.T) {
 	v, r, _ := newTestView(t)
-	v.Changes(written(1, "a", "first"))
+	v.Apply(written(1, "a", "first"))
 	now := clock.Now()
 	v.catalog.outages.recordFailure(now, now.Add(-time.Minute))
 	v.catalog.outages.recordAnswer(now)
-	v.Changes(deleted(2, "a"))
+	v.Apply(deleted(2, "a"))
 	if _, ok := r.workers["a"]; !ok || !v.retained["workers/a"] {
 		t.Fatal("entry not retained after an outage")
 	}
-	v.Changes(written(3, "a", "second"))
+	v.Apply(written(3, "a", "second"))
 	v.expire()
 	if w, ok := r.workers["a"]; !ok || w.StartedAt.UnixMilli() != 2_000 {
 		t.Errorf("got worker %+v (%t), want its second start", w, ok)
@@ -106,7 +106,7 @@
 func TestLogLinesForRejectedEntriesAreBounded(t *testing.T) {
 	v, _, hook := newTestView(t)
 	for revision := range int64(500) {
-		v.Changes(written(revision+1, "a", "?"))
+		v.Apply(written(revision+1, "a", "?"))
 	}
 	lines := 0
 	for _, entry := range hook.AllEntries() {
@@ -145,8 +145,8 @@
 		for i := range test.deleted {
 			some.Events = append(some.Events, deleted(int64(test.written+i+1), fmt.Sprint(i)).Events...)
 		}
-		v.Changes(all)
-		if v.Changes(some); len(hook.AllEntries()) != test.lines {
+		v.Apply(all)
+		if v.Apply(some); len(hook.AllEntries()) != test.lines {
 			t.Errorf("%d entries written and %d deleted: %d log lines, want %d", test.written, test.deleted, len(hook.AllEntries()), test.lines)
 		}
 		last := hook.LastEntry()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -95,14 +95,14 @@
 	}
 	var common *node.Node
 	members := func() []feed.Member { return feedMembers(common.Nodes(), settings.Node.Location()) }
-	within := feed.Within(api.NodeID(settings.Node.ID), settings.Platform.ChangesWithin, settings.Platform.LongWait())
+	within := feed.NewSettings(api.NodeID(settings.Node.ID), settings.Platform.ChangesWithin, settings.Platform.LongWait())
 	changes := relay.New(platform.KeyValue, within, members, log.WithField("part", "feed").WithField("node", settings.Node.ID))
 	common, err := node.New(role, settings, log, node.WithKeyValue(changes))
 	if err != nil {
 		return nil, err
 	}
-	changes.Joined, changes.CheckKey = common.Settled, platform.Source.ConfigurationPrefix
-	changes.Abroad = func() [][]feed.Member { return remoteStores(common.Nodes(), settings.Node.Location()) }
+	changes.ZoneKnown, changes.RevisionKey = common.Settled, platform.Source.ConfigurationPrefix
+	changes.RemoteMembers = func() [][]feed.Member { return remoteStores(common.Nodes(), settings.Node.Location()) }
 	if platform.Observe != nil {
 		platform.Observe(common.ObserveCall)
 	}
@@ -118,7 +118,7 @@
 	var members []feed.Member
 	for _, each := range nodes {
 		if each.Location == location && !each.Leaving && !each.Suspected {
-			members = append(members, feed.Member{ID: each.ID, Address: each.Address, Strong: each.Role == api.RoleStore})
+			members = append(members, feed.Member{ID: each.ID, Address: each.Address, Preferred: each.Role == api.RoleStore})
 		}
 	}
 	return members
@@ -138,7 +138,7 @@
 			i = len(zones)
 			index[each.Location], zones = i, append(zones, nil)
 		}
-		zones[i] = append(zones[i], feed.Member{ID: each.ID, Address: each.Address, Strong: true})
+		zones[i] = append(zones[i], feed.Member{ID: each.ID, Address: each.Address, Preferred: true})
 	}
 	return zones
 }
@@ -156,10 +156,10 @@
 	runner := batchrun.New(common, platform.Protocol, platform.Source)
 	prefix := common.Settings.KeyValueService.Prefix
 	records := &store.GroupRecords{Prefix: prefix}
-	runner.Catalog().Also(prefix+storeclient.PrefixGroups, records)
+	runner.Catalog().AddView(prefix+storeclient.PrefixGroups, records)
 	options := []store.Option{store.WithInlineRunner(runner.StartLeader), store.WithRegistered(runner.RegisteredStores()), store.WithGroupRecords(records)}
 	if platform.Decommissions != nil {
-		runner.Catalog().Also(platform.Decommissions.Prefix, platform.Decommissions)
+		runner.Catalog().AddView(platform.Decommissions.Prefix, platform.Decommissions)
 		options = append(options, store.WithDecommissions(platform.Decommissions))
 	}
 	part, err := store.New(common, options...)
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -60,7 +60,7 @@
 	pool        *backend.Pool
 	caller      *backend.Caller
 	stores      *storeclient.Client
-	relayClient *relayed.Asker
+	relayClient *relayed.Client
 	limiter     *limiter.Limiter
 	guard       *guard.Guard
 	metrics     *metrics
@@ -118,17 +118,17 @@
 	f.leaders = &storeclient.Leaders{Prefix: common.Settings.KeyValueService.Prefix}
 	f.stores = &storeclient.Client{HTTP: common.Traffic.Count(newStoreClient(), transport.KindJobs), AttemptTimeout: storeAttemptTimeout, Nodes: func() []api.Node { return registered.With(common.Nodes()) }}
 	f.relayClient = relayed.New(relayed.Settings{
-		Self: f.selfNode, Nodes: common.Nodes, Paths: []string{limiter.PathTokens}, Log: common.Logger("relayed"), Registry: common.Registry,
+		Self: f.selfNode, Nodes: common.Nodes, ForwardedPaths: []string{limiter.PathTokens}, Log: common.Logger("relayed"), Registry: common.Registry,
 	})
 	common.Mux.Handle("POST "+relayed.Path, f.relayClient)
-	common.SetSummary(func() api.Summary { return api.Summary{Apart: f.relayClient.Apart()} })
+	common.SetSummary(func() api.Summary { return api.Summary{Apart: f.relayClient.Isolated()} })
 	f.limiter = limiter.New(common.Settings.Tenants.Tolerance(), common.ID(), f.relayClient, func() []api.Node { return storeclient.Owners(common.Nodes(), registered.With) }, f.admittingFrontends, common.Logger("limits"), common.Registry)
 	f.pool = backend.NewPool(worker.TwoChoiceSettings(common.Settings.Node.Zone), nil)
 	f.pool.SetGroups(f.workerGroup)
 	f.reservations = newReservations(f)
 	f.catalog = catalog.New(source, common.KeyValue, common.Logger("catalog"), f.pool)
-	common.OnResume(f.catalog.Renew)
-	f.catalog.Freshness(common.Settings.Platform.Freshness)
+	common.OnResume(f.catalog.RestartWatch)
+	f.catalog.SetMaxStaleness(common.Settings.Platform.Freshness)
 	common.Registry.MustRegister(f.catalog.Metrics()...)
 	f.guard = guard.New(guard.Settings{
 		Self: common.ID(), Owners: func() []api.Node { return storeclient.Owners(common.Nodes(), registered.With) },
@@ -136,12 +136,12 @@
 		Prefix: common.Settings.KeyValueService.Prefix, Log: common.Logger("guard"), Registry: common.Registry,
 	})
 	if source.EvacuationPrefix != "" {
-		f.catalog.Also(source.EvacuationPrefix, f.pool.Evacuations(source.EvacuationPrefix, common.Logger("catalog")))
+		f.catalog.AddView(source.EvacuationPrefix, f.pool.Evacuations(source.EvacuationPrefix, common.Logger("catalog")))
 	}
-	f.catalog.Also(common.Settings.KeyValueService.Prefix+guard.Prefix, f.guard.View())
+	f.catalog.AddView(common.Settings.KeyValueService.Prefix+guard.Prefix, f.guard.View())
 	f.guard.RegisterAdmin(common.Mux)
-	f.catalog.Also(common.Settings.KeyValueService.Prefix+storeclient.PrefixStores, registered)
-	f.catalog.Also(common.Settings.KeyValueService.Prefix+storeclient.PrefixGroups, f.leaders)
+	f.catalog.AddView(common.Settings.KeyValueService.Prefix+storeclient.PrefixStores, registered)
+	f.catalog.AddView(common.Settings.KeyValueService.Prefix+storeclient.PrefixGroups, f.leaders)
 	common.Mux.HandleFunc("GET "+catalog.PathConfiguration, f.catalog.ServeConfiguration)
 	if err := f.listen(); err != nil {
 		f.closeListeners()
@@ -206,7 +206,7 @@
 	background, stop := context.WithCancel(context.Background())
 	var tasks sync.WaitGroup
 	tasks.Go(func() { f.catalog.Run(background) })
-	tasks.Go(func() { f.catalog.AskPeers(background, f.node) })
+	tasks.Go(func() { f.catalog.BootstrapFromPeers(background, f.node) })
 	tasks.Go(func() { f.reservations.run(background) })
 	tasks.Go(func() { f.guard.Run(background) })
 	serveErrors := make(chan error, len(f.servers))
--- a/internal/frontend/places_test.go
+++ b/internal/frontend/places_test.go
@@ -206,10 +206,10 @@
 			a := &fakeLeader{}
 			r := newTestReservations(t, a, b)
 			a.rule = func(reservation.Request) (reservation.Response, bool) {
-				r.pool.WorkersChanged([]catalog.Change{{ID: "wa", Gone: test.removed, Worker: worker.Worker{ID: "wa", Service: "s", Zone: "z", Slots: 4, Draining: true}}})
+				r.pool.WorkersChanged([]catalog.Change{{ID: "wa", Removed: test.removed, Worker: worker.Worker{ID: "wa", Service: "s", Zone: "z", Slots: 4, Draining: true}}})
 				return test.answer, true
 			}
-			r.pool.WorkersChanged([]catalog.Change{{ID: "wb", Gone: true}}) // added again when wa is dropped
+			r.pool.WorkersChanged([]catalog.Change{{ID: "wb", Removed: true}}) // added again when wa is dropped
 			var dropped []string
 			ticket, refusal := r.reserve(t.Context(), worker.Query{Service: "s"}, startWithin(time.Minute), attemptInfo{}, func(ticket *backend.Ticket) {
 				dropped = append(dropped, ticket.Worker.ID)
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -73,7 +73,7 @@
 		s.pairs[swap.Key] = event.Pair
 	}
 	for _, view := range s.views {
-		view.Changes(kv.Batch{Events: []kv.Event{event}, Revision: s.revision})
+		view.Apply(kv.Batch{Events: []kv.Event{event}, Revision: s.revision})
 	}
 	return kv.SwapResult{Succeeded: true, Revision: s.revision}, nil
 }
@@ -337,7 +337,7 @@
 	pair := kv.Pair{Key: "/" + Prefix + string(request), Value: value, Revision: 1}
 	f.service.pairs[pair.Key], f.service.revision = pair, 1
 	for _, view := range f.service.views {
-		view.Changes(kv.Batch{Events: []kv.Event{{Pair: pair}}, Revision: 1})
+		view.Apply(kv.Batch{Events: []kv.Event{{Pair: pair}}, Revision: 1})
 	}
 	f.service.mutex.Unlock()
 	granted, wait := g.RequestTrial(t.Context(), request)
--- a/internal/guard/published.go
+++ b/internal/guard/published.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// Whole replaces all records.
-func (p *recordStore) Whole(result kv.RangeResult) {
+// Reset replaces all records.
+func (p *recordStore) Reset(result kv.RangeResult) {
 	listed := map[quarantine.Digest]bool{}
 	for _, pair := range result.Pairs {
 		listed[p.digest(pair.Key)] = true
@@ -66,8 +66,8 @@
 	}
 }
 
-// Changes applies changes of records.
-func (p *recordStore) Changes(batch kv.Batch) {
+// Apply applies changes of records.
+func (p *recordStore) Apply(batch kv.Batch) {
 	for _, event := range batch.Events {
 		if event.Deleted {
 			p.remove(p.digest(event.Pair.Key))
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -31,7 +31,7 @@
 // Limiter admits requests of tenants at one frontend. It is safe for concurrent use.
 type Limiter struct {
 	self    api.NodeID
-	asker   *relayed.Asker
+	asker   *relayed.Client
 	owners  func() []api.Node // stores that may own limits
 	holders func() int        // number of processes that admit requests, including this one
 	log     *logrus.Entry
@@ -68,7 +68,7 @@
 }
 
 // New returns a Limiter that requests tokens from the stores that owners lists.
-func New(tolerance ratelimit.Tolerance, self api.NodeID, asker *relayed.Asker, owners func() []api.Node, holders func() int, log *logrus.Entry, registry Registerer) *Limiter {
+func New(tolerance ratelimit.Tolerance, self api.NodeID, asker *relayed.Client, owners func() []api.Node, holders func() int, log *logrus.Entry, registry Registerer) *Limiter {
 	return &Limiter{
 		self: self, asker: asker, owners: owners, holders: holders, log: log, metrics: newMetrics(registry), timeout: requestTimeout,
 		holder: ratelimit.NewHolder(tolerance), waiting: map[string]*queue{}, sequence: uint64(clock.Now().UnixNano()),
@@ -189,8 +189,8 @@
 // send sends a token request to an owner, directly or through a peer. The owner recognizes
 // duplicates by the sequence.
 func (l *Limiter) send(owner api.Node, request ratelimit.TokenRequest) (grant ratelimit.Grant, err error) {
-	_, err = l.asker.Ask(context.Background(), relayed.Question{
-		Step: "ask for tokens", Target: owner, Path: PathTokens, Body: request, Within: l.timeout, Repeatable: true,
+	_, err = l.asker.Call(context.Background(), relayed.Request{
+		Step: "ask for tokens", Target: owner, Path: PathTokens, Body: request, Timeout: l.timeout, Repeatable: true,
 	}, &grant)
 	return grant, err
 }
--- a/internal/limiter/peer_test.go
+++ b/internal/limiter/peer_test.go
@@ -52,7 +52,7 @@
 		Nodes: func() []api.Node {
 			return []api.Node{{ID: first, Role: api.RoleStore, Address: strings.TrimPrefix(reached.URL, "http://")}}
 		},
-		Paths: []string{PathTokens}, Log: logrus.NewEntry(logger), Registry: prometheus.NewRegistry(), DialTimeout: 20 * time.Second,
+		ForwardedPaths: []string{PathTokens}, Log: logrus.NewEntry(logger), Registry: prometheus.NewRegistry(), DialTimeout: 20 * time.Second,
 	})
 	t.Cleanup(peer.Close)
 	server := httptest.NewServer(peer)
--- a/internal/relay/peer.go
+++ b/internal/relay/peer.go
@@ -34,7 +34,7 @@
 	return kv.RangeResult{Pairs: state.Pairs, Revision: state.Revision}, nil
 }
 
-func (r *Relay) changesFromPeer(ctx context.Context, query feed.Question, revision int64) (kv.Batch, error) {
+func (r *Relay) changesFromPeer(ctx context.Context, query feed.Query, revision int64) (kv.Batch, error) {
 	ctx, cancel := context.WithTimeout(ctx, query.Wait+transferTimeout)
 	defer cancel()
 	var changes response
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -75,15 +75,15 @@
 	client    *http.Client
 	mirror    *mirror
 	responses responseCache
-	// Joined reports whether this process knows the other members of its zone; nil: always.
-	Joined func() bool
-	// CheckKey is the key that is read to learn the service's revision when its watches are
+	// ZoneKnown reports whether this process knows the other members of its zone; nil: always.
+	ZoneKnown func() bool
+	// RevisionKey is the key that is read to learn the service's revision when its watches are
 	// silent; empty: no such read.
-	CheckKey string
-	// Abroad returns the candidates for watchers in other zones, one list per zone; nil: none
+	RevisionKey string
+	// RemoteMembers returns the candidates for watchers in other zones, one list per zone; nil: none
 	// are known.
-	Abroad  func() [][]feed.Member
-	queries *prometheus.CounterVec
+	RemoteMembers func() [][]feed.Member
+	queries       *prometheus.CounterVec
 
 	// The fields below are used only by Range and Watch of all keys, one at a time.
 	chooser     *feed.Chooser
@@ -97,7 +97,7 @@
 	return &Relay{
 		Service: service, settings: settings, log: log, members: members, mirror: newMirror(), chooser: feed.New(settings),
 		client: transport.NewProbingClient(transport.Options{
-			ConnectionsPerHost: peerConnections, DialTimeout: peerDialTimeout, IdleLifetime: peerIdleLifetime, SilenceLimit: settings.Fresh, Compressed: true,
+			ConnectionsPerHost: peerConnections, DialTimeout: peerDialTimeout, IdleLifetime: peerIdleLifetime, SilenceLimit: settings.MaxStaleness, Compressed: true,
 		}),
 		queries: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "dykewing_feed_questions_total", Help: "Questions for changes of the key-value service, by whom they went to and how they ended.",
@@ -122,12 +122,12 @@
 	r.awaitZone(ctx)
 	for ctx.Err() == nil {
 		r.refreshMembers()
-		query := r.chooser.Whole(clock.Now())
+		query := r.chooser.NextFullRead(clock.Now())
 		pause.For(ctx, min(clock.Until(query.NotBefore), memberPollInterval))
 		if clock.Until(query.NotBefore) > 0 {
 			continue
 		}
-		if query.OfService() {
+		if query.ToService() {
 			return r.readStateFromService(ctx)
 		}
 		result, err := r.readStateFromPeer(ctx, query.Peer)
@@ -152,7 +152,7 @@
 // would make all processes of a starting fleet read all pages at once.
 func (r *Relay) readStateFromService(ctx context.Context) (kv.RangeResult, error) {
 	result, err := r.Service.Range(ctx, "")
-	r.record(feed.Question{}, result.Revision, err)
+	r.record(feed.Query{}, result.Revision, err)
 	if err == nil {
 		r.mirror.reset(result, true, clock.Now())
 	}
@@ -181,19 +181,19 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		compacted := errors.Is(err, kv.ErrCompacted) && query.OfService()
-		if compacted && r.chooser.Follows() {
+		compacted := errors.Is(err, kv.ErrCompacted) && query.ToService()
+		if compacted && r.chooser.IsFollower() {
 			err = fmt.Errorf("%w: %w", errNoContact, err)
 		}
 		r.record(query, batch.Revision, err)
-		if compacted && r.chooser.Follows() && !deferred {
+		if compacted && r.chooser.IsFollower() && !deferred {
 			deferred = true // the watchers read the full state; query them for the changes first
 			continue
 		}
 		if compacted {
 			batch, err = r.awaitUpstream(ctx, revision, err)
 		}
-		if errors.Is(err, kv.ErrCompacted) || err != nil && query.OfService() {
+		if errors.Is(err, kv.ErrCompacted) || err != nil && query.ToService() {
 			return err
 		}
 		if err != nil {
@@ -212,11 +212,11 @@
 // refreshMembers passes the current members to the chooser, and keeps or releases the state
 // for peers depending on whether they may query this process.
 func (r *Relay) refreshMembers() {
-	if r.Abroad != nil {
-		r.chooser.Abroad(r.Abroad())
+	if r.RemoteMembers != nil {
+		r.chooser.SetRemoteMembers(r.RemoteMembers())
 	}
-	r.chooser.Members(r.members())
-	serving := r.chooser.Keeps()
+	r.chooser.SetMembers(r.members())
+	serving := r.chooser.ServesPeers()
 	r.mirror.setServing(serving, clock.Now())
 	if !serving {
 		r.responses.clear()
@@ -236,7 +236,7 @@
 // revision, since a service can lose its watches and still answer other calls: the same
 // revision proves contact, and a later one means that changes were missed.
 func (r *Relay) poll(ctx context.Context, revision int64, wait time.Duration) (kv.Batch, error) {
-	if r.CheckKey == "" || !r.chooser.Watching() {
+	if r.RevisionKey == "" || !r.chooser.IsWatcher() {
 		return r.Poll(ctx, "", revision, wait)
 	}
 	type result struct {
@@ -272,7 +272,7 @@
 // If the revision matches, this process may serve its zone immediately instead of after its
 // next poll, so that followers do not turn to the service.
 func (r *Relay) confirmContact(ctx context.Context, revision int64) {
-	if r.CheckKey == "" {
+	if r.RevisionKey == "" {
 		return
 	}
 	if at, err := r.serviceRevision(ctx); err == nil && at <= revision {
@@ -282,7 +282,7 @@
 
 // serviceRevision reads the current revision of the service.
 func (r *Relay) serviceRevision(ctx context.Context) (int64, error) {
-	_, at, err := r.Service.Read(ctx, r.CheckKey)
+	_, at, err := r.Service.Read(ctx, r.RevisionKey)
 	return at, err
 }
 
@@ -290,11 +290,11 @@
 // watcher has read the full state, and returns the missed changes from it. Without an
 // upstream, or if it has none, it returns the error of the poll.
 func (r *Relay) awaitUpstream(ctx context.Context, revision int64, compacted error) (kv.Batch, error) {
-	upstream, ok := r.chooser.Teller(clock.Now())
+	upstream, ok := r.chooser.Upstream(clock.Now())
 	if !ok {
 		return kv.Batch{}, compacted
 	}
-	query := feed.Question{Peer: upstream, Wait: r.settings.Fresh}
+	query := feed.Query{Peer: upstream, Wait: r.settings.MaxStaleness}
 	batch, err := r.changesFromPeer(ctx, query, revision)
 	r.record(query, batch.Revision, err)
 	if err != nil || batch.Revision <= revision {
@@ -305,8 +305,8 @@
 }
 
 // fetchChanges sends one query and applies its result to the mirror.
-func (r *Relay) fetchChanges(ctx context.Context, query feed.Question, revision int64) (kv.Batch, error) {
-	if query.OfService() {
+func (r *Relay) fetchChanges(ctx context.Context, query feed.Query, revision int64) (kv.Batch, error) {
+	if query.ToService() {
 		batch, err := r.poll(ctx, revision, query.Wait)
 		if err == nil {
 			r.mirror.apply(batch, true, clock.Now())
@@ -322,12 +322,12 @@
 
 // delayBatch pauses after a poll of the service that returned changes, and returns the next
 // delay.
-func (r *Relay) delayBatch(ctx context.Context, query feed.Question, changed bool, delay time.Duration) time.Duration {
-	if !changed || !query.OfService() {
+func (r *Relay) delayBatch(ctx context.Context, query feed.Query, changed bool, delay time.Duration) time.Duration {
+	if !changed || !query.ToService() {
 		return minBatchDelay
 	}
-	if r.chooser.Shared() {
-		pause.For(ctx, r.settings.GatherPause())
+	if r.chooser.UsesWatchers() {
+		pause.For(ctx, r.settings.BatchDelay())
 		return minBatchDelay
 	}
 	pause.For(ctx, delay)
@@ -343,27 +343,27 @@
 
 // record passes the outcome of a query to the chooser, counts it and logs failures of peers
 // and changes of the source.
-func (r *Relay) record(query feed.Question, revision int64, err error) {
+func (r *Relay) record(query feed.Query, revision int64, err error) {
 	outcome, label := feed.Unreachable, "failed"
 	switch {
 	case errors.Is(err, errNoContact) || errors.Is(err, errOlderState):
-		outcome, label = feed.Behind, "behind"
+		outcome, label = feed.Stale, "behind"
 	case err == nil || errors.Is(err, kv.ErrCompacted):
 		outcome, label = feed.Answered, "answered"
 	}
-	r.chooser.Ended(clock.Now(), query, outcome)
+	r.chooser.RecordOutcome(clock.Now(), query, outcome)
 	kind, name := "peer", string(query.Peer.ID)
-	if query.OfService() {
+	if query.ToService() {
 		kind, name = "service", "service"
 	}
 	r.queries.WithLabelValues(kind, label).Inc()
-	if outcome != feed.Answered && !query.OfService() {
+	if outcome != feed.Answered && !query.ToService() {
 		r.log.WithFields(logrus.Fields{"event": "feed_failed", "source": name, "outcome": label}).WithError(err).Info("Peer did not serve changes; querying another source.")
 		return
 	}
 	if outcome == feed.Answered && r.lastSource != name {
 		r.log.WithFields(logrus.Fields{
-			"event": "feed_source", "source": name, "before": r.lastSource, "revision": revision, "watching": r.chooser.Watching(),
+			"event": "feed_source", "source": name, "before": r.lastSource, "revision": revision, "watching": r.chooser.IsWatcher(),
 		}).Info("Source of changes has switched.")
 		r.lastSource = name
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -117,9 +117,9 @@
 			n.relay.ServeChanges(w, r)
 		}))
 		t.Cleanup(n.server.Close)
-		z.members = append(z.members, feed.Member{ID: api.NodeID(n.id), Address: strings.TrimPrefix(n.server.URL, "http://"), Strong: i < watchers})
+		z.members = append(z.members, feed.Member{ID: api.NodeID(n.id), Address: strings.TrimPrefix(n.server.URL, "http://"), Preferred: i < watchers})
 		client := platform.NewKeyValue(strings.TrimPrefix(server.URL, "http://"), time.Second, time.Second)
-		settings := feed.Within(api.NodeID(n.id), apply, longWait)
+		settings := feed.NewSettings(api.NodeID(n.id), apply, longWait)
 		n.relay = relay.New(rejectingService{Service: client, zone: z, id: n.id}, settings, func() []feed.Member { return z.members }, logrus.NewEntry(log))
 		z.nodes = append(z.nodes, n)
 	}
@@ -241,7 +241,7 @@
 				z.store.Put(fmt.Sprintf("servers/%04d", i), []byte("an entry"))
 			}
 			checks := 0
-			z.nodes[0].relay.Joined = func() bool {
+			z.nodes[0].relay.ZoneKnown = func() bool {
 				checks++
 				return checks >= test.knownAt
 			}
@@ -407,7 +407,7 @@
 	zones := []*zone{newZoneOf(t, store, "a-", members), newZoneOf(t, store, "b-", members), newZoneOf(t, store, "c-", members)}
 	for i, z := range zones {
 		for _, n := range z.nodes {
-			n.relay.Abroad = func() (others [][]feed.Member) {
+			n.relay.RemoteMembers = func() (others [][]feed.Member) {
 				for j, other := range zones {
 					if j != i {
 						others = append(others, other.members)
@@ -505,7 +505,7 @@
 	for _, count := range []int{members, 2 * members} {
 		z := newZone(t, count)
 		for _, n := range z.nodes {
-			n.relay.CheckKey = "op/config"
+			n.relay.RevisionKey = "op/config"
 		}
 		z.store.Put("op/config", []byte("1"))
 		z.start()
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -32,7 +32,7 @@
 		transport.WriteError(w, api.NewError("read question for changes", "", api.CodeBadRequest, api.OutcomeNotRun, "%s is not a number of milliseconds", parameterWait))
 		return
 	}
-	wait := min(time.Duration(milliseconds)*time.Millisecond, r.settings.Fresh)
+	wait := min(time.Duration(milliseconds)*time.Millisecond, r.settings.MaxStaleness)
 	r.serveChanges(w, request, revision, wait)
 }
 
@@ -79,7 +79,7 @@
 
 // isFresh reports whether peers may rely on the state of this process.
 func (r *Relay) isFresh(state status, now time.Time) bool {
-	return state.usable && now.Sub(state.lastContact) <= r.settings.Fresh
+	return state.usable && now.Sub(state.lastContact) <= r.settings.MaxStaleness
 }
 
 func (r *Relay) refuse(w http.ResponseWriter, state status) {
--- a/internal/relay/start.go
+++ b/internal/relay/start.go
@@ -20,11 +20,11 @@
 
 // awaitZone waits, on its first call only, until the members of the zone are known.
 func (r *Relay) awaitZone(ctx context.Context) {
-	if r.zoneAwaited || r.Joined == nil {
+	if r.zoneAwaited || r.ZoneKnown == nil {
 		return
 	}
 	r.zoneAwaited = true
-	for deadline := clock.Now().Add(zoneWaitTimeout); !r.Joined() && clock.Until(deadline) > 0 && ctx.Err() == nil; {
+	for deadline := clock.Now().Add(zoneWaitTimeout); !r.ZoneKnown() && clock.Until(deadline) > 0 && ctx.Err() == nil; {
 		pause.For(ctx, zonePollInterval)
 	}
 }
@@ -33,14 +33,14 @@
 // its zone yet. It saves the wait for the zone after the loss of all processes, at the price
 // of one call per process.
 func (r *Relay) readSmallState(ctx context.Context) (kv.RangeResult, bool) {
-	if r.zoneAwaited || r.Joined == nil || r.Joined() {
+	if r.zoneAwaited || r.ZoneKnown == nil || r.ZoneKnown() {
 		return kv.RangeResult{}, false
 	}
 	result, complete, err := r.Service.RangeOnce(ctx, "")
 	if err == nil && !complete {
 		return kv.RangeResult{}, false
 	}
-	r.record(feed.Question{}, result.Revision, err)
+	r.record(feed.Query{}, result.Revision, err)
 	if err != nil {
 		return kv.RangeResult{}, false
 	}
--- a/internal/relayed/relayed.go
+++ b/internal/relayed/relayed.go
@@ -23,18 +23,18 @@
 
 // Settings are the parameters of New.
 type Settings struct {
-	Self     func() api.Node
-	Nodes    func() []api.Node // the known processes
-	Paths    []string          // HTTP paths that this process forwards for peers
-	Log      *logrus.Entry
-	Registry Registerer
+	Self           func() api.Node
+	Nodes          func() []api.Node // the known processes
+	ForwardedPaths []string          // HTTP paths that this process forwards for peers
+	Log            *logrus.Entry
+	Registry       Registerer
 	// DialTimeout bounds the time to establish a connection; 0: 50 ms.
 	DialTimeout time.Duration
 }
 
-// Asker sends requests of this process and forwards those of its peers. It is safe for
+// Client sends requests of this process and forwards those of its peers. It is safe for
 // concurrent use.
-type Asker struct {
+type Client struct {
 	settings Settings
 	client   *http.Client
 	metrics  *metrics
@@ -46,14 +46,14 @@
 	peersUpdated time.Time
 }
 
-// Question is a request to a process.
-type Question struct {
+// Request is a request to a process.
+type Request struct {
 	Step   string // operation, for errors
 	Target api.Node
 	Path   string
 	Body   any
-	// Within is the timeout, over all attempts.
-	Within time.Duration
+	// Timeout is the timeout, over all attempts.
+	Timeout time.Duration
 	// Repeatable requests may be sent over several paths at once, since the process detects
 	// duplicates. Others are retried only if the previous attempt certainly did not arrive.
 	Repeatable bool
@@ -79,8 +79,8 @@
 )
 
 // New creates a client, whose ServeHTTP must be served under Path.
-func New(settings Settings) *Asker {
-	return &Asker{
+func New(settings Settings) *Client {
+	return &Client{
 		settings: settings, metrics: newMetrics(settings.Registry), slots: make(chan struct{}, maxForwarded), paths: detour.New(),
 		client: transport.NewProbingClient(transport.Options{
 			ConnectionsPerHost: connections, DialTimeout: cmp.Or(settings.DialTimeout, dialTimeout), IdleLifetime: connectionLifetime, SilenceLimit: silenceLimit,
@@ -89,11 +89,11 @@
 }
 
 // Close closes idle connections.
-func (a *Asker) Close() { a.client.CloseIdleConnections() }
+func (a *Client) Close() { a.client.CloseIdleConnections() }
 
-// Apart reports whether this process reaches none of the processes that it sends requests to
+// Isolated reports whether this process reaches none of the processes that it sends requests to
 // directly.
-func (a *Asker) Apart() bool {
+func (a *Client) Isolated() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.paths.Isolated(clock.Now())
@@ -107,18 +107,18 @@
 	err    error
 }
 
-// Ask sends a request and decodes the first answer of any attempt into answer. It returns the
+// Call sends a request and decodes the first answer of any attempt into answer. It returns the
 // peer that forwarded the request; empty: it was sent directly. Later results only update the
 // state of the paths. Errors of an *api.Error type carry what is known of the request's
 // effect; if ctx ends first, its error is returned.
-func (a *Asker) Ask(ctx context.Context, request Question, answer any) (api.NodeID, error) {
+func (a *Client) Call(ctx context.Context, request Request, answer any) (api.NodeID, error) {
 	body, err := json.Marshal(request.Body)
 	if err != nil {
 		return "", api.NewError(request.Step, request.Target.Address, api.CodeInternal, api.OutcomeNotRun, "encode request: %w", err)
 	}
 	// Other attempts go on after the first answer, since their results show which paths work.
-	within, cancel := context.WithTimeout(context.WithoutCancel(ctx), request.Within)
-	c := &call{Asker: a, request: request, body: body, results: make(chan attemptResult, maxAttempts), ctx: within}
+	within, cancel := context.WithTimeout(context.WithoutCancel(ctx), request.Timeout)
+	c := &call{Client: a, request: request, body: body, results: make(chan attemptResult, maxAttempts), ctx: within}
 	first, err := c.run(ctx)
 	go c.drain(cancel)
 	if err != nil {
@@ -145,8 +145,8 @@
 
 // call is a request in progress.
 type call struct {
-	*Asker
-	request  Question
+	*Client
+	request  Request
 	body     []byte
 	results  chan attemptResult
 	ctx      context.Context
@@ -180,7 +180,7 @@
 		case <-due:
 			more = r.startNext()
 		case <-r.ctx.Done():
-			return attemptResult{}, errors.Join(failed, api.NewError(r.request.Step, r.request.Target.Address, api.CodeDeadline, api.OutcomeUnknown, "no answer on any path within %v", r.request.Within))
+			return attemptResult{}, errors.Join(failed, api.NewError(r.request.Step, r.request.Target.Address, api.CodeDeadline, api.OutcomeUnknown, "no answer on any path within %v", r.request.Timeout))
 		case <-caller.Done():
 			return attemptResult{}, caller.Err()
 		}
@@ -230,7 +230,7 @@
 
 // updatePath calls apply, which reports whether the path to target has changed, and logs a
 // change.
-func (a *Asker) updatePath(target api.NodeID, result attemptResult, apply func(now time.Time) bool) {
+func (a *Client) updatePath(target api.NodeID, result attemptResult, apply func(now time.Time) bool) {
 	now := clock.Now()
 	a.mutex.Lock()
 	before := a.paths.ChangedAt(target)
@@ -257,7 +257,7 @@
 }
 
 // listPeers returns the peers in order of preference; the mutex must be held.
-func (a *Asker) listPeers(now time.Time) []api.NodeID {
+func (a *Client) listPeers(now time.Time) []api.NodeID {
 	if now.Sub(a.peersUpdated) > peersTTL || a.peers == nil {
 		a.peers, a.peersUpdated = detour.RelayCandidates(a.settings.Self(), a.settings.Nodes()), now
 	}
@@ -265,7 +265,7 @@
 }
 
 // send makes one attempt.
-func (a *Asker) send(ctx context.Context, path detour.Path, request Question, body json.RawMessage) attemptResult {
+func (a *Client) send(ctx context.Context, path detour.Path, request Request, body json.RawMessage) attemptResult {
 	result := attemptResult{path: path}
 	if path.Direct() {
 		result.err = transport.Call(ctx, a.client, request.Step, request.Target.Address, request.Path, body, &result.body)
@@ -278,8 +278,8 @@
 		return result
 	}
 	deadline, _ := ctx.Deadline()
-	message := Message{Target: request.Target.ID, Path: request.Path, Body: body, Within: max(time.Until(deadline)-forwardMargin, 0)}
-	var reply Reply
+	message := ForwardRequest{Target: request.Target.ID, Path: request.Path, Body: body, Timeout: max(time.Until(deadline)-forwardMargin, 0)}
+	var reply ForwardReply
 	if result.err = transport.Call(ctx, a.client, request.Step, peer.Address, Path, message, &reply); result.err != nil {
 		result.status = detour.NoAnswer
 		return result
--- a/internal/relayed/relayed_test.go
+++ b/internal/relayed/relayed_test.go
@@ -81,7 +81,7 @@
 }
 
 // newAsker returns a client that reaches the store at an address.
-func (f *fixture) newClient(id api.NodeID, store string) *Asker {
+func (f *fixture) newClient(id api.NodeID, store string) *Client {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	a := New(Settings{
@@ -91,7 +91,7 @@
 			defer f.mutex.Unlock()
 			return append([]api.Node{{ID: "store", Role: api.RoleStore, Address: store}}, f.peers...)
 		},
-		Paths: []string{testPath}, Log: logrus.NewEntry(logger), Registry: prometheus.NewRegistry(),
+		ForwardedPaths: []string{testPath}, Log: logrus.NewEntry(logger), Registry: prometheus.NewRegistry(),
 		DialTimeout: testTimeout, // a busy machine must not look like a partition
 	})
 	f.t.Cleanup(a.Close)
@@ -104,10 +104,10 @@
 	f.peers = append(f.peers, api.Node{ID: id, Role: api.RoleFrontend, Address: address})
 }
 
-func (f *fixture) send(a *Asker, store string, timeout time.Duration, repeatable bool) (api.NodeID, string, error) {
+func (f *fixture) send(a *Client, store string, timeout time.Duration, repeatable bool) (api.NodeID, string, error) {
 	var answer string
-	via, err := a.Ask(f.t.Context(), Question{
-		Step: "ask", Target: api.Node{ID: "store", Address: store}, Path: testPath, Body: 1, Within: timeout, Repeatable: repeatable,
+	via, err := a.Call(f.t.Context(), Request{
+		Step: "ask", Target: api.Node{ID: "store", Address: store}, Path: testPath, Body: 1, Timeout: timeout, Repeatable: repeatable,
 	}, &answer)
 	return via, answer, err
 }
@@ -166,7 +166,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	var answer string
-	if _, err := f.newClient("other", store).Ask(ctx, Question{Target: api.Node{ID: "store", Address: store}, Path: testPath, Within: testTimeout}, &answer); !errors.Is(err, context.Canceled) {
+	if _, err := f.newClient("other", store).Call(ctx, Request{Target: api.Node{ID: "store", Address: store}, Path: testPath, Timeout: testTimeout}, &answer); !errors.Is(err, context.Canceled) {
 		t.Errorf("cancelled request: got error %v, want context.Canceled", err)
 	}
 }
@@ -216,7 +216,7 @@
 	}
 }
 
-func post(a *Asker, message any) *httptest.ResponseRecorder {
+func post(a *Client, message any) *httptest.ResponseRecorder {
 	body, _ := json.Marshal(message)
 	recorder := httptest.NewRecorder()
 	a.ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, Path, strings.NewReader(string(body))))
@@ -229,11 +229,11 @@
 		message any
 		status  int
 	}{
-		{"listed path", Message{Target: "store", Path: testPath, Body: []byte("1"), Within: testTimeout}, http.StatusOK},
-		{"unlisted path", Message{Target: "store", Path: "/internal/v1/other", Body: []byte("1"), Within: testTimeout}, http.StatusBadRequest},
-		{"forwarding path", Message{Target: "store", Path: Path, Body: []byte("1"), Within: testTimeout}, http.StatusBadRequest},
-		{"no target", Message{Path: testPath, Body: []byte("1"), Within: testTimeout}, http.StatusBadRequest},
-		{"no timeout", Message{Target: "store", Path: testPath, Body: []byte("1")}, http.StatusBadRequest},
+		{"listed path", ForwardRequest{Target: "store", Path: testPath, Body: []byte("1"), Timeout: testTimeout}, http.StatusOK},
+		{"unlisted path", ForwardRequest{Target: "store", Path: "/internal/v1/other", Body: []byte("1"), Timeout: testTimeout}, http.StatusBadRequest},
+		{"forwarding path", ForwardRequest{Target: "store", Path: Path, Body: []byte("1"), Timeout: testTimeout}, http.StatusBadRequest},
+		{"no target", ForwardRequest{Path: testPath, Body: []byte("1"), Timeout: testTimeout}, http.StatusBadRequest},
+		{"no timeout", ForwardRequest{Target: "store", Path: testPath, Body: []byte("1")}, http.StatusBadRequest},
 		{"unknown fields", map[string]any{"target": "store", "path": testPath, "body": 1, "within": testTimeout, "new": "x"}, http.StatusOK},
 		{"not a message", "x", http.StatusBadRequest},
 	}
@@ -241,7 +241,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
 			a := f.newClient("peer", f.answeringStore())
-			a.settings.Paths = append(a.settings.Paths, Path)
+			a.settings.ForwardedPaths = append(a.settings.ForwardedPaths, Path)
 			if recorder := post(a, test.message); recorder.Code != test.status {
 				t.Errorf("status %d: %s", recorder.Code, recorder.Body)
 			}
@@ -256,8 +256,8 @@
 	f.addPeer("third", serve(t, f.newClient("third", f.answeringStore())))
 	a := f.newClient("second", closedAddress(t))
 	for i := range 3 {
-		recorder := post(a, Message{Target: "store", Path: testPath, Body: []byte("1"), Within: testTimeout})
-		var reply Reply
+		recorder := post(a, ForwardRequest{Target: "store", Path: testPath, Body: []byte("1"), Timeout: testTimeout})
+		var reply ForwardReply
 		if err := json.Unmarshal(recorder.Body.Bytes(), &reply); err != nil || reply.Reached || f.received.Load() != 0 {
 			t.Errorf("attempt %d: got %s and %d requests to the target", i, recorder.Body, f.received.Load())
 		}
@@ -269,8 +269,8 @@
 	f := newFixture(t)
 	a := f.newClient("peer", f.answeringStore())
 	a.recordForwarded("store", detour.NoAnswer)
-	var reply Reply
-	if err := json.Unmarshal(post(a, Message{Target: "store", Path: testPath, Body: []byte("1"), Within: testTimeout}).Body.Bytes(), &reply); err != nil || reply.Reached || reply.Outcome != api.OutcomeNotRun || f.received.Load() != 0 {
+	var reply ForwardReply
+	if err := json.Unmarshal(post(a, ForwardRequest{Target: "store", Path: testPath, Body: []byte("1"), Timeout: testTimeout}).Body.Bytes(), &reply); err != nil || reply.Reached || reply.Outcome != api.OutcomeNotRun || f.received.Load() != 0 {
 		t.Errorf("got reply %+v, error %v and %d requests to the target", reply, err, f.received.Load())
 	}
 }
@@ -278,7 +278,7 @@
 func TestForwardedRequestsAreBounded(t *testing.T) {
 	f := newFixture(t)
 	a := f.newClient("peer", f.answeringStore())
-	message := Message{Target: "store", Path: testPath, Body: []byte("1"), Within: testTimeout}
+	message := ForwardRequest{Target: "store", Path: testPath, Body: []byte("1"), Timeout: testTimeout}
 	for range maxForwarded {
 		a.slots <- struct{}{} // a request in progress
 	}
--- a/internal/relayed/serve.go
+++ b/internal/relayed/serve.go
@@ -26,23 +26,23 @@
 	minConclusiveTime = 20 * time.Millisecond
 )
 
-// Message is the JSON body of a request to forward.
-type Message struct {
-	Target api.NodeID      `json:"target"` // the process to send it to
-	Path   string          `json:"path"`
-	Body   json.RawMessage `json:"body"`
-	Within time.Duration   `json:"within"` // timeout, in nanoseconds on the wire
+// ForwardRequest is the JSON body of a request to forward.
+type ForwardRequest struct {
+	Target  api.NodeID      `json:"target"` // the process to send it to
+	Path    string          `json:"path"`
+	Body    json.RawMessage `json:"body"`
+	Timeout time.Duration   `json:"within"` // timeout, in nanoseconds on the wire
 }
 
-// Reply is the JSON body of the response to a forwarded request.
-type Reply struct {
+// ForwardReply is the JSON body of the response to a forwarded request.
+type ForwardReply struct {
 	Reached bool            `json:"reached"` // the process answered
 	Body    json.RawMessage `json:"body,omitempty"`
 	Failure string          `json:"failure,omitempty"` // error of the attempt, or of the process
 	Outcome api.Outcome     `json:"outcome,omitempty"` // of the request if Failure is set
 }
 
-func (r Reply) outcomeOrUnknown() api.Outcome {
+func (r ForwardReply) outcomeOrUnknown() api.Outcome {
 	if r.Outcome == "" {
 		return api.OutcomeUnknown
 	}
@@ -51,16 +51,16 @@
 
 // ServeHTTP forwards a peer's request once: only to a known process that this one is believed
 // to reach directly, and only under the paths of Settings.
-func (a *Asker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	var message Message
+func (a *Client) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	var message ForwardRequest
 	if failure := transport.ReadJSON(w, r, "read question to pass on", maximumMessageBytes, &message); failure != nil {
 		transport.WriteError(w, failure)
 		return
 	}
-	if !slices.Contains(a.settings.Paths, message.Path) || message.Path == Path || message.Target == "" || message.Within <= 0 {
+	if !slices.Contains(a.settings.ForwardedPaths, message.Path) || message.Path == Path || message.Target == "" || message.Timeout <= 0 {
 		a.metrics.forwarded.WithLabelValues("refused").Inc()
 		transport.WriteError(w, api.NewError("pass on question", "", api.CodeBadRequest, api.OutcomeNotRun,
-			"path %q, target %q, within %v", message.Path, message.Target, message.Within))
+			"path %q, target %q, within %v", message.Path, message.Target, message.Timeout))
 		return
 	}
 	select {
@@ -81,23 +81,23 @@
 }
 
 // forward sends the request directly to its target.
-func (a *Asker) forward(ctx context.Context, message Message) Reply {
+func (a *Client) forward(ctx context.Context, message ForwardRequest) ForwardReply {
 	target, found := findNode(a.settings.Nodes(), message.Target)
 	a.mutex.Lock()
 	reaches := a.paths.Reaches(clock.Now(), message.Target)
 	a.mutex.Unlock()
 	if !found || !reaches {
-		return Reply{Failure: "target unknown or unreachable from this process", Outcome: api.OutcomeNotRun}
+		return ForwardReply{Failure: "target unknown or unreachable from this process", Outcome: api.OutcomeNotRun}
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(message.Within, maxForwardTime))
+	ctx, cancel := context.WithTimeout(ctx, min(message.Timeout, maxForwardTime))
 	defer cancel()
-	request := Question{Step: "pass on question", Target: target, Path: message.Path}
+	request := Request{Step: "pass on question", Target: target, Path: message.Path}
 	result := a.send(ctx, detour.Path{}, request, message.Body)
-	conclusive := ctx.Err() == nil || errors.Is(ctx.Err(), context.DeadlineExceeded) && message.Within >= minConclusiveTime
+	conclusive := ctx.Err() == nil || errors.Is(ctx.Err(), context.DeadlineExceeded) && message.Timeout >= minConclusiveTime
 	if conclusive || result.status == detour.Answered {
 		a.recordForwarded(message.Target, result.status)
 	}
-	reply := Reply{Reached: result.status == detour.Answered, Body: result.body}
+	reply := ForwardReply{Reached: result.status == detour.Answered, Body: result.body}
 	if result.err != nil {
 		reply.Failure, reply.Outcome = result.err.Error(), outcomeOf(result.err)
 	}
@@ -105,7 +105,7 @@
 }
 
 // recordForwarded records the result of a forwarded request.
-func (a *Asker) recordForwarded(target api.NodeID, result detour.Result) {
+func (a *Client) recordForwarded(target api.NodeID, result detour.Result) {
 	a.updatePath(target, attemptResult{status: result}, func(now time.Time) bool { return a.paths.RecordRelayed(now, target, result) })
 }
 
--- a/internal/store/decommission.go
+++ b/internal/store/decommission.go
@@ -36,8 +36,8 @@
 	written   map[api.NodeID]DecommissionState
 }
 
-// Whole replaces the requests by a complete listing.
-func (d *Decommissions) Whole(result kv.RangeResult) {
+// Reset replaces the requests by a complete listing.
+func (d *Decommissions) Reset(result kv.RangeResult) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.requested = map[api.NodeID]bool{}
@@ -46,8 +46,8 @@
 	}
 }
 
-// Changes adds new requests and removes withdrawn ones.
-func (d *Decommissions) Changes(batch kv.Batch) {
+// Apply adds new requests and removes withdrawn ones.
+func (d *Decommissions) Apply(batch kv.Batch) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.requested == nil {
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -34,8 +34,8 @@
 	err      error // decoding error
 }
 
-// Whole replaces the cache by a complete listing.
-func (g *GroupRecords) Whole(result kv.RangeResult) {
+// Reset replaces the cache by a complete listing.
+func (g *GroupRecords) Reset(result kv.RangeResult) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.loaded, g.records = true, map[api.GroupID]publishedGroup{}
@@ -44,8 +44,8 @@
 	}
 }
 
-// Changes applies updates of records; deletions are ignored.
-func (g *GroupRecords) Changes(batch kv.Batch) {
+// Apply applies updates of records; deletions are ignored.
+func (g *GroupRecords) Apply(batch kv.Batch) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	for _, event := range batch.Events {
--- a/internal/store/records_test.go
+++ b/internal/store/records_test.go
@@ -19,11 +19,11 @@
 		err   bool
 	}{
 		{"complete listing", func(*GroupRecords) {}, 4, false},
-		{"update", func(g *GroupRecords) { g.Changes(kv.Batch{Events: []kv.Event{{Pair: newer}}}) }, 5, false},
+		{"update", func(g *GroupRecords) { g.Apply(kv.Batch{Events: []kv.Event{{Pair: newer}}}) }, 5, false},
 		{"write of this store", func(g *GroupRecords) { g.Written(newer) }, 5, false},
-		{"stale update", func(g *GroupRecords) { g.Written(newer); g.Changes(kv.Batch{Events: []kv.Event{{Pair: older}}}) }, 5, false},
+		{"stale update", func(g *GroupRecords) { g.Written(newer); g.Apply(kv.Batch{Events: []kv.Event{{Pair: older}}}) }, 5, false},
 		{"deletion is ignored", func(g *GroupRecords) {
-			g.Changes(kv.Batch{Events: []kv.Event{{Pair: kv.Pair{Key: "/d/groups/3", Revision: 8}, Deleted: true}}})
+			g.Apply(kv.Batch{Events: []kv.Event{{Pair: kv.Pair{Key: "/d/groups/3", Revision: 8}, Deleted: true}}})
 		}, 4, false},
 		{"invalid record", func(g *GroupRecords) { g.Written(pair("/d/groups/3", `{`, 9)) }, 0, true},
 		{"foreign key", func(g *GroupRecords) { g.Written(pair("/d/groups/x", `{`, 9)) }, 4, false},
@@ -35,7 +35,7 @@
 			if _, err := g.all(); !errors.Is(err, errRecordsUnknown) {
 				t.Fatalf("before a complete listing: %v", err)
 			}
-			g.Whole(kv.RangeResult{Revision: 7, Pairs: []kv.Pair{older}})
+			g.Reset(kv.RangeResult{Revision: 7, Pairs: []kv.Pair{older}})
 			test.tell(g)
 			all, err := g.all()
 			if err != nil || all[3].record.Index != test.index || (all[3].err != nil) != test.err {
--- a/internal/storeclient/leaders.go
+++ b/internal/storeclient/leaders.go
@@ -40,15 +40,15 @@
 	leaders map[api.GroupID]GroupLeader
 }
 
-// Whole adds all records of a complete listing.
-func (l *Leaders) Whole(result kv.RangeResult) {
+// Reset adds all records of a complete listing.
+func (l *Leaders) Reset(result kv.RangeResult) {
 	for _, pair := range result.Pairs {
 		l.put(pair)
 	}
 }
 
-// Changes applies updates of records; deletions are ignored.
-func (l *Leaders) Changes(batch kv.Batch) {
+// Apply applies updates of records; deletions are ignored.
+func (l *Leaders) Apply(batch kv.Batch) {
 	for _, event := range batch.Events {
 		if !event.Deleted {
 			l.put(event.Pair)
--- a/internal/storeclient/leaders_test.go
+++ b/internal/storeclient/leaders_test.go
@@ -31,7 +31,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			l := &Leaders{Prefix: "/d/"}
 			for _, pair := range test.records {
-				l.Changes(kv.Batch{Events: []kv.Event{{Pair: pair}}})
+				l.Apply(kv.Batch{Events: []kv.Event{{Pair: pair}}})
 			}
 			got := ""
 			if node, ok := l.Of(test.view, 0); ok {
--- a/internal/storeclient/registered.go
+++ b/internal/storeclient/registered.go
@@ -35,8 +35,8 @@
 	revision int64
 }
 
-// Whole replaces the cache by a complete listing.
-func (r *Registered) Whole(result kv.RangeResult) {
+// Reset replaces the cache by a complete listing.
+func (r *Registered) Reset(result kv.RangeResult) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.records = map[string]registration{}
@@ -45,8 +45,8 @@
 	}
 }
 
-// Changes adds, updates and removes registrations.
-func (r *Registered) Changes(batch kv.Batch) {
+// Apply adds, updates and removes registrations.
+func (r *Registered) Apply(batch kv.Batch) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, event := range batch.Events {
