--- a/clock/clock.go
+++ b/clock/clock.go
@@ -76,18 +76,20 @@
 	return max(time.Duration(boot.Nano()-monotonic.Nano()), 0).Truncate(time.Millisecond)
 }
 
-// Gap detects suspensions of the machine. It is not safe for concurrent use.
-type Gap struct {
+// SuspendDetector detects suspensions of the machine. It is not safe for concurrent use.
+type SuspendDetector struct {
 	clock     *Clock
 	lastTotal time.Duration
 }
 
-// NewGap returns a detector for the machine's clock.
-func NewGap() *Gap { return &Gap{clock: system, lastTotal: system.totalSuspended()} }
+// NewSuspendDetector returns a detector for the machine's clock.
+func NewSuspendDetector() *SuspendDetector {
+	return &SuspendDetector{clock: system, lastTotal: system.totalSuspended()}
+}
 
-// Missed returns for how long the machine was suspended since the last call, or since
+// TakeSuspended returns for how long the machine was suspended since the last call, or since
 // the detector was created.
-func (g *Gap) Missed() time.Duration {
+func (g *SuspendDetector) TakeSuspended() time.Duration {
 	total := g.clock.totalSuspended()
 	missed := total - g.lastTotal
 	g.lastTotal = total
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -24,17 +24,17 @@
 			synctest.Test(t, func(t *testing.T) {
 				total := 3 * time.Hour // before the process started
 				c := &Clock{Suspended: func() time.Duration { return total }}
-				detector := &Gap{clock: c, lastTotal: total}
+				detector := &SuspendDetector{clock: c, lastTotal: total}
 				before := c.Now()
 				total += test.suspended
 				time.Sleep(test.runs)
 				if passed := c.Now().Sub(before); passed != test.suspended+test.runs {
 					t.Errorf("%v passed, want %v", passed, test.suspended+test.runs)
 				}
-				if suspended := detector.Missed(); suspended != test.suspended {
+				if suspended := detector.TakeSuspended(); suspended != test.suspended {
 					t.Errorf("suspended %v", suspended)
 				}
-				if suspended := detector.Missed(); suspended != 0 {
+				if suspended := detector.TakeSuspended(); suspended != 0 {
 					t.Errorf("second call: suspended %v, want 0", suspended)
 				}
 			})
@@ -51,9 +51,9 @@
 		readings = readings[1:]
 		return next
 	}}
-	detector := &Gap{clock: c, lastTotal: c.totalSuspended()}
+	detector := &SuspendDetector{clock: c, lastTotal: c.totalSuspended()}
 	for range 2 {
-		if suspended := detector.Missed(); suspended != 0 {
+		if suspended := detector.TakeSuspended(); suspended != 0 {
 			t.Errorf("suspended %v", suspended)
 		}
 	}
@@ -88,7 +88,7 @@
 	if passed := Since(first); passed < time.Millisecond || Until(first) > -time.Millisecond {
 		t.Errorf("%v passed", passed)
 	}
-	if suspended := NewGap().Missed(); suspended < 0 || suspended > time.Minute {
+	if suspended := NewSuspendDetector().TakeSuspended(); suspended < 0 || suspended > time.Minute {
 		t.Errorf("suspended %v", suspended)
 	}
 }
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -17,13 +17,13 @@
 func (n *Node) heartbeat(ctx context.Context) {
 	ticker := time.NewTicker(n.Settings.Membership.Interval)
 	defer ticker.Stop()
-	gap := clock.NewGap()
+	gap := clock.NewSuspendDetector()
 	n.reportSelf()
 	n.membership.Tell(membership.Tick{})
 	for {
 		select {
 		case <-ticker.C:
-			n.handleSuspension(gap.Missed())
+			n.handleSuspension(gap.TakeSuspended())
 			n.reportSelf()
 			n.membership.Tell(membership.Tick{})
 		case <-n.reportNow:
--- a/internal/store/group.go
+++ b/internal/store/group.go
@@ -169,7 +169,7 @@
 		g.apply(action.Entries)
 	case replication.Proposed:
 		g.proposed(action)
-	case replication.Confirmed:
+	case replication.LeadershipConfirmed:
 		g.confirmed(action)
 	case replication.RoleChanged:
 		g.roleChanged(action)
--- a/internal/store/groupdisk.go
+++ b/internal/store/groupdisk.go
@@ -103,7 +103,7 @@
 
 // restoredGroup is a group's state as read from disk at startup.
 type restoredGroup struct {
-	machine replication.Restored
+	machine replication.RecoveredState
 	origin  replication.Members
 	applied position
 }
--- a/internal/store/proposals.go
+++ b/internal/store/proposals.go
@@ -107,7 +107,7 @@
 func (g *group) rejectionError(cause error) *api.Error {
 	const step = "commit command"
 	switch {
-	case errors.Is(cause, replication.ErrNotLeader), errors.Is(cause, replication.ErrTransferring), errors.Is(cause, replication.ErrHalted):
+	case errors.Is(cause, replication.ErrNotLeader), errors.Is(cause, replication.ErrTransferInProgress), errors.Is(cause, replication.ErrHalted):
 		return g.notLeader(step, api.OutcomeNotRun)
 	case errors.Is(cause, replication.ErrOverloaded):
 		failure := api.NewError(step, "", api.CodeNoCapacity, api.OutcomeNotRun, "%w", cause)
--- a/internal/store/reads.go
+++ b/internal/store/reads.go
@@ -7,7 +7,7 @@
 	"github.com/dykewing/dykewing/replication"
 )
 
-// readRounds batches reads into quorum rounds of replication.Confirm: reads that arrive
+// readRounds batches reads into quorum rounds of replication.ConfirmLeadership: reads that arrive
 // during a round wait for the next one.
 type readRounds struct {
 	token     uint64            // of the round in flight
@@ -50,11 +50,11 @@
 	g.reads.running, g.reads.next = g.reads.next, nil
 	g.lastToken++
 	g.reads.token = g.lastToken
-	g.shell.Tell(replication.Confirm{Token: g.lastToken})
+	g.shell.Tell(replication.ConfirmLeadership{Token: g.lastToken})
 }
 
 // confirmed ends a round; called by the actor.
-func (g *group) confirmed(action replication.Confirmed) {
+func (g *group) confirmed(action replication.LeadershipConfirmed) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if action.Token != g.reads.token {
--- a/jobs/simstore_test.go
+++ b/jobs/simstore_test.go
@@ -63,8 +63,8 @@
 	s.answers = map[uint64]func(any){}
 	index, _ := state.Applied()
 	s.machine, err = replication.NewMachine(replication.Settings{
-		Group: 1, Self: s.id, Heartbeat: 20 * time.Millisecond, ElectionTimeout: 100 * time.Millisecond, Random: s.cluster.simulation.Fork(),
-	}, replication.Restored{
+		Group: 1, Self: s.id, Heartbeat: 20 * time.Millisecond, ElectionTimeout: 100 * time.Millisecond, Random: s.cluster.simulation.ForkRandom(),
+	}, replication.RecoveredState{
 		HardState: s.disk.state, Entries: slices.Clone(s.disk.entries), Applied: index,
 		Snapshot: replication.Snapshot{Members: replication.Members{Voters: s.cluster.voters}},
 	})
--- a/jobs/simulation_test.go
+++ b/jobs/simulation_test.go
@@ -60,7 +60,7 @@
 		c.network.Isolate(string(store.id))
 		c.simulation.After(d.Length, c.network.Heal)
 	case "lossy":
-		c.network.SetFaults(sim.Faults{Loss: 0.1, Duplicate: 0.3, Late: 0.2, LateBy: 800 * time.Millisecond})
+		c.network.SetFaults(sim.Faults{Loss: 0.1, Duplicate: 0.3, Delay: 0.2, MaxDelay: 800 * time.Millisecond})
 		c.simulation.After(d.Length, func() { c.network.SetFaults(sim.Faults{}) })
 	}
 }
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -98,7 +98,7 @@
 // NewMembership returns a fleet whose nodes start within the first interval.
 func NewMembership(options MembershipOptions) *Membership {
 	simulation := sim.New(options.Seed)
-	fleet := &Membership{Simulation: simulation, options: options, byName: map[string]*Member{}, random: simulation.Fork()}
+	fleet := &Membership{Simulation: simulation, options: options, byName: map[string]*Member{}, random: simulation.ForkRandom()}
 	fleet.Network = simulation.NewNetwork(fleet.latency)
 	for zone := range options.Zones {
 		location := api.Location{
@@ -142,7 +142,7 @@
 	member.leaving = false
 	member.Machine = membership.NewMachine(membership.Settings{
 		Self: member.Node, Seeds: f.seeds(member), Interval: f.options.Interval,
-		SuspectTimeout: f.options.SuspectTimeout, Random: f.Simulation.Fork(), Fault: f.options.Fault,
+		SuspectTimeout: f.options.SuspectTimeout, Random: f.Simulation.ForkRandom(), Fault: f.options.Fault,
 	})
 	phase := time.Duration(f.random.Int64N(int64(f.options.Interval)))
 	member.Process.After(phase, func() { f.tick(member) })
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -105,7 +105,7 @@
 	run := func(fault membership.Fault) int {
 		fleet := newSettledZone(11, 16, fault)
 		deaths := countFalseDeaths(fleet)
-		fleet.Network.SetFaults(sim.Faults{Loss: 0.12, Late: 0.05, LateBy: 500 * time.Millisecond})
+		fleet.Network.SetFaults(sim.Faults{Loss: 0.12, Delay: 0.05, MaxDelay: 500 * time.Millisecond})
 		fleet.Simulation.Run(5 * time.Minute)
 		return *deaths
 	}
--- a/membership/moves_test.go
+++ b/membership/moves_test.go
@@ -25,7 +25,7 @@
 		options := DefaultMembershipOptions()
 		options.Seed, options.Zones, options.Regions, options.RoutersPerZone, options.MeasureEvery = seed, 3, 2, 6, 1
 		fleet := NewMembership(options)
-		fleet.Network.SetFaults(sim.Faults{Loss: 0.03, Late: 0.1, LateBy: time.Second})
+		fleet.Network.SetFaults(sim.Faults{Loss: 0.03, Delay: 0.1, MaxDelay: time.Second})
 		fleet.Simulation.Run(time.Minute)
 		text := ""
 		for _, member := range fleet.Members {
@@ -215,7 +215,7 @@
 						}
 					}
 				}
-				fleet.Network.SetFaults(sim.Faults{Loss: loss, Late: 0.01, LateBy: 2 * time.Second})
+				fleet.Network.SetFaults(sim.Faults{Loss: loss, Delay: 0.01, MaxDelay: 2 * time.Second})
 				fleet.Simulation.Run(time.Hour)
 			}
 			b.ReportMetric(float64(deaths)/float64(b.N), "false-deaths/hour")
--- a/quota/simulation_test.go
+++ b/quota/simulation_test.go
@@ -60,7 +60,7 @@
 
 func newFleet(seed uint64, fault Fault, ceiling Ceiling, routers int) *fleet {
 	s := sim.New(seed)
-	f := &fleet{simulation: s, random: s.Fork(), settings: testSettings(fault), ceiling: ceiling}
+	f := &fleet{simulation: s, random: s.ForkRandom(), settings: testSettings(fault), ceiling: ceiling}
 	if seed%2 == 1 {
 		f.settings.MaxRunTime = 300 * time.Millisecond // unreported shares soon stop counting
 		f.delayed = seed%4 == 3
@@ -333,9 +333,9 @@
 
 // run simulates overlapping failures and returns a violated invariant, empty if there is none.
 func (f *fleet) run(duration time.Duration) string {
-	faults := sim.Faults{Loss: 0.05, Duplicate: 0.05, Late: 0.1, LateBy: 2 * time.Second}
+	faults := sim.Faults{Loss: 0.05, Duplicate: 0.05, Delay: 0.1, MaxDelay: 2 * time.Second}
 	if f.delayed {
-		faults.Late, faults.LateBy = 0.5, 2*f.settings.ShareTTL
+		faults.Delay, faults.MaxDelay = 0.5, 2*f.settings.ShareTTL
 	}
 	f.network.SetFaults(faults)
 	for at := 500 * time.Millisecond; at < duration; at += 400 * time.Millisecond {
--- a/replication/actions.go
+++ b/replication/actions.go
@@ -50,10 +50,10 @@
 	Leader  ReplicaID // empty when not known
 }
 
-// Confirmed answers a request to confirm leadership. If Err is nil, this replica was
+// LeadershipConfirmed answers a request to confirm leadership. If Err is nil, this replica was
 // leader in Term at some time after the request; a read is linearizable once Index has
 // been applied.
-type Confirmed struct {
+type LeadershipConfirmed struct {
 	Token  uint64
 	Index  uint64
 	Term   uint64
@@ -78,13 +78,13 @@
 	Status Status
 }
 
-func (Apply) replicationAction()         {}
-func (Confirmed) replicationAction()     {}
-func (FetchSnapshot) replicationAction() {}
-func (Halted) replicationAction()        {}
-func (Inspected) replicationAction()     {}
-func (Persist) replicationAction()       {}
-func (Proposed) replicationAction()      {}
-func (RoleChanged) replicationAction()   {}
-func (Send) replicationAction()          {}
-func (Transferred) replicationAction()   {}
+func (Apply) replicationAction()               {}
+func (LeadershipConfirmed) replicationAction() {}
+func (FetchSnapshot) replicationAction()       {}
+func (Halted) replicationAction()              {}
+func (Inspected) replicationAction()           {}
+func (Persist) replicationAction()             {}
+func (Proposed) replicationAction()            {}
+func (RoleChanged) replicationAction()         {}
+func (Send) replicationAction()                {}
+func (Transferred) replicationAction()         {}
--- a/replication/append.go
+++ b/replication/append.go
@@ -26,7 +26,7 @@
 	case m.role != RoleLeader:
 		return ErrNotLeader
 	case m.transfer != nil:
-		return ErrTransferring
+		return ErrTransferInProgress
 	}
 	return nil
 }
@@ -241,7 +241,7 @@
 		conflict = conflict || m.conflictsWithCommitted(entry.Index, entry.Term)
 	}
 	if conflict {
-		m.halt(fmt.Errorf("%w, after entry %d of term %d, in term %d of %s", ErrContradiction, w.Index, w.LogTerm, w.Term, w.From))
+		m.halt(fmt.Errorf("%w, after entry %d of term %d, in term %d of %s", ErrCommittedConflict, w.Index, w.LogTerm, w.Term, w.From))
 	}
 	return conflict
 }
@@ -263,7 +263,7 @@
 	term, _ := m.log.term(retry)
 	m.round = max(m.round, w.Round)
 	m.send(WireMessage{
-		Type: MessageAppendAnswer, To: w.From, Index: w.Index,
+		Type: MessageAppendResponse, To: w.From, Index: w.Index,
 		Match: retry, LogTerm: term, Round: m.round,
 	})
 }
@@ -275,7 +275,7 @@
 func (m *Machine) sendAppendResponse() {
 	m.acknowledged = m.matchIndex()
 	m.send(WireMessage{
-		Type: MessageAppendAnswer, To: m.leader, Granted: true,
+		Type: MessageAppendResponse, To: m.leader, Granted: true,
 		Index: m.verified, Match: m.acknowledged, Round: m.round,
 	})
 }
--- a/replication/bench_test.go
+++ b/replication/bench_test.go
@@ -31,7 +31,7 @@
 		members.Voters = append(members.Voters, ReplicaID(fmt.Sprintf("r%d", i)))
 	}
 	for _, id := range members.Voters {
-		s.machines[id], _ = NewMachine(testSettings(id), Restored{Snapshot: Snapshot{Members: members}})
+		s.machines[id], _ = NewMachine(testSettings(id), RecoveredState{Snapshot: Snapshot{Members: members}})
 		s.step(id, Inspect{})
 	}
 	s.machines["r0"].electionDeadline = sim.Epoch
--- a/replication/checker_test.go
+++ b/replication/checker_test.go
@@ -107,7 +107,7 @@
 
 // checkConfirmed checks linearizability of reads: a confirmed index covers all entries
 // that any replica had applied before the request.
-func (r *replica) checkConfirmed(response Confirmed) {
+func (r *replica) checkConfirmed(response LeadershipConfirmed) {
 	minIndex := r.confirms[response.Token]
 	delete(r.confirms, response.Token)
 	if response.Err != nil {
--- a/replication/cluster_test.go
+++ b/replication/cluster_test.go
@@ -117,11 +117,11 @@
 // start creates the Machine from the state on disk.
 func (r *replica) start() {
 	stored := r.disk.Read()
-	random := r.cluster.simulation.Fork()
+	random := r.cluster.simulation.ForkRandom()
 	machine, err := NewMachine(Settings{
 		Group: 7, Self: r.id, Heartbeat: testHeartbeat, ElectionTimeout: testElection, Random: random,
 		MaxAppendBytes: 400, MaxInflight: 4, TrailingEntries: 5,
-	}, Restored{HardState: stored.state, Snapshot: stored.snapshot, Entries: stored.entries})
+	}, RecoveredState{HardState: stored.state, Snapshot: stored.snapshot, Entries: stored.entries})
 	if err != nil {
 		r.cluster.reportViolation(acknowledgedDurability, "%s can't start: %v", r.id, err)
 		return
@@ -195,7 +195,7 @@
 		}
 	case Transferred:
 		r.results[action.Token] = action.Err
-	case Confirmed:
+	case LeadershipConfirmed:
 		r.results[action.Token] = action.Err
 		r.checkConfirmed(action)
 	}
@@ -281,7 +281,7 @@
 	old := c.replicas[slot]
 	old.crash()
 	if c.reuseIdentity {
-		old.disk.Lose(diskState{snapshot: Snapshot{Members: c.initialMembers}})
+		old.disk.Replace(diskState{snapshot: Snapshot{Members: c.initialMembers}})
 		old.restart()
 		return
 	}
@@ -346,7 +346,7 @@
 			if r.leading && r.process.Up() && !r.process.Paused() {
 				c.serial++
 				r.confirms[c.serial] = c.checker.applied
-				r.step(Confirm{Token: c.serial})
+				r.step(ConfirmLeadership{Token: c.serial})
 			}
 		}
 		c.startClients(interval)
--- a/replication/confirm.go
+++ b/replication/confirm.go
@@ -8,9 +8,9 @@
 
 // confirmLeadership starts a round, or queues for the next one if a round is in
 // progress: a round that started before the request proves nothing about it.
-func (m *Machine) confirmLeadership(request Confirm) {
+func (m *Machine) confirmLeadership(request ConfirmLeadership) {
 	if m.role != RoleLeader {
-		m.emit(Confirmed{Token: request.Token, Leader: m.leader, Err: ErrNotLeader})
+		m.emit(LeadershipConfirmed{Token: request.Token, Leader: m.leader, Err: ErrNotLeader})
 		return
 	}
 	idle := m.confirmRound == m.confirmedRound
@@ -53,7 +53,7 @@
 			remaining = append(remaining, confirm)
 			continue
 		}
-		m.emit(Confirmed{Token: confirm.token, Index: m.committed, Term: m.state.Term})
+		m.emit(LeadershipConfirmed{Token: confirm.token, Index: m.committed, Term: m.state.Term})
 	}
 	m.pendingConfirms = remaining
 	if len(remaining) > 0 && m.confirmRound == m.confirmedRound {
--- a/replication/election.go
+++ b/replication/election.go
@@ -86,7 +86,7 @@
 	switch {
 	case w.Type == MessagePreVote:
 		return !m.hasRecentLeader()
-	case w.Type == MessagePreVoteAnswer && w.Granted:
+	case w.Type == MessagePreVoteResponse && w.Granted:
 		return true
 	case w.Type == MessageVote && !w.Transfer && m.hasRecentLeader():
 		return false
@@ -102,9 +102,9 @@
 func (m *Machine) handleOlderTerm(w WireMessage) {
 	switch w.Type {
 	case MessageAppend, MessageSnapshot:
-		m.send(WireMessage{Type: MessageAppendAnswer, To: w.From})
+		m.send(WireMessage{Type: MessageAppendResponse, To: w.From})
 	case MessagePreVote:
-		m.send(WireMessage{Type: MessagePreVoteAnswer, To: w.From})
+		m.send(WireMessage{Type: MessagePreVoteResponse, To: w.From})
 	}
 }
 
@@ -121,9 +121,9 @@
 // receiveVote responds to a vote or pre-vote request. Learners respond too, as a learner
 // may have been made a voter without having received that entry yet.
 func (m *Machine) receiveVote(w WireMessage) {
-	response := WireMessage{Type: MessageVoteAnswer, To: w.From}
+	response := WireMessage{Type: MessageVoteResponse, To: w.From}
 	if w.Type == MessagePreVote {
-		response.Type = MessagePreVoteAnswer
+		response.Type = MessagePreVoteResponse
 		response.Granted = w.Term > m.state.Term && m.isUpToDate(w) && !m.winsPreVoteTie(w)
 		if response.Granted {
 			response.Term = w.Term
@@ -160,8 +160,8 @@
 }
 
 func (m *Machine) receiveVoteResponse(w WireMessage) {
-	expected := w.Type == MessageVoteAnswer && m.role == RoleCandidate && w.Term == m.state.Term ||
-		w.Type == MessagePreVoteAnswer && m.role == RolePreCandidate && w.Term == m.state.Term+1
+	expected := w.Type == MessageVoteResponse && m.role == RoleCandidate && w.Term == m.state.Term ||
+		w.Type == MessagePreVoteResponse && m.role == RolePreCandidate && w.Term == m.state.Term+1
 	if expected && w.Granted {
 		m.votes[w.From] = true
 		m.countVotes()
@@ -185,7 +185,7 @@
 // pending transfer.
 func (m *Machine) clearLeadership() {
 	for _, confirm := range m.pendingConfirms {
-		m.emit(Confirmed{Token: confirm.token, Leader: m.leader, Err: ErrNotLeader})
+		m.emit(LeadershipConfirmed{Token: confirm.token, Leader: m.leader, Err: ErrNotLeader})
 	}
 	if m.transfer != nil {
 		m.emit(Transferred{Token: m.transfer.token})
--- a/replication/errors.go
+++ b/replication/errors.go
@@ -8,8 +8,8 @@
 	ErrNotLeader = errors.New("this replica is not the leader of the group")
 	// ErrOverloaded rejects a proposal while uncommitted entries exceed MaxUncommittedBytes.
 	ErrOverloaded = errors.New("too many uncommitted proposals")
-	// ErrTransferring rejects a proposal while a leadership transfer is in progress.
-	ErrTransferring = errors.New("leadership transfer in progress")
+	// ErrTransferInProgress rejects a proposal while a leadership transfer is in progress.
+	ErrTransferInProgress = errors.New("leadership transfer in progress")
 	// ErrTransferTimeout fails a leadership transfer that did not complete within an election timeout.
 	ErrTransferTimeout = errors.New("leadership transfer timed out")
 	// ErrInvalidSuccessor rejects a leadership transfer to a replica that is not another voter.
@@ -25,9 +25,9 @@
 	ErrNotCaughtUp = errors.New("the learner has not caught up")
 	// ErrHalted rejects every request to a halted machine.
 	ErrHalted = errors.New("this replica has halted")
-	// ErrContradiction halts a machine: the leader's log conflicts with an entry
+	// ErrCommittedConflict halts a machine: the leader's log conflicts with an entry
 	// committed here, so some disk has lost acknowledged entries.
-	ErrContradiction = errors.New("the leader's log conflicts with a committed entry")
+	ErrCommittedConflict = errors.New("the leader's log conflicts with a committed entry")
 	// ErrInvalidSettings is returned by NewMachine.
 	ErrInvalidSettings = errors.New("invalid replica settings")
 	// ErrCorruptLog is returned by NewMachine if the recovered state is inconsistent.
--- a/replication/machine.go
+++ b/replication/machine.go
@@ -80,7 +80,7 @@
 
 // NewMachine returns a follower that resumes from the recovered state. It returns
 // ErrInvalidSettings or ErrCorruptLog, wrapped, if an argument is invalid.
-func NewMachine(settings Settings, restored Restored) (*Machine, error) {
+func NewMachine(settings Settings, restored RecoveredState) (*Machine, error) {
 	if err := checkSettings(settings); err != nil {
 		return nil, err
 	}
@@ -114,7 +114,7 @@
 	return nil
 }
 
-func checkRestored(restored Restored) error {
+func checkRestored(restored RecoveredState) error {
 	index, term := restored.Snapshot.Index, restored.Snapshot.Term
 	for _, entry := range restored.Entries {
 		index++
@@ -166,7 +166,7 @@
 		m.compact(message.Snapshot)
 	case SnapshotFetched:
 		m.snapshotFetched(message)
-	case Confirm:
+	case ConfirmLeadership:
 		m.confirmLeadership(message)
 	case TransferLeadership:
 		m.transferLeadership(message)
@@ -189,8 +189,8 @@
 		m.emit(Proposed{Token: message.Token, Err: ErrHalted})
 	case ProposeMembers:
 		m.emit(Proposed{Token: message.Token, Err: ErrHalted})
-	case Confirm:
-		m.emit(Confirmed{Token: message.Token, Err: ErrHalted})
+	case ConfirmLeadership:
+		m.emit(LeadershipConfirmed{Token: message.Token, Err: ErrHalted})
 	case TransferLeadership:
 		m.emit(Transferred{Token: message.Token, Err: ErrHalted})
 	case Inspect:
@@ -230,15 +230,15 @@
 	switch w.Type {
 	case MessagePreVote, MessageVote:
 		m.receiveVote(w)
-	case MessagePreVoteAnswer, MessageVoteAnswer:
+	case MessagePreVoteResponse, MessageVoteResponse:
 		m.receiveVoteResponse(w)
 	case MessageAppend:
 		m.receiveAppend(w)
-	case MessageAppendAnswer:
+	case MessageAppendResponse:
 		m.receiveAppendResponse(w)
 	case MessageSnapshot:
 		m.receiveSnapshot(w)
-	case MessageSnapshotAnswer:
+	case MessageSnapshotResponse:
 		m.receiveSnapshotResponse(w)
 	case MessageTimeoutNow:
 		m.receiveTimeoutNow(w)
--- a/replication/machine_test.go
+++ b/replication/machine_test.go
@@ -28,18 +28,18 @@
 	noRandom.Random = nil
 	cases := map[string]struct {
 		settings Settings
-		restored Restored
+		restored RecoveredState
 		want     error
 	}{
-		"no identity":            {testSettings(""), Restored{Snapshot: voters}, ErrInvalidSettings},
-		"no random source":       {noRandom, Restored{Snapshot: voters}, ErrInvalidSettings},
-		"gap":                    {testSettings("a"), Restored{HardState: HardState{Term: 9}, Entries: entriesOf(1, 1)[1:]}, ErrCorruptLog},
-		"decreasing terms":       {testSettings("a"), Restored{HardState: HardState{Term: 9}, Entries: entriesOf(2, 1)}, ErrCorruptLog},
-		"entry of a future term": {testSettings("a"), Restored{HardState: HardState{Term: 1}, Entries: entriesOf(2)}, ErrCorruptLog},
-		"applied beyond the log": {testSettings("a"), Restored{HardState: HardState{Term: 1}, Entries: entriesOf(1), Applied: 2}, ErrCorruptLog},
-		"undecodable members": {testSettings("a"), Restored{HardState: HardState{Term: 1},
+		"no identity":            {testSettings(""), RecoveredState{Snapshot: voters}, ErrInvalidSettings},
+		"no random source":       {noRandom, RecoveredState{Snapshot: voters}, ErrInvalidSettings},
+		"gap":                    {testSettings("a"), RecoveredState{HardState: HardState{Term: 9}, Entries: entriesOf(1, 1)[1:]}, ErrCorruptLog},
+		"decreasing terms":       {testSettings("a"), RecoveredState{HardState: HardState{Term: 9}, Entries: entriesOf(2, 1)}, ErrCorruptLog},
+		"entry of a future term": {testSettings("a"), RecoveredState{HardState: HardState{Term: 1}, Entries: entriesOf(2)}, ErrCorruptLog},
+		"applied beyond the log": {testSettings("a"), RecoveredState{HardState: HardState{Term: 1}, Entries: entriesOf(1), Applied: 2}, ErrCorruptLog},
+		"undecodable members": {testSettings("a"), RecoveredState{HardState: HardState{Term: 1},
 			Entries: []Entry{{Index: 1, Term: 1, Kind: EntryMembers, Data: []byte("{")}}}, ErrCorruptLog},
-		"valid": {testSettings("a"), Restored{HardState: HardState{Term: 1}, Entries: entriesOf(1), Applied: 1}, nil},
+		"valid": {testSettings("a"), RecoveredState{HardState: HardState{Term: 1}, Entries: entriesOf(1), Applied: 1}, nil},
 	}
 	for name, test := range cases {
 		if _, err := NewMachine(test.settings, test.restored); !errors.Is(err, test.want) {
@@ -49,7 +49,7 @@
 }
 
 func TestSingleVoterElectsItselfImmediately(t *testing.T) {
-	machine, err := NewMachine(testSettings("a"), Restored{Snapshot: Snapshot{Members: Members{Voters: []ReplicaID{"a"}}}})
+	machine, err := NewMachine(testSettings("a"), RecoveredState{Snapshot: Snapshot{Members: Members{Voters: []ReplicaID{"a"}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,8 +89,8 @@
 		}
 		return entriesOf(terms...)
 	}
-	leader, _ := NewMachine(testSettings("a"), Restored{HardState: HardState{Term: 5}, Snapshot: voters, Entries: log(4)})
-	follower, _ := NewMachine(testSettings("b"), Restored{HardState: HardState{Term: 5}, Snapshot: voters, Entries: log(3)})
+	leader, _ := NewMachine(testSettings("a"), RecoveredState{HardState: HardState{Term: 5}, Snapshot: voters, Entries: log(4)})
+	follower, _ := NewMachine(testSettings("b"), RecoveredState{HardState: HardState{Term: 5}, Snapshot: voters, Entries: log(3)})
 	machines, rejections := map[ReplicaID]*Machine{"a": leader, "b": follower}, 0
 	var deliver func(self ReplicaID, actions []Action)
 	deliver = func(self ReplicaID, actions []Action) {
@@ -99,7 +99,7 @@
 			case Persist:
 				deliver(self, machines[self].Step(sim.Epoch.Add(time.Second), Persisted{Sequence: action.Sequence}))
 			case Send:
-				if action.Message.Type == MessageAppendAnswer && !action.Message.Granted {
+				if action.Message.Type == MessageAppendResponse && !action.Message.Granted {
 					rejections++
 				}
 				deliver(action.Message.To, machines[action.Message.To].Step(sim.Epoch.Add(time.Second), Received(action)))
@@ -116,7 +116,7 @@
 func TestAppendWindowAndBatchSizeAreBounded(t *testing.T) {
 	settings := testSettings("a")
 	settings.MaxAppendBytes, settings.MaxInflight, settings.MaxUncommittedBytes = 3*(10+entryOverhead), 4, 100*(10+entryOverhead)
-	machine, _ := NewMachine(settings, Restored{Snapshot: Snapshot{Members: Members{Voters: []ReplicaID{"a", "b"}}}})
+	machine, _ := NewMachine(settings, RecoveredState{Snapshot: Snapshot{Members: Members{Voters: []ReplicaID{"a", "b"}}}})
 	machine.becomeLeader()
 	machine.peers["b"].becomeReplicate(1)
 	machine.actions = nil
@@ -154,7 +154,7 @@
 		"previous entry differs": {WireMessage{Index: 2, LogTerm: 2, Entries: []Entry{entry(3, 2)}}, true},
 	}
 	for name, test := range cases {
-		machine, _ := NewMachine(testSettings("a"), Restored{
+		machine, _ := NewMachine(testSettings("a"), RecoveredState{
 			HardState: HardState{Term: 1}, Entries: entriesOf(1, 1, 1), Applied: 2,
 			Snapshot: Snapshot{Members: Members{Voters: []ReplicaID{"a", "b"}}},
 		})
@@ -175,9 +175,9 @@
 // index.
 func TestArbitraryMessagesPreserveTermVoteAndCommit(t *testing.T) {
 	ids := []ReplicaID{"a", "b", "c"}
-	types := []MessageType{MessagePreVote, MessagePreVoteAnswer, MessageVote, MessageVoteAnswer, MessageAppend, MessageAppendAnswer, MessageSnapshot, MessageSnapshotAnswer, MessageTimeoutNow}
+	types := []MessageType{MessagePreVote, MessagePreVoteResponse, MessageVote, MessageVoteResponse, MessageAppend, MessageAppendResponse, MessageSnapshot, MessageSnapshotResponse, MessageTimeoutNow}
 	rapid.Check(t, func(t *rapid.T) {
-		machine, _ := NewMachine(testSettings("a"), Restored{Snapshot: Snapshot{Members: Members{Voters: ids}}})
+		machine, _ := NewMachine(testSettings("a"), RecoveredState{Snapshot: Snapshot{Members: Members{Voters: ids}}})
 		small := func(name string) uint64 { return rapid.Uint64Range(0, 6).Draw(t, name) }
 		now := sim.Epoch
 		for range 60 {
@@ -198,7 +198,7 @@
 				w.Snapshot = &Snapshot{Index: small("snapshot"), Term: small("snapshot term"), Members: Members{Voters: ids}}
 			}
 			message := rapid.SampledFrom([]Message{
-				Received{Message: w}, Tick{}, Propose{Token: 1}, Confirm{Token: 2}, TransferLeadership{Token: 3}, Inspect{},
+				Received{Message: w}, Tick{}, Propose{Token: 1}, ConfirmLeadership{Token: 2}, TransferLeadership{Token: 3}, Inspect{},
 				Persisted{Sequence: machine.persists.lastIssued}, Compact{Snapshot: Snapshot{Index: small("compact")}},
 				SnapshotFetched{Index: small("fetched"), Term: small("fetched term")},
 			}).Draw(t, "message")
--- a/replication/messages.go
+++ b/replication/messages.go
@@ -40,10 +40,10 @@
 	Err   error
 }
 
-// Confirm asks the leader to verify that it still leads, by a round of messages to a
+// ConfirmLeadership asks the leader to verify that it still leads, by a round of messages to a
 // quorum that starts after this request. Linearizable reads and quota grants rely on it;
 // no clock or lease is involved. The action that answers it carries the same Token.
-type Confirm struct{ Token uint64 }
+type ConfirmLeadership struct{ Token uint64 }
 
 // TransferLeadership asks the leader to transfer leadership, as before a planned
 // shutdown. Until it completes, proposals are rejected. It is answered by Transferred.
@@ -56,7 +56,7 @@
 type Inspect struct{ Token uint64 }
 
 func (Compact) replicationMessage()            {}
-func (Confirm) replicationMessage()            {}
+func (ConfirmLeadership) replicationMessage()  {}
 func (Inspect) replicationMessage()            {}
 func (Persisted) replicationMessage()          {}
 func (Propose) replicationMessage()            {}
--- a/replication/replication.go
+++ b/replication/replication.go
@@ -63,15 +63,15 @@
 
 // The types of wire messages.
 const (
-	MessagePreVote        MessageType = "pre_vote"
-	MessagePreVoteAnswer  MessageType = "pre_vote_answer"
-	MessageVote           MessageType = "vote"
-	MessageVoteAnswer     MessageType = "vote_answer"
-	MessageAppend         MessageType = "append"
-	MessageAppendAnswer   MessageType = "append_answer"
-	MessageSnapshot       MessageType = "snapshot"
-	MessageSnapshotAnswer MessageType = "snapshot_answer" // sent only if the fetch failed
-	MessageTimeoutNow     MessageType = "timeout_now"     // from the leader to its successor: start an election at once
+	MessagePreVote          MessageType = "pre_vote"
+	MessagePreVoteResponse  MessageType = "pre_vote_answer"
+	MessageVote             MessageType = "vote"
+	MessageVoteResponse     MessageType = "vote_answer"
+	MessageAppend           MessageType = "append"
+	MessageAppendResponse   MessageType = "append_answer"
+	MessageSnapshot         MessageType = "snapshot"
+	MessageSnapshotResponse MessageType = "snapshot_answer" // sent only if the fetch failed
+	MessageTimeoutNow       MessageType = "timeout_now"     // from the leader to its successor: start an election at once
 )
 
 // WireMessage is a message between replicas of one group.
@@ -131,9 +131,9 @@
 	return s
 }
 
-// Restored is the state recovered from disk at startup. It is zero for a replica that
+// RecoveredState is the state recovered from disk at startup. It is zero for a replica that
 // joins an existing group.
-type Restored struct {
+type RecoveredState struct {
 	HardState HardState
 	Snapshot  Snapshot // Index 0: Members holds the initial voters of a new group
 	Entries   []Entry  // after Snapshot.Index
--- a/replication/scenario_test.go
+++ b/replication/scenario_test.go
@@ -41,7 +41,7 @@
 }
 
 func propose(token uint64) Message { return Propose{Token: token, Data: []byte("command")} }
-func confirm(token uint64) Message { return Confirm{Token: token} }
+func confirm(token uint64) Message { return ConfirmLeadership{Token: token} }
 
 func (c *cluster) followers(leader *replica) []*replica {
 	return slices.DeleteFunc(slices.Clone(c.replicas), func(r *replica) bool { return r == leader })
@@ -228,7 +228,7 @@
 	}
 	c.network.Heal()
 	c.simulation.Run(time.Second)
-	c.drop = func(w WireMessage) bool { return w.Type == MessageAppendAnswer }
+	c.drop = func(w WireMessage) bool { return w.Type == MessageAppendResponse }
 	old := c.leader(t)
 	old.crash()
 	next := c.followers(old)[0]
@@ -277,8 +277,8 @@
 	if _, answered := leader.request(0, transfer(follower.id)); answered {
 		t.Fatal("transfer to a paused replica was answered immediately")
 	}
-	if err, _ := leader.request(0, propose); !errors.Is(err, ErrTransferring) {
-		t.Fatalf("got %v, want %v", err, ErrTransferring)
+	if err, _ := leader.request(0, propose); !errors.Is(err, ErrTransferInProgress) {
+		t.Fatalf("got %v, want %v", err, ErrTransferInProgress)
 	}
 	c.simulation.Run(2 * testElection)
 	if err := leader.results[c.serial-1]; !errors.Is(err, ErrTransferTimeout) {
--- a/replication/simulation_test.go
+++ b/replication/simulation_test.go
@@ -63,10 +63,10 @@
 		c.network.Cut(string(target.id), string(other.id))
 		c.simulation.After(f.Length, c.network.Heal)
 	case "lossy":
-		c.network.SetFaults(sim.Faults{Loss: 0.1, Duplicate: 0.2, Late: 0.2, LateBy: 400 * time.Millisecond})
+		c.network.SetFaults(sim.Faults{Loss: 0.1, Duplicate: 0.2, Delay: 0.2, MaxDelay: 400 * time.Millisecond})
 		c.simulation.After(f.Length, func() { c.network.SetFaults(sim.Faults{}) })
 	case "very_late":
-		c.network.SetFaults(sim.Faults{Late: 0.2, LateBy: 3 * time.Second})
+		c.network.SetFaults(sim.Faults{Delay: 0.2, MaxDelay: 3 * time.Second})
 		c.simulation.After(f.Length, func() { c.network.SetFaults(sim.Faults{}) })
 	case "crash_all":
 		for _, r := range c.replicas {
--- a/replication/snapshot.go
+++ b/replication/snapshot.go
@@ -81,7 +81,7 @@
 	}
 	m.fetching = nil
 	if done.Err != nil {
-		m.send(WireMessage{Type: MessageSnapshotAnswer, To: fetching.from, Index: done.Index})
+		m.send(WireMessage{Type: MessageSnapshotResponse, To: fetching.from, Index: done.Index})
 		return
 	}
 	if m.role != RoleFollower {
--- a/sim/disk.go
+++ b/sim/disk.go
@@ -35,8 +35,8 @@
 	d.dirty = false
 }
 
-// Lose replaces the disk by a new one with the initial value.
-func (d *Disk[T]) Lose(initial T) {
+// Replace replaces the disk by a new one with the initial value.
+func (d *Disk[T]) Replace(initial T) {
 	d.synced, d.latest = d.clone(initial), d.clone(initial)
 	d.dirty, d.replaced = false, true
 }
@@ -44,5 +44,5 @@
 // Read returns a copy of the latest value.
 func (d *Disk[T]) Read() T { return d.clone(d.latest) }
 
-// Lost reports whether the disk was ever replaced.
-func (d *Disk[T]) Lost() bool { return d.replaced }
+// Replaced reports whether the disk was ever replaced.
+func (d *Disk[T]) Replaced() bool { return d.replaced }
--- a/sim/network.go
+++ b/sim/network.go
@@ -7,8 +7,8 @@
 type Faults struct {
 	Loss      float64
 	Duplicate float64
-	Late      float64       // probability of an extra delay
-	LateBy    time.Duration // maximum extra delay
+	Delay     float64       // probability of an extra delay
+	MaxDelay  time.Duration // maximum extra delay
 }
 
 // Network delivers messages between processes with delays and faults. Messages may be
@@ -85,8 +85,8 @@
 	}
 	delay := n.latency(from, to)
 	delay += time.Duration(random.Int64N(int64(delay) + 1))
-	if random.Float64() < n.faults.Late {
-		delay += time.Duration(random.Int64N(int64(n.faults.LateBy) + 1))
+	if random.Float64() < n.faults.Delay {
+		delay += time.Duration(random.Int64N(int64(n.faults.MaxDelay) + 1))
 	}
 	n.simulation.After(delay, func() {
 		target.process.run(target.process.generation, func() {
--- a/sim/simulation.go
+++ b/sim/simulation.go
@@ -51,8 +51,8 @@
 // Random returns the simulation's random source.
 func (s *Simulation) Random() *rand.Rand { return s.random }
 
-// Fork returns a new random source that is seeded from the simulation's.
-func (s *Simulation) Fork() *rand.Rand {
+// ForkRandom returns a new random source that is seeded from the simulation's.
+func (s *Simulation) ForkRandom() *rand.Rand {
 	return rand.New(rand.NewPCG(s.random.Uint64(), s.random.Uint64()))
 }
 
--- a/sim/simulation_test.go
+++ b/sim/simulation_test.go
@@ -10,7 +10,7 @@
 func pingPong(seed uint64) string {
 	simulation := New(seed)
 	network := simulation.NewNetwork(func(_, _ string) time.Duration { return time.Millisecond })
-	network.SetFaults(Faults{Loss: 0.1, Duplicate: 0.1, Late: 0.2, LateBy: 20 * time.Millisecond})
+	network.SetFaults(Faults{Loss: 0.1, Duplicate: 0.1, Delay: 0.2, MaxDelay: 20 * time.Millisecond})
 	left, right := simulation.NewProcess("left"), simulation.NewProcess("right")
 	answer := func(self *Process) func(string, any) {
 		return func(from string, message any) {
--- a/table/editor_test.go
+++ b/table/editor_test.go
@@ -114,7 +114,7 @@
 // runEdits has clients edit one row concurrently and returns the first wrong outcome.
 func runEdits(seed uint64, injected fault) (string, map[api.EditOutcome]int) {
 	simulation := sim.New(seed)
-	service := &keyValueSim{simulation: simulation, random: simulation.Fork(), revision: 1, applied: map[string]int{}}
+	service := &keyValueSim{simulation: simulation, random: simulation.ForkRandom(), revision: 1, applied: map[string]int{}}
 	key := api.RowKey{Service: "model", Place: "east"}
 	var clients []*editClient
 	for i := range 40 {
--- a/table/replica_test.go
+++ b/table/replica_test.go
@@ -41,9 +41,9 @@
 
 func newClusterSim(seed uint64, nodes int, injected fault) *clusterSim {
 	s := sim.New(seed)
-	w := &clusterSim{simulation: s, random: s.Fork(), history: map[int64]map[api.RowKey]api.Row{0: {}}}
+	w := &clusterSim{simulation: s, random: s.ForkRandom(), history: map[int64]map[api.RowKey]api.Row{0: {}}}
 	w.network = s.NewNetwork(func(_, _ string) time.Duration { return time.Millisecond })
-	w.network.SetFaults(sim.Faults{Loss: 0.1, Duplicate: 0.2, Late: 0.3, LateBy: 3 * time.Second})
+	w.network.SetFaults(sim.Faults{Loss: 0.1, Duplicate: 0.2, Delay: 0.3, MaxDelay: 3 * time.Second})
 	for i := range nodes {
 		n := &simNode{cluster: w, process: s.NewProcess(fmt.Sprintf("node-%d", i)), watcher: i < 2}
 		n.replica = NewReplica()
