--- a/internal/batchrun/commit.go
+++ b/internal/batchrun/commit.go
@@ -26,9 +26,9 @@
 		l.log.WithError(err).Error("Reading an item from the state failed.")
 		return
 	}
-	result := jobs.InlineResult{Job: i.job.ID, Index: i.index, Item: stored.ID, Outcome: outcome, Text: text}
+	result := jobs.InlineResult{Job: i.job.ID, Index: i.index, ItemID: stored.ID, Outcome: outcome, Text: text}
 	i.outputMutex.Lock()
-	result.Kept = min(i.committedBytes, len(text))
+	result.CheckpointBytes = min(i.committedBytes, len(text))
 	i.outputMutex.Unlock()
 	select {
 	case l.results <- result:
@@ -76,8 +76,8 @@
 	}
 	omitted := 0
 	for i := range results {
-		omitted += results[i].Kept
-		results[i].Kept = 0
+		omitted += results[i].CheckpointBytes
+		results[i].CheckpointBytes = 0
 	}
 	if omitted == 0 {
 		return // already accepted, or the job has ended
--- a/internal/batchrun/commit_test.go
+++ b/internal/batchrun/commit_test.go
@@ -24,8 +24,8 @@
 func (g *fakeGroup) propose(_ context.Context, command jobs.Command) (jobs.Result, *api.Error) {
 	command = command.Shortened()
 	g.commands++
-	if command.KeepInline != nil {
-		for _, part := range command.KeepInline.Parts {
+	if command.CheckpointInline != nil {
+		for _, part := range command.CheckpointInline.Parts {
 			g.bytes += len(part.Text)
 		}
 		if g.dropParts {
@@ -75,7 +75,7 @@
 			if len(parts) != 1 {
 				t.Fatalf("%s: %d parts", test.name, len(parts))
 			}
-			if _, committed := l.commit(jobs.Command{KeepInline: &jobs.KeepInline{Parts: parts}}); committed && !(test.uncommitted && n == partCount-1) {
+			if _, committed := l.commit(jobs.Command{CheckpointInline: &jobs.CheckpointInline{Parts: parts}}); committed && !(test.uncommitted && n == partCount-1) {
 				markCommitted(parts, items)
 			}
 		}
--- a/internal/batchrun/dispatch.go
+++ b/internal/batchrun/dispatch.go
@@ -135,7 +135,7 @@
 		l.abandon(i, "no route")
 		return true
 	}
-	if i.job.Keep > 0 && time.Since(i.job.Created) > i.job.Keep {
+	if i.job.AbandonAfter > 0 && time.Since(i.job.Created) > i.job.AbandonAfter {
 		l.abandon(i, "kept long enough")
 		return true
 	}
@@ -206,7 +206,7 @@
 	if err != nil {
 		return false
 	}
-	i.text, i.lastEventID, i.proposedBytes, i.committedBytes = []byte(partial.Text), partial.Last, len(partial.Text), len(partial.Text)
+	i.text, i.lastEventID, i.proposedBytes, i.committedBytes = []byte(partial.Text), partial.LastEvent, len(partial.Text), len(partial.Text)
 	i.failures, i.proposedFailures = partial.Failures, partial.Failures
 	i.path, i.host, i.parts, i.tokens = stored.Path, i.job.Host, request.Parts, request.PromptTokens
 	i.digest = quarantine.Identity{Tenant: string(i.job.Tenant), Host: i.host, Target: stored.Path, Body: stored.Body}.Digest()
--- a/internal/batchrun/keep.go
+++ b/internal/batchrun/keep.go
@@ -35,7 +35,7 @@
 			return
 		}
 		if parts, items := l.dueParts(time.Now()); len(parts) > 0 {
-			if _, committed := l.commit(jobs.Command{KeepInline: &jobs.KeepInline{Parts: parts}}); committed {
+			if _, committed := l.commit(jobs.Command{CheckpointInline: &jobs.CheckpointInline{Parts: parts}}); committed {
 				markCommitted(parts, items)
 			}
 		}
@@ -94,7 +94,7 @@
 		return jobs.InlinePart{}, false
 	}
 	part := jobs.InlinePart{
-		Job: i.job.ID, Index: i.index, Offset: i.proposedBytes, Text: string(i.text[i.proposedBytes:]), Last: i.lastEventID, Failures: i.failures,
+		Job: i.job.ID, Index: i.index, Offset: i.proposedBytes, Text: string(i.text[i.proposedBytes:]), LastEvent: i.lastEventID, Failures: i.failures,
 	}
 	i.proposedBytes, i.proposedFailures, i.proposedAt = len(i.text), i.failures, now
 	return part, true
--- a/internal/batchrun/leader.go
+++ b/internal/batchrun/leader.go
@@ -98,7 +98,7 @@
 
 // loadJobs loads the open jobs from the state.
 func (l *Leader) loadJobs() error {
-	open, err := l.state.OpenInline()
+	open, err := l.state.OpenInlineJobs()
 	if err != nil {
 		return err
 	}
@@ -110,7 +110,7 @@
 		l.backlog.trackQueue(time.Now(), queue)
 	}
 	for _, job := range open {
-		indexes, err := l.state.UnlistedInline(job)
+		indexes, err := l.state.UnlistedInlineItems(job)
 		if err != nil {
 			return err
 		}
--- a/internal/batchrun/queued.go
+++ b/internal/batchrun/queued.go
@@ -109,7 +109,7 @@
 func (b *backlog) dueReports(now time.Time, group api.GroupID, groups int) map[api.GroupID]*jobs.ReportQueue {
 	reports := map[api.GroupID]*jobs.ReportQueue{}
 	report := func(queue jobs.QueueName) *jobs.ReportQueue {
-		home := queue.Home(groups)
+		home := queue.HomeGroup(groups)
 		if reports[home] == nil {
 			reports[home] = &jobs.ReportQueue{Group: group}
 		}
@@ -135,14 +135,14 @@
 // fullReportRetention, as their homes would otherwise keep counting jobs that have ended.
 func (b *backlog) addFull(now time.Time, report func(jobs.QueueName) *jobs.ReportQueue) {
 	for queue, at := range b.reportedAt {
-		report(queue).Whole = true
+		report(queue).Full = true
 		if now.Sub(at) > fullReportRetention {
 			delete(b.reportedAt, queue)
 		}
 	}
 	for id, job := range b.jobs {
 		b.changed[id] = job.queue
-		report(job.queue).Whole = true
+		report(job.queue).Full = true
 	}
 }
 
@@ -151,7 +151,7 @@
 	for _, job := range report.Jobs {
 		b.changed[job.Job] = job.Queue
 	}
-	if report.Whole {
+	if report.Full {
 		b.fullReportAt = time.Time{}
 	}
 }
--- a/internal/dev/jobs_bench_test.go
+++ b/internal/dev/jobs_bench_test.go
@@ -145,7 +145,7 @@
 				continue
 			}
 			var grant jobs.Grant
-			claim := jobs.ClaimItems{Router: router, Wants: []jobs.ClaimWant{{Service: "instant", Place: "old", Room: 64}}, WaitMs: 1}
+			claim := jobs.ClaimItems{Router: router, Rows: []jobs.RowCapacity{{Service: "instant", Place: "old", Slots: 64}}, WaitMs: 1}
 			if err := transport.Call(b.Context(), client, "claim items", node.Address, storeclient.ClaimsPath(group.Group), claim, &grant); err != nil {
 				continue
 			}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -63,32 +63,32 @@
 	for {
 		select {
 		case <-ticker.C:
-			l.step(jobs.DispatchTick{})
+			l.step(jobs.DispatcherTick{})
 		case <-l.ctx.Done():
 			return
 		}
 	}
 }
 
-func (l *Leadership) step(message jobs.DispatchMessage) {
+func (l *Leadership) step(message jobs.DispatcherMessage) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.stepLocked(message)
 }
 
-func (l *Leadership) stepLocked(message jobs.DispatchMessage) {
+func (l *Leadership) stepLocked(message jobs.DispatcherMessage) {
 	for _, action := range l.dispatcher.Step(time.Now(), message) {
 		switch action := action.(type) {
-		case jobs.Granted:
+		case jobs.AnswerClaim:
 			if granted, ok := l.claims[action.Token]; ok {
 				delete(l.claims, action.Token)
 				granted <- action.Grant
 			}
-		case jobs.Noticed:
+		case jobs.AnswerNotice:
 			l.notices[action.Token] = action.Notice
 		case jobs.ProposeCommand:
 			l.running.Go(func() { l.commit(action.Command) })
-		case jobs.DispatchFailed:
+		case jobs.DispatcherFailed:
 			if l.stateErr == nil {
 				l.log.WithError(action.Err).Error("Reading the applied state failed; no more items are dispatched.")
 			}
@@ -107,7 +107,7 @@
 
 // Applied processes a committed command and its result. It must be called in commit order.
 func (l *Leadership) Applied(command jobs.Command, result jobs.Result) {
-	l.step(jobs.Applied{Command: command, Result: result})
+	l.step(jobs.CommandApplied{Command: command, Result: result})
 }
 
 // SetServices sets the services of the current routing table.
@@ -153,7 +153,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	delete(l.claims, token)
-	l.stepLocked(jobs.ClaimGone{Token: token})
+	l.stepLocked(jobs.ClaimWithdrawn{Token: token})
 }
 
 // Settle commits a router's results, then returns its unfinished items to the queue. If the commit
@@ -168,18 +168,18 @@
 			return jobs.Notice{}, api.NewError("settle items", "", result.Code, api.OutcomeUnknown, "%s", result.Message)
 		}
 	}
-	return l.stepForNotice(func(token uint64) jobs.DispatchMessage {
+	return l.stepForNotice(func(token uint64) jobs.DispatcherMessage {
 		return jobs.ItemsReturned{Token: token, Router: settle.Router, Returned: settle.Returned}
 	}), nil
 }
 
 // Renew extends a router's grants.
 func (l *Leadership) Renew(renew jobs.Renew) jobs.Notice {
-	return l.stepForNotice(func(token uint64) jobs.DispatchMessage { return jobs.RenewArrived{Token: token, Renew: renew} })
+	return l.stepForNotice(func(token uint64) jobs.DispatcherMessage { return jobs.RenewArrived{Token: token, Renew: renew} })
 }
 
 // stepForNotice processes a message that the dispatcher answers at once with a notice.
-func (l *Leadership) stepForNotice(message func(token uint64) jobs.DispatchMessage) jobs.Notice {
+func (l *Leadership) stepForNotice(message func(token uint64) jobs.DispatcherMessage) jobs.Notice {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.token++
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -69,7 +69,7 @@
 }
 
 func claimWaiting(wait time.Duration) jobs.ClaimItems {
-	return jobs.ClaimItems{Router: "r", WaitMs: int(wait.Milliseconds()), Wants: []jobs.ClaimWant{{Service: "judge", Place: "old", Room: 1}}}
+	return jobs.ClaimItems{Router: "r", WaitMs: int(wait.Milliseconds()), Rows: []jobs.RowCapacity{{Service: "judge", Place: "old", Slots: 1}}}
 }
 
 func TestClaimWaitsForItemsAndResultCompletesJob(t *testing.T) {
--- a/internal/frontend/jobs.go
+++ b/internal/frontend/jobs.go
@@ -32,7 +32,7 @@
 	f := x.frontend
 	items, err := f.protocol.DecodeJob(x.body)
 	if err == nil {
-		err = jobs.CheckInline(jobs.JobID(x.request.ID), items)
+		err = jobs.ValidateInline(jobs.JobID(x.request.ID), items)
 	}
 	if err != nil {
 		x.refuse(api.NewError("decode batch job", "", api.CodeBadRequest, api.OutcomeNotRun, "%w", err))
@@ -45,8 +45,8 @@
 		return
 	}
 	command := jobs.Command{SubmitInline: &jobs.SubmitInline{
-		Job: jobs.JobID(x.request.ID), Tenant: api.TenantID(x.identity.tenant.Name), Host: hostOf(x.r), Queue: x.queueName(), Items: items, RunTarget: x.route.CompletionTarget, Keep: x.route.AbandonAfter,
-		Retain: max(x.route.AbandonAfter, f.node.Settings.Batch.Retention) + retainMargin,
+		Job: jobs.JobID(x.request.ID), Tenant: api.TenantID(x.identity.tenant.Name), Host: hostOf(x.r), Queue: x.queueName(), Items: items, RunTarget: x.route.CompletionTarget, AbandonAfter: x.route.AbandonAfter,
+		Retention: max(x.route.AbandonAfter, f.node.Settings.Batch.Retention) + retainMargin,
 	}}
 	result, err := f.stores.Command(ctx, f.jobGroup(x.request.ID), command)
 	if err != nil {
--- a/internal/frontend/queue.go
+++ b/internal/frontend/queue.go
@@ -28,9 +28,9 @@
 		return nil
 	}
 	command := jobs.AdmitToQueue{
-		Queue: x.queueName(), Job: jobs.JobID(x.request.ID), Tokens: totalTokens(items), Bound: x.route.MaxQueuedTokens,
+		Queue: x.queueName(), Job: jobs.JobID(x.request.ID), Tokens: totalTokens(items), MaxTokens: x.route.MaxQueuedTokens,
 	}
-	home := command.Queue.Home(x.frontend.node.Settings.Store.Groups)
+	home := command.Queue.HomeGroup(x.frontend.node.Settings.Store.Groups)
 	_, err := x.frontend.stores.Command(ctx, home, jobs.Command{AdmitToQueue: &command})
 	if err == nil {
 		return nil
@@ -57,7 +57,7 @@
 		return failure
 	}
 	x.frontend.log.WithFields(logrus.Fields{
-		"event": "queue_full", "request": x.request.ID, "queue": command.Queue, "tokens": command.Tokens, "bound": command.Bound, "version": x.version,
+		"event": "queue_full", "request": x.request.ID, "queue": command.Queue, "tokens": command.Tokens, "bound": command.MaxTokens, "version": x.version,
 	}).WithError(refusal).Info("Batch job exceeds the queue limit of its route.")
 	return refusal
 }
--- a/internal/router/batch.go
+++ b/internal/router/batch.go
@@ -77,13 +77,13 @@
 		}
 		if b.router.node.Leaving() && !stopping {
 			stopping = true
-			b.shell.Tell(jobs.Stopping{})
+			b.shell.Tell(jobs.Shutdown{})
 		}
 		b.reportCapacity()
 		b.shell.Tell(jobs.RunnerTick{})
 		b.pause(ctx)
 	}
-	b.shell.Tell(jobs.Stopping{})
+	b.shell.Tell(jobs.Shutdown{})
 	b.awaitReports()
 }
 
@@ -138,7 +138,7 @@
 		for _, group := range node.Summary.Groups {
 			known, ok := found[group.Group]
 			if group.Leading && (!ok || group.Term > known.Term) {
-				found[group.Group] = jobs.GroupLeader{Group: group.Group, Leader: node.ID, Term: group.Term, Waiting: group.Waiting}
+				found[group.Group] = jobs.GroupLeader{Group: group.Group, Leader: node.ID, Term: group.Term, Backlog: group.Waiting}
 			}
 		}
 	}
@@ -155,17 +155,17 @@
 	if snapshot == nil {
 		return
 	}
-	var rooms []jobs.ClaimWant
+	var rooms []jobs.RowCapacity
 	_ = b.router.admission.Inspect(func() {
 		now := time.Now()
 		for _, service := range snapshot.Services() {
 			for _, row := range snapshot.Service(service) {
 				room := b.router.machine.Room(now, row.Key())
-				rooms = append(rooms, jobs.ClaimWant{Service: row.Service, Place: row.Place, Room: room})
+				rooms = append(rooms, jobs.RowCapacity{Service: row.Service, Place: row.Place, Slots: room})
 			}
 		}
 	})
-	b.shell.Tell(jobs.Rooms{Rooms: rooms})
+	b.shell.Tell(jobs.Capacity{Rows: rooms})
 }
 
 // execute carries out the runner's actions concurrently.
--- a/internal/router/batchitem.go
+++ b/internal/router/batchitem.go
@@ -69,7 +69,7 @@
 	case failure.Code == api.CodePreempted, errors.Is(failure.Err, errItemCancelled), errors.Is(failure.Err, errPreempted):
 		returned.Reason = jobs.ReturnPreempted
 	case failure.Outcome == api.OutcomeNotRun && failure.Code != api.CodeBadRequest && failure.Code != api.CodeInternal:
-		returned.Reason = jobs.ReturnNoRoom
+		returned.Reason = jobs.ReturnNoCapacity
 	}
 	return returned
 }
--- a/internal/sidecar/claim.go
+++ b/internal/sidecar/claim.go
@@ -50,7 +50,7 @@
 
 // claim commits the claim. It returns the response recorded earlier under the key, or nil
 // if the request may be sent.
-func (s *Sidecar) claim(ctx context.Context, request *onlineRequest) (*jobs.RecordRequest, *api.Error) {
+func (s *Sidecar) claim(ctx context.Context, request *onlineRequest) (*jobs.RecordAnswer, *api.Error) {
 	result, failure := s.commitClaim(ctx, request)
 	if failure == nil {
 		return result.Recorded, nil
@@ -83,7 +83,7 @@
 	const step = "claim key"
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	claim := jobs.ClaimRequest{
+	claim := jobs.ClaimKey{
 		Tenant: request.routed.Tenant, Key: request.key, BodyHash: hashOf(request),
 		Request: request.routed.ID, Holder: s.holder,
 	}
@@ -99,7 +99,7 @@
 	failure := *api.AsError(step, err)
 	if isUndecided(result.Code) {
 		// The request has not been sent, but the claim may still be committed.
-		s.recordInBackground(request, jobs.RecordRequest{Outcome: api.OutcomeNotRun})
+		s.recordInBackground(request, jobs.RecordAnswer{Outcome: api.OutcomeNotRun})
 		failure.Code, failure.Outcome = api.CodeNoQuorum, api.OutcomeNotRun
 		failure.RetryAfter = claimRetryAfter
 	}
@@ -125,7 +125,7 @@
 
 // isHolderRunning asks the sidecar that holds a claim whether the request is in progress. If
 // it does not respond but is in the view, the request is assumed to be.
-func (s *Sidecar) isHolderRunning(ctx context.Context, claim jobs.ClaimRequest) bool {
+func (s *Sidecar) isHolderRunning(ctx context.Context, claim jobs.ClaimKey) bool {
 	ctx, cancel := context.WithTimeout(ctx, holderTimeout)
 	defer cancel()
 	err := transport.Get(ctx, s.node.Control, "ask holder of key", claim.Holder, api.PathClaims+string(claim.Request), nil)
@@ -159,7 +159,7 @@
 // recordFailure records the outcome of a failed request. The outcome not run releases
 // the key.
 func (s *Sidecar) recordFailure(request *onlineRequest, failure *api.Error) {
-	record := jobs.RecordRequest{Outcome: failure.Outcome}
+	record := jobs.RecordAnswer{Outcome: failure.Outcome}
 	if failure.Outcome != api.OutcomeNotRun {
 		record = unknownRecord(failure)
 	}
@@ -168,7 +168,7 @@
 
 // recordAndWait waits up to claimTimeout for the record to be committed, which continues in
 // the background after that.
-func (s *Sidecar) recordAndWait(request *onlineRequest, record jobs.RecordRequest) {
+func (s *Sidecar) recordAndWait(request *onlineRequest, record jobs.RecordAnswer) {
 	done := s.recordInBackground(request, record)
 	select {
 	case <-done:
@@ -178,7 +178,7 @@
 
 // recordInBackground commits a record in the background and closes the returned channel when
 // done. The request counts as in progress until then.
-func (s *Sidecar) recordInBackground(request *onlineRequest, record jobs.RecordRequest) <-chan struct{} {
+func (s *Sidecar) recordInBackground(request *onlineRequest, record jobs.RecordAnswer) <-chan struct{} {
 	record.Tenant, record.Key, record.Request = request.routed.Tenant, request.key, request.routed.ID
 	done := make(chan struct{})
 	s.pendingRecords.Store(record.Request, struct{}{})
--- a/internal/sidecar/claim_test.go
+++ b/internal/sidecar/claim_test.go
@@ -132,7 +132,7 @@
 	writer := &stringWriter{Builder: recorder, header: http.Header{}}
 	request := &onlineRequest{key: "key"}
 	request.routed.Tenant = "tenant"
-	f.sidecar.replay(writer, request, &jobs.RecordRequest{Tenant: "tenant", Key: "another", Status: 200, Body: []byte("theirs")})
+	f.sidecar.replay(writer, request, &jobs.RecordAnswer{Tenant: "tenant", Key: "another", Status: 200, Body: []byte("theirs")})
 	if strings.Contains(recorder.String(), "theirs") {
 		t.Fatal("the response of another key was replayed")
 	}
--- a/internal/sidecar/record.go
+++ b/internal/sidecar/record.go
@@ -49,9 +49,9 @@
 // its first byte is sent, so that a resend gets what the caller has already seen.
 func (s *Sidecar) relayClaimed(ctx context.Context, w http.ResponseWriter, request *onlineRequest, answer *upstreamResponse) {
 	if answer.complete {
-		record := jobs.RecordRequest{
+		record := jobs.RecordAnswer{
 			Outcome: api.OutcomeRan, Status: answer.response.StatusCode,
-			Type: answer.response.Header.Get("Content-Type"), Body: answer.head,
+			ContentType: answer.response.Header.Get("Content-Type"), Body: answer.head,
 		}
 		s.recordAndWait(request, record)
 		if err := s.relay(ctx, w, request, answer); err != nil {
@@ -66,7 +66,7 @@
 		s.recordAndWait(request, unknownRecord(api.AsError("relay answer", err)))
 		s.abort(request, err)
 	}
-	record := jobs.RecordRequest{Outcome: api.OutcomeRan, Status: recorder.status, Type: contentType, Body: recorder.body.Bytes()}
+	record := jobs.RecordAnswer{Outcome: api.OutcomeRan, Status: recorder.status, ContentType: contentType, Body: recorder.body.Bytes()}
 	if recorder.overLimit {
 		record.Body, record.Status = nil, 0
 	}
@@ -75,15 +75,15 @@
 }
 
 // unknownRecord returns a record that replays the failure to every resend.
-func unknownRecord(failure *api.Error) jobs.RecordRequest {
+func unknownRecord(failure *api.Error) jobs.RecordAnswer {
 	recorded := *failure
 	recorded.Outcome = api.OutcomeUnknown
 	body, _ := json.Marshal(transport.BodyOf(&recorded))
-	return jobs.RecordRequest{Outcome: api.OutcomeUnknown, Status: recorded.Code.HTTPStatus(), Type: "application/json", Body: body}
+	return jobs.RecordAnswer{Outcome: api.OutcomeUnknown, Status: recorded.Code.HTTPStatus(), ContentType: "application/json", Body: body}
 }
 
 // replay responds to a resend with the recorded response.
-func (s *Sidecar) replay(w http.ResponseWriter, request *onlineRequest, recorded *jobs.RecordRequest) {
+func (s *Sidecar) replay(w http.ResponseWriter, request *onlineRequest, recorded *jobs.RecordAnswer) {
 	if recorded.Tenant != request.routed.Tenant || recorded.Key != request.key {
 		s.metrics.mismatched.Inc()
 		s.refuse(w, api.NewError("replay answer", "", api.CodeOutcomeUnknown, api.OutcomeUnknown, "the recorded response belongs to another key"))
@@ -94,7 +94,7 @@
 		return
 	}
 	header := w.Header()
-	header.Set("Content-Type", recorded.Type)
+	header.Set("Content-Type", recorded.ContentType)
 	header.Set(api.HeaderOutcome, string(recorded.Outcome))
 	header.Set(api.HeaderReplayed, "true")
 	w.WriteHeader(recorded.Status)
--- a/internal/slopes/claims_test.go
+++ b/internal/slopes/claims_test.go
@@ -15,7 +15,7 @@
 func claimOf(size Size, router int) jobs.ClaimItems {
 	claim := jobs.ClaimItems{Router: api.NodeID(fmt.Sprintf("router-%04d", router)), WaitMs: 2_000}
 	for model := range size.Models {
-		claim.Wants = append(claim.Wants, jobs.ClaimWant{Service: size.Service(model), Place: size.Place(router % size.Zones), Room: 28})
+		claim.Rows = append(claim.Rows, jobs.RowCapacity{Service: size.Service(model), Place: size.Place(router % size.Zones), Slots: 28})
 	}
 	return claim
 }
@@ -38,7 +38,7 @@
 		}
 		b.Run(fmt.Sprintf("tick/routers=%d", routers), func(b *testing.B) {
 			for b.Loop() {
-				dispatcher.Step(now, jobs.DispatchTick{})
+				dispatcher.Step(now, jobs.DispatcherTick{})
 			}
 		})
 		b.Run(fmt.Sprintf("claim/routers=%d", routers), func(b *testing.B) {
--- a/internal/slopes/machines_test.go
+++ b/internal/slopes/machines_test.go
@@ -213,9 +213,9 @@
 }
 
 // claimOnce claims items without waiting for work.
-func claimOnce(dispatcher *jobs.Dispatcher, wants []jobs.ClaimWant) jobs.Grant {
-	for _, action := range dispatcher.Step(sim.Epoch, jobs.ClaimArrived{Claim: jobs.ClaimItems{Router: "router", Wants: wants}}) {
-		if granted, ok := action.(jobs.Granted); ok {
+func claimOnce(dispatcher *jobs.Dispatcher, wants []jobs.RowCapacity) jobs.Grant {
+	for _, action := range dispatcher.Step(sim.Epoch, jobs.ClaimArrived{Claim: jobs.ClaimItems{Router: "router", Rows: wants}}) {
+		if granted, ok := action.(jobs.AnswerClaim); ok {
 			return granted.Grant
 		}
 	}
@@ -227,7 +227,7 @@
 		b.Run(fmt.Sprintf("items=%d", items), func(b *testing.B) {
 			state := benchmarkState(b, items)
 			dispatcher := benchmarkDispatcher(b, state)
-			wants := []jobs.ClaimWant{{Service: "model-00", Place: "place-00", Room: 16}}
+			wants := []jobs.RowCapacity{{Service: "model-00", Place: "place-00", Slots: 16}}
 			done, claimBytes := 0, 0.0
 			for b.Loop() {
 				grant := claimOnce(dispatcher, wants)
@@ -247,7 +247,7 @@
 				}
 				command := jobs.Command{Complete: &jobs.Complete{Results: results}}
 				state.apply(b, command)
-				dispatcher.Step(sim.Epoch, jobs.Applied{Command: command})
+				dispatcher.Step(sim.Epoch, jobs.CommandApplied{Command: command})
 				done += len(results)
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(max(done, 1)), "ns/item")
--- a/internal/store/form_test.go
+++ b/internal/store/form_test.go
@@ -31,7 +31,7 @@
 	for i := range text {
 		text[i] = byte('a' + random.IntN(26))
 	}
-	keep, _ := encodeCommand(jobs.Command{KeepInline: &jobs.KeepInline{Parts: []jobs.InlinePart{{Job: "j", Text: string(text)}}}}, true)
+	keep, _ := encodeCommand(jobs.Command{CheckpointInline: &jobs.CheckpointInline{Parts: []jobs.InlinePart{{Job: "j", Text: string(text)}}}}, true)
 	return messageBatch{
 		From: "one", Address: "10.0.0.1:1", Reads: logform.Newest, Members: map[replication.ReplicaID]string{"three": "10.0.0.3:1"},
 		Messages: []replication.WireMessage{
@@ -207,7 +207,7 @@
 
 func TestCommandIsPackedOnlyIfAllMembersDecodeIt(t *testing.T) {
 	text := strings.Repeat("monthly payments rise ", 100)
-	command := jobs.Command{CompleteInline: &jobs.CompleteInline{Results: []jobs.InlineResult{{Job: "j", Text: text, Kept: 2000}}}}
+	command := jobs.Command{CompleteInline: &jobs.CompleteInline{Results: []jobs.InlineResult{{Job: "j", Text: text, CheckpointBytes: 2000}}}}
 	for _, test := range []struct {
 		name   string
 		levels map[replication.ReplicaID]logform.Level
--- a/internal/store/leadership.go
+++ b/internal/store/leadership.go
@@ -15,7 +15,7 @@
 		return
 	}
 	settings := jobs.DefaultDispatcherSettings()
-	settings.Term, settings.Lifetime, settings.Retention = g.role.Term, g.settings.GrantLifetime, g.settings.Retention
+	settings.Term, settings.GrantLifetime, settings.Retention = g.role.Term, g.settings.GrantLifetime, g.settings.Retention
 	leading, err := dispatch.Start(g.jobs, settings, g.propose, g.log)
 	if err != nil {
 		g.log.WithError(err).Error("Starting the dispatcher failed; this leader does not serve.")
--- a/jobs/bench_test.go
+++ b/jobs/bench_test.go
@@ -154,10 +154,10 @@
 }
 
 func benchmarkClaim(b *testing.B, state *testState, dispatcher *Dispatcher) int {
-	claim := ClaimItems{Router: "r", Wants: []ClaimWant{{Service: "tutor", Room: 16}}}
+	claim := ClaimItems{Router: "r", Rows: []RowCapacity{{Service: "tutor", Slots: 16}}}
 	var grant Grant
 	for _, action := range dispatcher.Step(testEpoch, ClaimArrived{Claim: claim}) {
-		if granted, ok := action.(Granted); ok {
+		if granted, ok := action.(AnswerClaim); ok {
 			grant = granted.Grant
 		}
 	}
@@ -169,6 +169,6 @@
 		complete.Results = append(complete.Results, benchmarkResult(item.Item.Job, item.Item.Item))
 	}
 	command := Command{Complete: &complete}
-	dispatcher.Step(testEpoch, Applied{Command: command, Result: state.apply(command)})
+	dispatcher.Step(testEpoch, CommandApplied{Command: command, Result: state.apply(command)})
 	return len(grant.Items)
 }
--- a/jobs/check.go
+++ b/jobs/check.go
@@ -7,25 +7,25 @@
 
 // Limits of an inline job.
 const (
-	// MostInlineItems is the maximum number of items of one job. It is documented
+	// MaxInlineItems is the maximum number of items of one job. It is documented
 	// for users.
-	MostInlineItems = 200
+	MaxInlineItems = 200
 	// maxItemTokens keeps the token sums of jobs and queues from overflowing. It is
 	// far above what any engine can hold.
 	maxItemTokens = 1 << 31
 )
 
-// CheckInline validates an inline job: its ID, the number of items, and each item's ID,
+// ValidateInline validates an inline job: its ID, the number of items, and each item's ID,
 // which must be unique, and token count. An item may have 0 tokens; it then does not
 // count in its queue.
-func CheckInline(job JobID, items []InlineItem) error {
+func ValidateInline(job JobID, items []InlineItem) error {
 	switch {
 	case job == "":
 		return errors.New("job has no id")
 	case len(items) == 0:
 		return errors.New("job has no items")
-	case len(items) > MostInlineItems:
-		return fmt.Errorf("job has %d items, maximum is %d", len(items), MostInlineItems)
+	case len(items) > MaxInlineItems:
+		return fmt.Errorf("job has %d items, maximum is %d", len(items), MaxInlineItems)
 	}
 	known := make(map[string]bool, len(items))
 	for i, item := range items {
--- a/jobs/command.go
+++ b/jobs/command.go
@@ -40,18 +40,18 @@
 	ExpireJobs *ExpireJobs      `json:"expire_jobs,omitempty"`
 	Start      *Start           `json:"start,omitempty"`
 	Complete   *Complete        `json:"complete,omitempty"`
-	Claim      *ClaimRequest    `json:"claim,omitempty"`
-	Record     *RecordRequest   `json:"record,omitempty"`
+	Claim      *ClaimKey        `json:"claim,omitempty"`
+	Record     *RecordAnswer    `json:"record,omitempty"`
 	Expire     *ExpireRetention `json:"expire,omitempty"`
 	Holder     *HolderChange    `json:"holder,omitempty"`
 
-	SubmitInline   *SubmitInline   `json:"submit_inline,omitempty"`
-	CompleteInline *CompleteInline `json:"complete_inline,omitempty"`
-	KeepInline     *KeepInline     `json:"keep_inline,omitempty"`
-	EndInline      *EndInline      `json:"end_inline,omitempty"`
-	ExpireInline   *ExpireInline   `json:"expire_inline,omitempty"`
-	AdmitToQueue   *AdmitToQueue   `json:"admit_to_queue,omitempty"`
-	ReportQueue    *ReportQueue    `json:"report_queue,omitempty"`
+	SubmitInline     *SubmitInline     `json:"submit_inline,omitempty"`
+	CompleteInline   *CompleteInline   `json:"complete_inline,omitempty"`
+	CheckpointInline *CheckpointInline `json:"keep_inline,omitempty"`
+	EndInline        *EndInline        `json:"end_inline,omitempty"`
+	ExpireInline     *ExpireInline     `json:"expire_inline,omitempty"`
+	AdmitToQueue     *AdmitToQueue     `json:"admit_to_queue,omitempty"`
+	ReportQueue      *ReportQueue      `json:"report_queue,omitempty"`
 }
 
 // CreateFile opens a file for AppendFile.
@@ -153,9 +153,9 @@
 	CodeCancelled api.ErrorCode = "batch_cancelled"
 )
 
-// ClaimRequest reserves an idempotency key for a non-repeatable online request
+// ClaimKey reserves an idempotency key for a non-repeatable online request
 // before it is sent.
-type ClaimRequest struct {
+type ClaimKey struct {
 	Tenant   api.TenantID  `json:"tenant"`
 	Key      string        `json:"key"`
 	BodyHash string        `json:"body_hash"`
@@ -164,16 +164,16 @@
 	Holder string `json:"holder,omitempty"`
 }
 
-// RecordRequest stores the answer of a claimed request. The outcome "not run"
+// RecordAnswer stores the answer of a claimed request. The outcome "not run"
 // releases the key instead.
-type RecordRequest struct {
-	Tenant  api.TenantID  `json:"tenant"`
-	Key     string        `json:"key"`
-	Request api.RequestID `json:"request"`
-	Outcome api.Outcome   `json:"outcome"`
-	Status  int           `json:"status"`
-	Type    string        `json:"content_type"`
-	Body    []byte        `json:"body,omitempty"`
+type RecordAnswer struct {
+	Tenant      api.TenantID  `json:"tenant"`
+	Key         string        `json:"key"`
+	Request     api.RequestID `json:"request"`
+	Outcome     api.Outcome   `json:"outcome"`
+	Status      int           `json:"status"`
+	ContentType string        `json:"content_type"`
+	Body        []byte        `json:"body,omitempty"`
 }
 
 // ExpireRetention deletes jobs, files and claims that ended before Before, and
@@ -186,16 +186,16 @@
 
 // Result is the outcome of an applied command.
 type Result struct {
-	Job       *Job           `json:"job,omitempty"`
-	File      *File          `json:"file,omitempty"`
-	Duplicate bool           `json:"duplicate,omitempty"` // the command was applied before
-	Accepted  int            `json:"accepted,omitempty"`  // number of results, parts or jobs that took effect
-	More      bool           `json:"more,omitempty"`      // ExpireRetention, ExpireInline: more remains to be deleted
-	Recorded  *RecordRequest `json:"recorded,omitempty"`  // Claim, Record: the stored answer
-	Claimed   *ClaimRequest  `json:"claimed,omitempty"`   // Claim: the conflicting claim
-	Inline    *InlineJob     `json:"inline,omitempty"`    // SubmitInline, EndInline
-	Code      api.ErrorCode  `json:"code,omitempty"`      // empty on success
-	Message   string         `json:"message,omitempty"`
+	Job       *Job          `json:"job,omitempty"`
+	File      *File         `json:"file,omitempty"`
+	Duplicate bool          `json:"duplicate,omitempty"` // the command was applied before
+	Accepted  int           `json:"accepted,omitempty"`  // number of results, parts or jobs that took effect
+	More      bool          `json:"more,omitempty"`      // ExpireRetention, ExpireInline: more remains to be deleted
+	Recorded  *RecordAnswer `json:"recorded,omitempty"`  // Claim, Record: the stored answer
+	Claimed   *ClaimKey     `json:"claimed,omitempty"`   // Claim: the conflicting claim
+	Inline    *InlineJob    `json:"inline,omitempty"`    // SubmitInline, EndInline
+	Code      api.ErrorCode `json:"code,omitempty"`      // empty on success
+	Message   string        `json:"message,omitempty"`
 }
 
 // File describes a file without its lines.
--- a/jobs/dispatch.go
+++ b/jobs/dispatch.go
@@ -16,18 +16,18 @@
 type DispatcherSettings struct {
 	// Term is the leader's term. Grants of a later term have a higher epoch.
 	Term uint64
-	// Lifetime is how long a grant is valid without renewal.
-	Lifetime time.Duration
+	// GrantLifetime is how long a grant is valid without renewal.
+	GrantLifetime time.Duration
 	// AdoptWait is how long a new leader issues no grants, so that routers can renew
 	// grants of the previous leader and their items run only once.
 	AdoptWait time.Duration
-	// MaximumAttempts is how often an item may fail before its last answer
+	// MaxAttempts is how often an item may fail before its last answer
 	// becomes its result.
-	MaximumAttempts int
+	MaxAttempts int
 	// Backoff is the delay before a failed item is granted again. It doubles
 	// with each attempt up to a maximum.
-	Backoff        time.Duration
-	MaximumBackoff time.Duration
+	Backoff    time.Duration
+	MaxBackoff time.Duration
 	// UnknownServiceGrace is how long items wait for a service that is missing
 	// from the table before they fail.
 	UnknownServiceGrace time.Duration
@@ -43,15 +43,15 @@
 // DefaultDispatcherSettings are suitable for a group within one region.
 func DefaultDispatcherSettings() DispatcherSettings {
 	return DispatcherSettings{
-		Lifetime: time.Minute, AdoptWait: 200 * time.Millisecond,
-		MaximumAttempts: 8, Backoff: 500 * time.Millisecond, MaximumBackoff: time.Minute,
+		GrantLifetime: time.Minute, AdoptWait: 200 * time.Millisecond,
+		MaxAttempts: 8, Backoff: 500 * time.Millisecond, MaxBackoff: time.Minute,
 		UnknownServiceGrace: time.Minute,
 		Retention:           30 * 24 * time.Hour, UploadRetention: 24 * time.Hour, SweepInterval: time.Minute,
 	}
 }
 
-// DispatchMessage is an input of Dispatcher.Step.
-type DispatchMessage interface{ dispatchMessage() }
+// DispatcherMessage is an input of Dispatcher.Step.
+type DispatcherMessage interface{ dispatchMessage() }
 
 // ClaimArrived asks for items. The answer, a Grant, follows at once or when work
 // arrives.
@@ -60,8 +60,8 @@
 	Claim ClaimItems
 }
 
-// ClaimGone withdraws a claim whose caller has gone away.
-type ClaimGone struct{ Token uint64 }
+// ClaimWithdrawn withdraws a claim whose caller has gone away.
+type ClaimWithdrawn struct{ Token uint64 }
 
 // ItemsReturned returns items without a result, after the releases of the same Settle
 // were committed. The answer is a Notice.
@@ -77,8 +77,8 @@
 	Renew Renew
 }
 
-// Applied reports a command that was applied while this replica leads.
-type Applied struct {
+// CommandApplied reports a command that was applied while this replica leads.
+type CommandApplied struct {
 	Command Command
 	Result  Result
 }
@@ -86,28 +86,28 @@
 // KnownServices lists the services in the current table.
 type KnownServices struct{ Services []api.ServiceName }
 
-// DispatchTick drives timeouts. The caller sends it several times a second.
-type DispatchTick struct{}
+// DispatcherTick drives timeouts. The caller sends it several times a second.
+type DispatcherTick struct{}
 
-func (ClaimArrived) dispatchMessage()  {}
-func (ClaimGone) dispatchMessage()     {}
-func (ItemsReturned) dispatchMessage() {}
-func (RenewArrived) dispatchMessage()  {}
-func (Applied) dispatchMessage()       {}
-func (KnownServices) dispatchMessage() {}
-func (DispatchTick) dispatchMessage()  {}
+func (ClaimArrived) dispatchMessage()   {}
+func (ClaimWithdrawn) dispatchMessage() {}
+func (ItemsReturned) dispatchMessage()  {}
+func (RenewArrived) dispatchMessage()   {}
+func (CommandApplied) dispatchMessage() {}
+func (KnownServices) dispatchMessage()  {}
+func (DispatcherTick) dispatchMessage() {}
 
-// DispatchAction is an output of Dispatcher.Step, which the caller executes.
-type DispatchAction interface{ dispatchAction() }
+// DispatcherAction is an output of Dispatcher.Step, which the caller executes.
+type DispatcherAction interface{ dispatchAction() }
 
-// Granted answers ClaimArrived.
-type Granted struct {
+// AnswerClaim answers ClaimArrived.
+type AnswerClaim struct {
 	Token uint64
 	Grant Grant
 }
 
-// Noticed answers ItemsReturned and RenewArrived.
-type Noticed struct {
+// AnswerNotice answers ItemsReturned and RenewArrived.
+type AnswerNotice struct {
 	Token  uint64
 	Notice Notice
 }
@@ -116,11 +116,11 @@
 // may be lost: the Dispatcher repeats it as long as necessary.
 type ProposeCommand struct{ Command Command }
 
-// DispatchFailed reports that the state could not be read. The replica must give
+// DispatcherFailed reports that the state could not be read. The replica must give
 // up leadership.
-type DispatchFailed struct{ Err error }
+type DispatcherFailed struct{ Err error }
 
-func (Granted) dispatchAction()        {}
-func (Noticed) dispatchAction()        {}
-func (ProposeCommand) dispatchAction() {}
-func (DispatchFailed) dispatchAction() {}
+func (AnswerClaim) dispatchAction()      {}
+func (AnswerNotice) dispatchAction()     {}
+func (ProposeCommand) dispatchAction()   {}
+func (DispatcherFailed) dispatchAction() {}
--- a/jobs/dispatcher.go
+++ b/jobs/dispatcher.go
@@ -97,7 +97,7 @@
 			return err
 		}
 		d.grants.add(&activeGrant{
-			item: item.item, epoch: item.start.Epoch, router: item.start.Router, expires: now.Add(d.settings.Lifetime),
+			item: item.item, epoch: item.start.Epoch, router: item.start.Router, expires: now.Add(d.settings.GrantLifetime),
 			stream: d.jobs[job.ID()].streams[service], started: true, request: item.start.Request, customID: item.line.CustomID,
 		})
 	}
@@ -105,8 +105,8 @@
 }
 
 // Step handles one message and returns the resulting actions.
-func (d *Dispatcher) Step(now time.Time, message DispatchMessage) []DispatchAction {
-	var actions []DispatchAction
+func (d *Dispatcher) Step(now time.Time, message DispatcherMessage) []DispatcherAction {
+	var actions []DispatcherAction
 	firstServed := 0
 	switch message := message.(type) {
 	case ClaimArrived:
@@ -114,37 +114,37 @@
 		// A new claim brings no work, so the older claims, possibly hundreds,
 		// need not be evaluated again.
 		firstServed = len(d.pending) - 1
-	case ClaimGone:
+	case ClaimWithdrawn:
 		d.removePending(message.Token)
 	case ItemsReturned:
 		actions = d.handleReturned(now, message)
 	case RenewArrived:
 		actions = d.handleRenew(now, message)
-	case Applied:
+	case CommandApplied:
 		actions = d.handleApplied(now, message)
 	case KnownServices:
 		d.knownServices = map[api.ServiceName]bool{}
 		for _, service := range message.Services {
 			d.knownServices[service] = true
 		}
-	case DispatchTick:
+	case DispatcherTick:
 		actions = d.handleTick(now)
 	}
 	actions = append(actions, d.servePending(now, firstServed)...)
 	if d.err != nil {
-		return []DispatchAction{DispatchFailed{Err: d.err}}
+		return []DispatcherAction{DispatcherFailed{Err: d.err}}
 	}
 	return actions
 }
 
 // enqueueClaim adds a claim to the pending ones. A router has at most one pending
 // claim: an older one is answered with an empty grant.
-func (d *Dispatcher) enqueueClaim(now time.Time, arrived ClaimArrived) []DispatchAction {
-	var actions []DispatchAction
+func (d *Dispatcher) enqueueClaim(now time.Time, arrived ClaimArrived) []DispatcherAction {
+	var actions []DispatcherAction
 	d.pending = slices.DeleteFunc(d.pending, func(claim pendingClaim) bool {
 		replaced := claim.claim.Router == arrived.Claim.Router
 		if replaced {
-			actions = append(actions, Granted{Token: claim.token})
+			actions = append(actions, AnswerClaim{Token: claim.token})
 		}
 		return replaced
 	})
@@ -161,8 +161,8 @@
 
 // servePending answers the pending claims from index first on, oldest first, for
 // which there is work or a cancellation, or whose wait time has passed.
-func (d *Dispatcher) servePending(now time.Time, first int) []DispatchAction {
-	var actions []DispatchAction
+func (d *Dispatcher) servePending(now time.Time, first int) []DispatcherAction {
+	var actions []DispatcherAction
 	remaining := d.pending[:first]
 	for _, pending := range d.pending[first:] {
 		grant := Grant{Cancelled: d.cancelledJobs(pending.claim.Router)}
@@ -173,7 +173,7 @@
 			remaining = append(remaining, pending)
 			continue
 		}
-		actions = append(actions, Granted{Token: pending.token, Grant: grant})
+		actions = append(actions, AnswerClaim{Token: pending.token, Grant: grant})
 	}
 	d.pending = remaining
 	return actions
@@ -183,12 +183,12 @@
 // of one grant.
 func (d *Dispatcher) fillGrant(now time.Time, claim ClaimItems, grant *Grant) {
 	size := 0
-	for _, want := range claim.Wants {
+	for _, want := range claim.Rows {
 		queue, ok := d.services[want.Service]
 		if !ok {
 			continue
 		}
-		for room := want.Room; room > 0 && len(grant.Items) < maxGrantItems && size < maxGrantBytes; {
+		for room := want.Slots; room > 0 && len(grant.Items) < maxGrantItems && size < maxGrantBytes; {
 			items := d.grantItems(now, queue, claim.Router, want.Place, min(room, grantQuantum))
 			if len(items) == 0 {
 				break
@@ -239,12 +239,12 @@
 	d.epoch++
 	job := stream.tracked.job
 	item := ItemRef{Job: job.ID(), Item: waiting.item}
-	d.grants.add(&activeGrant{item: item, epoch: d.epoch, router: router, expires: now.Add(d.settings.Lifetime), stream: stream})
+	d.grants.add(&activeGrant{item: item, epoch: d.epoch, router: router, expires: now.Add(d.settings.GrantLifetime), stream: stream})
 	return GrantedItem{
 		Item: item, Epoch: d.epoch, CustomID: waiting.line.CustomID, Tenant: job.Tenant,
 		Service: waiting.service, Place: place, Path: waiting.line.URL, Body: waiting.line.Body,
-		Repeatable: job.Repeatable, Deadline: job.Deadline, LifetimeMs: d.settings.Lifetime.Milliseconds(),
-		LastAttempt: stream.tracked.attempts[waiting.item]+1 >= d.settings.MaximumAttempts,
+		Repeatable: job.Repeatable, Deadline: job.Deadline, LifetimeMs: d.settings.GrantLifetime.Milliseconds(),
+		LastAttempt: stream.tracked.attempts[waiting.item]+1 >= d.settings.MaxAttempts,
 	}
 }
 
--- a/jobs/dispatcher_events.go
+++ b/jobs/dispatcher_events.go
@@ -24,7 +24,7 @@
 )
 
 // handleApplied updates the tracked jobs and grants after a committed command.
-func (d *Dispatcher) handleApplied(now time.Time, applied Applied) []DispatchAction {
+func (d *Dispatcher) handleApplied(now time.Time, applied CommandApplied) []DispatcherAction {
 	command := applied.Command
 	if applied.Result.Duplicate {
 		return nil
@@ -43,7 +43,7 @@
 	case command.Complete != nil:
 		d.handleComplete(now, *command.Complete)
 	case command.Expire != nil && applied.Result.More:
-		return []DispatchAction{d.sweep(now)}
+		return []DispatcherAction{d.sweep(now)}
 	}
 	return nil
 }
@@ -104,11 +104,11 @@
 	}
 	stream, custom := d.streamOf(tracked, start.Item.Item)
 	if grant == nil {
-		grant = &activeGrant{item: start.Item, epoch: start.Epoch, router: start.Router, expires: now.Add(d.settings.Lifetime), stream: stream}
+		grant = &activeGrant{item: start.Item, epoch: start.Epoch, router: start.Router, expires: now.Add(d.settings.GrantLifetime), stream: stream}
 		d.grants.add(grant)
 	}
 	grant.started, grant.request, grant.customID = true, start.Request, custom
-	d.grants.setExpiry(grant, now.Add(d.settings.Lifetime))
+	d.grants.setExpiry(grant, now.Add(d.settings.GrantLifetime))
 }
 
 // streamOf returns the stream of an item and the item's custom ID.
@@ -164,7 +164,7 @@
 	return result.Outcome == api.OutcomeNotRun
 }
 
-func (d *Dispatcher) handleReturned(now time.Time, message ItemsReturned) []DispatchAction {
+func (d *Dispatcher) handleReturned(now time.Time, message ItemsReturned) []DispatcherAction {
 	for _, returned := range message.Returned {
 		grant := d.grants.byItem[returned.Item]
 		if grant == nil || grant.epoch != returned.Epoch || grant.started {
@@ -178,22 +178,22 @@
 
 // retryAt returns when a returned item may be granted again.
 func (d *Dispatcher) retryAt(now time.Time, grant *activeGrant, returned ReturnedItem) time.Time {
-	advice := min(time.Duration(returned.RetryAfterMs)*time.Millisecond, d.settings.MaximumBackoff)
+	advice := min(time.Duration(returned.RetryAfterMs)*time.Millisecond, d.settings.MaxBackoff)
 	switch returned.Reason {
 	case ReturnPreempted:
 		return now
-	case ReturnNoRoom:
+	case ReturnNoCapacity:
 		return now.Add(max(advice, noRoomDelay))
 	}
 	attempts := grant.stream.tracked.attempts
 	attempts[returned.Item.Item]++
 	shift := min(attempts[returned.Item.Item]-1, maxBackoffShift)
-	return now.Add(max(advice, min(d.settings.Backoff<<shift, d.settings.MaximumBackoff)))
+	return now.Add(max(advice, min(d.settings.Backoff<<shift, d.settings.MaxBackoff)))
 }
 
 func (d *Dispatcher) requeue(grant *activeGrant, notBefore time.Time) {
 	tracked := grant.stream.tracked
-	if tracked.active() && !d.settings.Faults.ForgetReturned {
+	if tracked.active() && !d.settings.Faults.DropReturned {
 		grant.stream.requeue(grant.item.Item, notBefore)
 	}
 	d.removeIfEnded(tracked)
@@ -201,7 +201,7 @@
 
 // handleRenew extends grants. An unknown grant is adopted if its item is waiting, so
 // that the running request is not wasted.
-func (d *Dispatcher) handleRenew(now time.Time, message RenewArrived) []DispatchAction {
+func (d *Dispatcher) handleRenew(now time.Time, message RenewArrived) []DispatcherAction {
 	var lost []ItemRef
 	for _, renewed := range message.Renew.Items {
 		grant := d.grants.byItem[renewed.Item]
@@ -212,7 +212,7 @@
 			lost = append(lost, renewed.Item)
 			continue
 		}
-		d.grants.setExpiry(grant, now.Add(d.settings.Lifetime))
+		d.grants.setExpiry(grant, now.Add(d.settings.GrantLifetime))
 	}
 	return d.notice(message.Token, message.Renew.Router, lost)
 }
@@ -229,16 +229,16 @@
 	}
 	stream := tracked.streams[waiting.service]
 	stream.waiting = max(stream.waiting-1, 0)
-	grant := &activeGrant{item: renewed.Item, epoch: renewed.Epoch, router: router, expires: now.Add(d.settings.Lifetime), stream: stream}
+	grant := &activeGrant{item: renewed.Item, epoch: renewed.Epoch, router: router, expires: now.Add(d.settings.GrantLifetime), stream: stream}
 	d.grants.add(grant)
 	return grant
 }
 
-func (d *Dispatcher) notice(token uint64, router api.NodeID, lost []ItemRef) []DispatchAction {
-	return []DispatchAction{Noticed{Token: token, Notice: Notice{Cancelled: d.cancelledJobs(router), Lost: lost}}}
+func (d *Dispatcher) notice(token uint64, router api.NodeID, lost []ItemRef) []DispatcherAction {
+	return []DispatcherAction{AnswerNotice{Token: token, Notice: Notice{Cancelled: d.cancelledJobs(router), Lost: lost}}}
 }
 
-func (d *Dispatcher) handleTick(now time.Time) []DispatchAction {
+func (d *Dispatcher) handleTick(now time.Time) []DispatcherAction {
 	actions := d.expireGrants(now)
 	for _, service := range slices.Sorted(maps.Keys(d.services)) {
 		d.services[service].updateRate(now)
@@ -257,7 +257,7 @@
 // expireGrants requeues the items of expired grants. A started item may have run: it
 // ends with an unknown outcome instead, under its own request ID, unless a result was
 // committed before.
-func (d *Dispatcher) expireGrants(now time.Time) []DispatchAction {
+func (d *Dispatcher) expireGrants(now time.Time) []DispatcherAction {
 	var unknown []ItemResult
 	for _, grant := range d.grants.popExpired(now) {
 		if !grant.started {
@@ -274,13 +274,13 @@
 	if len(unknown) == 0 {
 		return nil
 	}
-	return []DispatchAction{ProposeCommand{Command: Command{Complete: &Complete{Results: unknown}}}}
+	return []DispatcherAction{ProposeCommand{Command: Command{Complete: &Complete{Results: unknown}}}}
 }
 
 // failUnknownService fails waiting items of a service that has been missing from
 // the table for UnknownServiceGrace, a batch at a time. The outcome is "not run" for
 // non-repeatable items only, since a repeatable one may have run before.
-func (d *Dispatcher) failUnknownService(now time.Time, queue *serviceQueue) []DispatchAction {
+func (d *Dispatcher) failUnknownService(now time.Time, queue *serviceQueue) []DispatcherAction {
 	if d.knownServices == nil || d.knownServices[queue.service] {
 		queue.unknownSince = time.Time{}
 		return nil
@@ -306,10 +306,10 @@
 	if len(results) == 0 {
 		return nil
 	}
-	return []DispatchAction{ProposeCommand{Command: Command{Complete: &Complete{Results: results}}}}
+	return []DispatcherAction{ProposeCommand{Command: Command{Complete: &Complete{Results: results}}}}
 }
 
-func (d *Dispatcher) expireJobs(now time.Time) []DispatchAction {
+func (d *Dispatcher) expireJobs(now time.Time) []DispatcherAction {
 	var due []JobID
 	for id, tracked := range d.jobs {
 		if tracked.active() && !tracked.job.Deadline.After(now) {
@@ -320,10 +320,10 @@
 		return nil
 	}
 	slices.Sort(due)
-	return []DispatchAction{ProposeCommand{Command: Command{ExpireJobs: &ExpireJobs{Jobs: due}}}}
+	return []DispatcherAction{ProposeCommand{Command: Command{ExpireJobs: &ExpireJobs{Jobs: due}}}}
 }
 
-func (d *Dispatcher) sweep(now time.Time) DispatchAction {
+func (d *Dispatcher) sweep(now time.Time) DispatcherAction {
 	d.nextSweep = now.Add(d.settings.SweepInterval)
 	return ProposeCommand{Command: Command{Expire: &ExpireRetention{
 		Before: now.Add(-d.settings.Retention), UploadsBefore: now.Add(-d.settings.UploadRetention),
--- a/jobs/dispatcher_test.go
+++ b/jobs/dispatcher_test.go
@@ -13,7 +13,7 @@
 type testDispatcher struct {
 	*testState
 	dispatcher *Dispatcher
-	actions    []DispatchAction
+	actions    []DispatcherAction
 	token      uint64
 }
 
@@ -29,7 +29,7 @@
 	return &testDispatcher{testState: state, dispatcher: dispatcher}
 }
 
-func (d *testDispatcher) step(message DispatchMessage) {
+func (d *testDispatcher) step(message DispatcherMessage) {
 	d.actions = append(d.actions, d.dispatcher.Step(d.now, message)...)
 }
 
@@ -37,7 +37,7 @@
 	d.t.Helper()
 	result := d.apply(command)
 	command.Time = d.now
-	d.step(Applied{Command: command, Result: result})
+	d.step(CommandApplied{Command: command, Result: result})
 	return result
 }
 
@@ -46,14 +46,14 @@
 	d.token++
 	d.actions = nil
 	d.step(ClaimArrived{Token: d.token, Claim: ClaimItems{
-		Router: api.NodeID(router), WaitMs: 1000, Wants: []ClaimWant{{Service: "judge", Place: "old", Room: room}},
+		Router: api.NodeID(router), WaitMs: 1000, Rows: []RowCapacity{{Service: "judge", Place: "old", Slots: room}},
 	}})
 	return d.granted(d.token).Items
 }
 
 func (d *testDispatcher) granted(token uint64) Grant {
 	for _, action := range d.actions {
-		if granted, ok := action.(Granted); ok && granted.Token == token {
+		if granted, ok := action.(AnswerClaim); ok && granted.Token == token {
 			return granted.Grant
 		}
 	}
@@ -134,8 +134,8 @@
 	d.claim("idle", 0)
 	token = d.token
 	d.now = d.now.Add(2 * time.Second)
-	d.step(DispatchTick{})
-	if !slices.ContainsFunc(d.actions, func(a DispatchAction) bool { g, ok := a.(Granted); return ok && g.Token == token }) {
+	d.step(DispatcherTick{})
+	if !slices.ContainsFunc(d.actions, func(a DispatcherAction) bool { g, ok := a.(AnswerClaim); return ok && g.Token == token }) {
 		t.Fatal("the claim was not answered after its wait time")
 	}
 }
@@ -159,8 +159,8 @@
 	d := newMemoryDispatcher(t)
 	d.submitFor("t", "j", 1, time.Hour)
 	first := d.claim("a", 1)[0]
-	d.now = d.now.Add(2 * d.dispatcher.settings.Lifetime)
-	d.step(DispatchTick{})
+	d.now = d.now.Add(2 * d.dispatcher.settings.GrantLifetime)
+	d.step(DispatcherTick{})
 	second := d.claim("b", 1)
 	if len(second) != 1 || second[0].Epoch <= first.Epoch {
 		t.Fatalf("second grant %+v after %+v", second, first)
@@ -195,7 +195,7 @@
 		if len(items) != 1 {
 			t.Fatalf("attempt %d got no item", attempt)
 		}
-		if last := attempt == d.dispatcher.settings.MaximumAttempts; items[0].LastAttempt != last {
+		if last := attempt == d.dispatcher.settings.MaxAttempts; items[0].LastAttempt != last {
 			t.Fatalf("attempt %d: last is %v", attempt, items[0].LastAttempt)
 		} else if last {
 			return
@@ -204,7 +204,7 @@
 		if early := d.claim("r", 1); len(early) != 0 {
 			t.Fatalf("attempt %d was not followed by a backoff", attempt)
 		}
-		d.now = d.now.Add(d.dispatcher.settings.MaximumBackoff)
+		d.now = d.now.Add(d.dispatcher.settings.MaxBackoff)
 	}
 }
 
@@ -214,7 +214,7 @@
 	d.step(KnownServices{Services: []api.ServiceName{"tutor"}})
 	for range 10 {
 		d.actions = nil
-		d.step(DispatchTick{})
+		d.step(DispatcherTick{})
 		for _, action := range d.actions {
 			if propose, ok := action.(ProposeCommand); ok {
 				d.commit(propose.Command)
--- a/jobs/grant.go
+++ b/jobs/grant.go
@@ -9,16 +9,16 @@
 
 // ClaimItems is a router's request for work.
 type ClaimItems struct {
-	Router api.NodeID  `json:"router"`
-	Wants  []ClaimWant `json:"wants"`
-	WaitMs int         `json:"wait_ms"` // maximum wait for the first item
+	Router api.NodeID    `json:"router"`
+	Rows   []RowCapacity `json:"wants"`
+	WaitMs int           `json:"wait_ms"` // maximum wait for the first item
 }
 
-// ClaimWant is the number of items that a router can run on one row.
-type ClaimWant struct {
+// RowCapacity is the number of items that a router can run on one row.
+type RowCapacity struct {
 	Service api.ServiceName `json:"service"`
 	Place   api.PlaceName   `json:"place"`
-	Room    int             `json:"room"`
+	Slots   int             `json:"room"`
 }
 
 // Grant answers ClaimItems.
@@ -71,9 +71,9 @@
 
 // The reasons for a return. Only ReturnFailed counts as an attempt.
 const (
-	ReturnPreempted ReturnReason = "preempted" // displaced by online requests, or cancelled
-	ReturnNoRoom    ReturnReason = "no_room"   // no capacity at the router or the engine (429, 503)
-	ReturnFailed    ReturnReason = "failed"    // answer with status 500 or above, or incomplete
+	ReturnPreempted  ReturnReason = "preempted" // displaced by online requests, or cancelled
+	ReturnNoCapacity ReturnReason = "no_room"   // no capacity at the router or the engine (429, 503)
+	ReturnFailed     ReturnReason = "failed"    // answer with status 500 or above, or incomplete
 )
 
 // ReturnedItem is an item returned without a result, which waits again.
--- a/jobs/inline.go
+++ b/jobs/inline.go
@@ -23,13 +23,13 @@
 type SubmitInline struct {
 	Job JobID `json:"job"`
 	// Tenant is the only one that may read and end the job; empty allows all.
-	Tenant    api.TenantID  `json:"tenant,omitempty"`
-	Host      string        `json:"host"` // of the route that accepted the job
-	Queue     QueueName     `json:"queue,omitempty"`
-	Items     []InlineItem  `json:"items"`
-	RunTarget time.Duration `json:"run_target,omitempty"` // time in which all results are due
-	Keep      time.Duration `json:"keep,omitempty"`       // time after which items may be abandoned; 0: never
-	Retain    time.Duration `json:"retain,omitempty"`     // retention; 0: the default
+	Tenant       api.TenantID  `json:"tenant,omitempty"`
+	Host         string        `json:"host"` // of the route that accepted the job
+	Queue        QueueName     `json:"queue,omitempty"`
+	Items        []InlineItem  `json:"items"`
+	RunTarget    time.Duration `json:"run_target,omitempty"` // time in which all results are due
+	AbandonAfter time.Duration `json:"keep,omitempty"`       // time after which items may be abandoned; 0: never
+	Retention    time.Duration `json:"retain,omitempty"`     // retention; 0: the default
 }
 
 // CompleteInline appends results to the lists of their jobs. Results of items that are
@@ -38,28 +38,28 @@
 	Results []InlineResult `json:"results"`
 }
 
-// KeepInline stores the partial output of running items, so that a new leader can
+// CheckpointInline stores the partial output of running items, so that a new leader can
 // resume from it.
-type KeepInline struct {
+type CheckpointInline struct {
 	Parts []InlinePart `json:"parts"`
 }
 
 // InlinePart is the next part of an item's text and its failure count. It is rejected
 // unless Offset is the length of the text stored so far.
 type InlinePart struct {
-	Job      JobID  `json:"job"`
-	Index    int    `json:"index"`
-	Offset   int    `json:"offset"`
-	Text     string `json:"text,omitempty"`
-	Last     string `json:"last,omitempty"`     // ID of the last event in Text
-	Failures int    `json:"failures,omitempty"` // total; never decreases
+	Job       JobID  `json:"job"`
+	Index     int    `json:"index"`
+	Offset    int    `json:"offset"`
+	Text      string `json:"text,omitempty"`
+	LastEvent string `json:"last,omitempty"`     // ID of the last event in Text
+	Failures  int    `json:"failures,omitempty"` // total; never decreases
 }
 
 // InlinePartial is the stored partial output of an item that is not listed yet.
 type InlinePartial struct {
-	Text     string `json:"text"`
-	Last     string `json:"last"`
-	Failures int    `json:"failures,omitempty"`
+	Text      string `json:"text"`
+	LastEvent string `json:"last"`
+	Failures  int    `json:"failures,omitempty"`
 }
 
 // EndInline ends a job, which accepts no further results.
@@ -87,37 +87,37 @@
 type InlineResult struct {
 	Job     JobID         `json:"job"`
 	Index   int           `json:"index"` // of the item in the submission
-	Item    string        `json:"item"`  // its ID
+	ItemID  string        `json:"item"`  // its ID
 	Outcome InlineOutcome `json:"outcome"`
 	Text    string        `json:"text,omitempty"`
-	// Kept is the number of leading bytes of Text that are stored as parts of the item.
+	// CheckpointBytes is the number of leading bytes of Text that are stored as parts of the item.
 	// It is only set in a command, where Command.Shortened removes them from Text.
-	Kept int `json:"kept,omitempty"`
-	// Sum is the checksum of the whole text if leading bytes were removed from Text,
+	CheckpointBytes int `json:"kept,omitempty"`
+	// Checksum is the checksum of the whole text if leading bytes were removed from Text,
 	// and 0 otherwise.
-	Sum uint32 `json:"sum,omitempty"`
+	Checksum uint32 `json:"sum,omitempty"`
 }
 
 // InlineJob describes an inline job without its items.
 type InlineJob struct {
-	ID        JobID         `json:"id"`
-	Tenant    api.TenantID  `json:"tenant,omitempty"`
-	Host      string        `json:"host"`
-	Queue     QueueName     `json:"queue,omitempty"` // in which its items wait
-	Created   time.Time     `json:"created"`
-	RunTarget time.Duration `json:"run_target,omitempty"`
-	Keep      time.Duration `json:"keep,omitempty"`
-	Until     time.Time     `json:"until"` // end of the retention
-	Total     int           `json:"total"`
-	Listed    int           `json:"listed"`
-	Ended     bool          `json:"ended,omitempty"`
+	ID           JobID         `json:"id"`
+	Tenant       api.TenantID  `json:"tenant,omitempty"`
+	Host         string        `json:"host"`
+	Queue        QueueName     `json:"queue,omitempty"` // in which its items wait
+	Created      time.Time     `json:"created"`
+	RunTarget    time.Duration `json:"run_target,omitempty"`
+	AbandonAfter time.Duration `json:"keep,omitempty"`
+	ExpiresAt    time.Time     `json:"until"` // end of the retention
+	Total        int           `json:"total"`
+	Listed       int           `json:"listed"`
+	Ended        bool          `json:"ended,omitempty"`
 }
 
 // Due returns when all results are due.
 func (j InlineJob) Due() time.Time { return j.Created.Add(j.RunTarget) }
 
-// Of reports whether the tenant may access the job.
-func (j InlineJob) Of(tenant api.TenantID) bool { return j.Tenant == "" || j.Tenant == tenant }
+// VisibleTo reports whether the tenant may access the job.
+func (j InlineJob) VisibleTo(tenant api.TenantID) bool { return j.Tenant == "" || j.Tenant == tenant }
 
 // Open reports whether items may still be listed.
 func (j InlineJob) Open() bool { return !j.Ended && j.Listed < j.Total }
@@ -144,21 +144,21 @@
 
 func (c *change) submitInline(command SubmitInline) Result {
 	if known, ok := c.inlineJob(command.Job); ok {
-		if !known.Of(command.Tenant) {
+		if !known.VisibleTo(command.Tenant) {
 			return failure(api.CodeConflict, "batch job %s belongs to another tenant", command.Job)
 		}
 		return Result{Inline: &known, Duplicate: true}
 	}
-	retain := command.Retain
+	retain := command.Retention
 	if retain <= 0 {
 		retain = defaultRetention
 	}
 	job := InlineJob{
-		ID: command.Job, Tenant: command.Tenant, Host: command.Host, Queue: command.Queue, Created: c.now, RunTarget: command.RunTarget, Keep: command.Keep,
-		Until: c.now.Add(retain), Total: len(command.Items),
+		ID: command.Job, Tenant: command.Tenant, Host: command.Host, Queue: command.Queue, Created: c.now, RunTarget: command.RunTarget, AbandonAfter: command.AbandonAfter,
+		ExpiresAt: c.now.Add(retain), Total: len(command.Items),
 	}
 	c.put(inlineJobKey(job.ID), job)
-	c.Put(timedKey(keyInlineRetention, job.Until, []byte(job.ID)), []byte{})
+	c.Put(timedKey(keyInlineRetention, job.ExpiresAt, []byte(job.ID)), []byte{})
 	tokens := make([]int, 0, len(command.Items))
 	for index, item := range command.Items {
 		c.put(inlineKey(keyInlineItem, job.ID, index), item)
@@ -201,7 +201,7 @@
 	return true
 }
 
-func (c *change) checkpointInline(command KeepInline) Result {
+func (c *change) checkpointInline(command CheckpointInline) Result {
 	var result Result
 	for _, part := range command.Parts {
 		if c.appendInlinePart(part) {
@@ -225,14 +225,14 @@
 		return false
 	}
 	c.put(key, InlinePartial{
-		Text: kept.Text + part.Text, Last: cmp.Or(part.Last, kept.Last), Failures: max(kept.Failures, part.Failures),
+		Text: kept.Text + part.Text, LastEvent: cmp.Or(part.LastEvent, kept.LastEvent), Failures: max(kept.Failures, part.Failures),
 	})
 	return true
 }
 
 func (c *change) endInline(command EndInline) Result {
 	job, ok := c.inlineJob(command.Job)
-	if !ok || !job.Of(command.Tenant) {
+	if !ok || !job.VisibleTo(command.Tenant) {
 		return failure(codeNoInlineJob, "no batch job %s", command.Job)
 	}
 	if job.Ended {
--- a/jobs/inline_kept.go
+++ b/jobs/inline_kept.go
@@ -12,14 +12,14 @@
 // Applied after these parts, it lists the whole text; otherwise it is rejected. Every
 // replica must support shortened commands. The receiver is not modified.
 func (c Command) Shortened() Command {
-	if c.CompleteInline == nil || !slices.ContainsFunc(c.CompleteInline.Results, func(r InlineResult) bool { return r.Kept > 0 }) {
+	if c.CompleteInline == nil || !slices.ContainsFunc(c.CompleteInline.Results, func(r InlineResult) bool { return r.CheckpointBytes > 0 }) {
 		return c
 	}
 	results := slices.Clone(c.CompleteInline.Results)
 	for i, result := range results {
-		if 0 < result.Kept && result.Kept <= len(result.Text) {
-			results[i].Sum = textChecksum(result.Text)
-			results[i].Text = result.Text[result.Kept:]
+		if 0 < result.CheckpointBytes && result.CheckpointBytes <= len(result.Text) {
+			results[i].Checksum = textChecksum(result.Text)
+			results[i].Text = result.Text[result.CheckpointBytes:]
 		}
 	}
 	c.CompleteInline = &CompleteInline{Results: results}
@@ -34,8 +34,8 @@
 // restoreText returns a result with its whole text, and false if the stored parts do
 // not match its checksum. The leader then proposes the whole text.
 func (c *change) restoreText(result InlineResult) (InlineResult, bool) {
-	kept, sum := result.Kept, result.Sum
-	result.Kept, result.Sum = 0, 0
+	kept, sum := result.CheckpointBytes, result.Checksum
+	result.CheckpointBytes, result.Checksum = 0, 0
 	if sum == 0 {
 		return result, true // has its whole text
 	}
@@ -45,5 +45,5 @@
 		return result, false
 	}
 	result.Text = partial.Text[:kept] + result.Text
-	return result, textChecksum(result.Text) == sum || c.faults.TrustKept
+	return result, textChecksum(result.Text) == sum || c.faults.TrustCheckpoints
 }
--- a/jobs/inline_kept_test.go
+++ b/jobs/inline_kept_test.go
@@ -8,12 +8,12 @@
 )
 
 func (s *inlineState) checkpoint(index, offset int, text string) {
-	s.apply(Command{KeepInline: &KeepInline{Parts: []InlinePart{{Job: "j", Index: index, Offset: offset, Text: text, Last: "1"}}}})
+	s.apply(Command{CheckpointInline: &CheckpointInline{Parts: []InlinePart{{Job: "j", Index: index, Offset: offset, Text: text, LastEvent: "1"}}}})
 }
 
 func shortened(index int, text string, kept int) Command {
 	return Command{CompleteInline: &CompleteInline{Results: []InlineResult{{
-		Job: "j", Index: index, Outcome: InlineCompleted, Text: text, Kept: kept,
+		Job: "j", Index: index, Outcome: InlineCompleted, Text: text, CheckpointBytes: kept,
 	}}}}.Shortened()
 }
 
@@ -52,16 +52,16 @@
 			}
 		}
 		result := s.page("j", 0).Results[0]
-		if result.Text != test.text || result.Kept != 0 || result.Sum != 0 {
+		if result.Text != test.text || result.CheckpointBytes != 0 || result.Checksum != 0 {
 			t.Errorf("%s: %+v", test.name, result)
 		}
 	}
 }
 
 func TestShortenedDoesNotModifyCommand(t *testing.T) {
-	results := []InlineResult{{Job: "j", Text: "one", Kept: 2}, {Job: "j", Text: "two", Kept: 9}}
+	results := []InlineResult{{Job: "j", Text: "one", CheckpointBytes: 2}, {Job: "j", Text: "two", CheckpointBytes: 9}}
 	short := Command{CompleteInline: &CompleteInline{Results: results}}.Shortened().CompleteInline.Results
-	if results[0].Text != "one" || short[0].Text != "e" || short[1].Text != "two" || short[1].Sum != 0 {
+	if results[0].Text != "one" || short[0].Text != "e" || short[1].Text != "two" || short[1].Checksum != 0 {
 		t.Errorf("results %+v, shortened to %+v", results, short)
 	}
 }
@@ -100,7 +100,7 @@
 	caught := false
 	for seed := range 300 {
 		_ = rapid.Custom(func(t *rapid.T) bool {
-			whole := listedTextMatches(t, Faults{TrustKept: true})
+			whole := listedTextMatches(t, Faults{TrustCheckpoints: true})
 			caught = caught || !whole
 			return whole
 		}).Example(seed)
--- a/jobs/inline_test.go
+++ b/jobs/inline_test.go
@@ -50,7 +50,7 @@
 
 func (s *inlineState) complete(job string, index int, text string) bool {
 	return s.apply(Command{CompleteInline: &CompleteInline{Results: []InlineResult{{
-		Job: JobID(job), Index: index, Item: fmt.Sprint("item", index), Outcome: InlineCompleted, Text: text,
+		Job: JobID(job), Index: index, ItemID: fmt.Sprint("item", index), Outcome: InlineCompleted, Text: text,
 	}}}}).Accepted == 1
 }
 
@@ -89,7 +89,7 @@
 	if !found || string(item.Body) != "body1" {
 		t.Errorf("%+v", item)
 	}
-	if open, _ := s.state.UnlistedInline(InlineJob{ID: "j", Total: 3}); len(open) != 1 || open[0] != 1 {
+	if open, _ := s.state.UnlistedInlineItems(InlineJob{ID: "j", Total: 3}); len(open) != 1 || open[0] != 1 {
 		t.Errorf("unlisted %v", open)
 	}
 }
@@ -122,7 +122,7 @@
 	if s.complete("j", 1, "late") || len(s.page("j", 0).Results) != 1 {
 		t.Error("a result was listed after the job ended")
 	}
-	if open, _ := s.state.OpenInline(); len(open) != 0 {
+	if open, _ := s.state.OpenInlineJobs(); len(open) != 0 {
 		t.Errorf("open: %+v", open)
 	}
 }
@@ -131,12 +131,12 @@
 	s := newInlineState(t, Faults{})
 	s.apply(Command{SubmitInline: &SubmitInline{Job: "j", Items: inlineItems(1)}})
 	keep := func(offset int, text, last string) int {
-		return s.apply(Command{KeepInline: &KeepInline{Parts: []InlinePart{{Job: "j", Offset: offset, Text: text, Last: last}}}}).Accepted
+		return s.apply(Command{CheckpointInline: &CheckpointInline{Parts: []InlinePart{{Job: "j", Offset: offset, Text: text, LastEvent: last}}}}).Accepted
 	}
 	if keep(0, "one", "1") != 1 || keep(0, "one", "1") != 0 || keep(5, "gap", "9") != 0 || keep(3, "\ntwo", "2") != 1 {
 		t.Error("a part was accepted out of order")
 	}
-	if partial, _ := s.state.InlinePartial("j", 0); partial.Text != "one\ntwo" || partial.Last != "2" {
+	if partial, _ := s.state.InlinePartial("j", 0); partial.Text != "one\ntwo" || partial.LastEvent != "2" {
 		t.Errorf("%+v", partial)
 	}
 	s.complete("j", 0, "one\ntwo")
@@ -150,20 +150,20 @@
 	s.apply(Command{SubmitInline: &SubmitInline{Job: "j", Items: inlineItems(1)}})
 	keep := func(part InlinePart) {
 		part.Job = "j"
-		s.apply(Command{KeepInline: &KeepInline{Parts: []InlinePart{part}}})
+		s.apply(Command{CheckpointInline: &CheckpointInline{Parts: []InlinePart{part}}})
 	}
-	keep(InlinePart{Text: "one", Last: "1"})
+	keep(InlinePart{Text: "one", LastEvent: "1"})
 	keep(InlinePart{Offset: 3, Failures: 2})
-	keep(InlinePart{Offset: 3, Failures: 1, Text: "two", Last: "2"})
-	if partial, _ := s.state.InlinePartial("j", 0); partial != (InlinePartial{Text: "onetwo", Last: "2", Failures: 2}) {
+	keep(InlinePart{Offset: 3, Failures: 1, Text: "two", LastEvent: "2"})
+	if partial, _ := s.state.InlinePartial("j", 0); partial != (InlinePartial{Text: "onetwo", LastEvent: "2", Failures: 2}) {
 		t.Errorf("%+v", partial)
 	}
 }
 
 func TestInlineJobsExpireAfterRetention(t *testing.T) {
 	s := newInlineState(t, Faults{})
-	s.apply(Command{SubmitInline: &SubmitInline{Job: "short", Items: inlineItems(2), Retain: time.Minute}})
-	s.apply(Command{SubmitInline: &SubmitInline{Job: "long", Items: inlineItems(2), Retain: time.Hour}})
+	s.apply(Command{SubmitInline: &SubmitInline{Job: "short", Items: inlineItems(2), Retention: time.Minute}})
+	s.apply(Command{SubmitInline: &SubmitInline{Job: "long", Items: inlineItems(2), Retention: time.Hour}})
 	s.complete("short", 0, "zero")
 	before := s.now.Add(2 * time.Minute)
 	if result := s.apply(Command{ExpireInline: &ExpireInline{Before: before}}); result.Accepted != 1 || result.More {
--- a/jobs/queue.go
+++ b/jobs/queue.go
@@ -20,18 +20,18 @@
 // AdmitToQueue adds a job's tokens to a queue if the total stays within the given
 // limit. Admitting a job that is counted already succeeds without effect.
 type AdmitToQueue struct {
-	Queue  QueueName `json:"queue"`
-	Job    JobID     `json:"job"`
-	Tokens int64     `json:"tokens"`
-	Bound  int64     `json:"bound"` // greater than 0
+	Queue     QueueName `json:"queue"`
+	Job       JobID     `json:"job"`
+	Tokens    int64     `json:"tokens"`
+	MaxTokens int64     `json:"bound"` // greater than 0
 }
 
 // ReportQueue reports the remaining tokens of jobs that a group stores.
 type ReportQueue struct {
 	Group api.GroupID `json:"group"`
-	// Whole is set if Jobs lists all open jobs of the group.
-	Whole bool        `json:"whole,omitempty"`
-	Jobs  []QueuedJob `json:"jobs,omitempty"`
+	// Full is set if Jobs lists all open jobs of the group.
+	Full bool        `json:"whole,omitempty"`
+	Jobs []QueuedJob `json:"jobs,omitempty"`
 }
 
 // QueuedJob is the number of unfinished tokens of a job; 0 removes the job.
@@ -41,8 +41,8 @@
 	Tokens int64     `json:"tokens"`
 }
 
-// Home returns the group that counts the queue, out of the given number of groups.
-func (q QueueName) Home(groups int) api.GroupID {
+// HomeGroup returns the group that counts the queue, out of the given number of groups.
+func (q QueueName) HomeGroup(groups int) api.GroupID {
 	return placement.TenantGroup(api.TenantID(q), groups)
 }
 
@@ -72,14 +72,14 @@
 	}
 	if !c.fits(command) && !c.faults.IgnoreQueueBound {
 		return failure(api.CodeQueueFull, "%d tokens wait in queue %s, %d more would exceed the limit of %d",
-			c.queueTotal(command.Queue), command.Queue, command.Tokens, command.Bound)
+			c.queueTotal(command.Queue), command.Queue, command.Tokens, command.MaxTokens)
 	}
 	c.setQueueEntry(command.Job, queueEntry{Queue: command.Queue, Tokens: command.Tokens, Since: c.now})
 	return Result{Accepted: 1}
 }
 
 func (c *change) fits(command AdmitToQueue) bool {
-	return c.queueTotal(command.Queue)+command.Tokens <= command.Bound
+	return c.queueTotal(command.Queue)+command.Tokens <= command.MaxTokens
 }
 
 func (c *change) reportQueue(command ReportQueue) Result {
@@ -90,7 +90,7 @@
 			Queue: job.Queue, Tokens: job.Tokens, Since: c.now, Group: command.Group, Reported: true,
 		})
 	}
-	if command.Whole {
+	if command.Full {
 		c.dropQueueEntries(func(job JobID, entry queueEntry) bool {
 			return entry.Reported && entry.Group == command.Group && !reported[job]
 		})
--- a/jobs/queue_test.go
+++ b/jobs/queue_test.go
@@ -17,12 +17,12 @@
 
 func (s *inlineState) admit(job JobID, tokens, bound int64) Result {
 	s.t.Helper()
-	return s.apply(Command{AdmitToQueue: &AdmitToQueue{Queue: testQueue, Job: job, Tokens: tokens, Bound: bound}})
+	return s.apply(Command{AdmitToQueue: &AdmitToQueue{Queue: testQueue, Job: job, Tokens: tokens, MaxTokens: bound}})
 }
 
 func (s *inlineState) report(group api.GroupID, whole bool, jobs ...QueuedJob) {
 	s.t.Helper()
-	s.apply(Command{ReportQueue: &ReportQueue{Group: group, Whole: whole, Jobs: jobs}})
+	s.apply(Command{ReportQueue: &ReportQueue{Group: group, Full: whole, Jobs: jobs}})
 }
 
 func (s *inlineState) queuedTokens() int64 {
@@ -187,7 +187,7 @@
 	s := newInlineState(t, Faults{})
 	items := inlineItems(2)
 	items[0].Tokens, items[1].Tokens = 7, 9
-	s.apply(Command{SubmitInline: &SubmitInline{Job: "j", Queue: testQueue, Items: items, Retain: time.Second}})
+	s.apply(Command{SubmitInline: &SubmitInline{Job: "j", Queue: testQueue, Items: items, Retention: time.Second}})
 	tokens, err := s.state.InlineTokens("j")
 	if err != nil || len(tokens) != 2 || tokens[0] != 7 || tokens[1] != 9 {
 		t.Errorf("%v, %v", tokens, err)
--- a/jobs/read_inline.go
+++ b/jobs/read_inline.go
@@ -51,7 +51,7 @@
 func (s *State) InlineItemByID(id JobID, tenant api.TenantID, itemID string) (item InlineItem, found bool, err error) {
 	err = s.storage.View(func(r Reader) error {
 		var job InlineJob
-		if known, err := get(r, inlineJobKey(id), &job); err != nil || !known || !job.Of(tenant) {
+		if known, err := get(r, inlineJobKey(id), &job); err != nil || !known || !job.VisibleTo(tenant) {
 			return err
 		}
 		for index := range job.Total {
@@ -74,7 +74,7 @@
 	err = s.storage.View(func(r Reader) error {
 		var job InlineJob
 		known, err := get(r, inlineJobKey(id), &job)
-		if err != nil || !known || !job.Of(tenant) {
+		if err != nil || !known || !job.VisibleTo(tenant) {
 			return err
 		}
 		found = true
@@ -97,8 +97,8 @@
 	return page, found, err
 }
 
-// OpenInline returns the open jobs, sorted by ID.
-func (s *State) OpenInline() (open []InlineJob, err error) {
+// OpenInlineJobs returns the open jobs, sorted by ID.
+func (s *State) OpenInlineJobs() (open []InlineJob, err error) {
 	err = s.eachInline(func(job InlineJob) {
 		if job.Open() {
 			open = append(open, job)
@@ -137,8 +137,8 @@
 	})
 }
 
-// UnlistedInline returns the indexes of a job's items that are not listed.
-func (s *State) UnlistedInline(job InlineJob) (indexes []int, err error) {
+// UnlistedInlineItems returns the indexes of a job's items that are not listed.
+func (s *State) UnlistedInlineItems(job InlineJob) (indexes []int, err error) {
 	err = s.storage.View(func(r Reader) error {
 		listed := make([]bool, job.Total)
 		prefix := numberedPrefix(keyInlineListed, string(job.ID))
--- a/jobs/run.go
+++ b/jobs/run.go
@@ -17,14 +17,14 @@
 	RenewInterval time.Duration
 	// RetryInterval is the delay before a failed message is sent again.
 	RetryInterval time.Duration
-	// HoldTime is how long a granted item may wait for room at this router.
-	HoldTime time.Duration
+	// MaxHoldTime is how long a granted item may wait for room at this router.
+	MaxHoldTime time.Duration
 	// Lookahead makes the router claim in advance as many items as are expected to end
 	// within it, so that room is filled at once and a claim returns several items.
 	Lookahead time.Duration
-	// MaximumUnsettledBytes limits the size of the results that no leader has accepted
+	// MaxUnsettledBytes limits the size of the results that no leader has accepted
 	// yet. Above it no further items are claimed or run.
-	MaximumUnsettledBytes int
+	MaxUnsettledBytes int
 	// NewRequestID generates a unique request ID. It is the only source of randomness.
 	NewRequestID func() api.RequestID
 	Faults       RunnerFaults
@@ -41,8 +41,8 @@
 func DefaultRunnerSettings() RunnerSettings {
 	return RunnerSettings{
 		ClaimWait: 10 * time.Second, SettleInterval: 50 * time.Millisecond, RenewInterval: time.Second,
-		RetryInterval: 100 * time.Millisecond, HoldTime: time.Second, Lookahead: 100 * time.Millisecond,
-		MaximumUnsettledBytes: 16 << 20,
+		RetryInterval: 100 * time.Millisecond, MaxHoldTime: time.Second, Lookahead: 100 * time.Millisecond,
+		MaxUnsettledBytes: 16 << 20,
 	}
 }
 
@@ -63,13 +63,13 @@
 	Group   api.GroupID
 	Leader  api.NodeID
 	Term    uint64
-	Waiting []api.ServiceBacklog
+	Backlog []api.ServiceBacklog
 }
 
-// Rooms is the number of batch requests that could start now, by row, with 0 for a full
+// Capacity is the number of batch requests that could start now, by row, with 0 for a full
 // one. It replaces what was reported before. The caller sends it several times a second
 // and when a batch request ends.
-type Rooms struct{ Rooms []ClaimWant }
+type Capacity struct{ Rows []RowCapacity }
 
 // GrantArrived answers SendClaim. Grant is empty if Failed is set.
 type GrantArrived struct {
@@ -132,12 +132,12 @@
 // are items, and several times a second otherwise.
 type RunnerTick struct{}
 
-// Stopping begins a graceful shutdown: no items are claimed, and held ones are
+// Shutdown begins a graceful shutdown: no items are claimed, and held ones are
 // returned.
-type Stopping struct{}
+type Shutdown struct{}
 
 func (Leaders) runnerMessage()        {}
-func (Rooms) runnerMessage()          {}
+func (Capacity) runnerMessage()       {}
 func (GrantArrived) runnerMessage()   {}
 func (StartAnswered) runnerMessage()  {}
 func (ItemAdmitted) runnerMessage()   {}
@@ -145,7 +145,7 @@
 func (SettleAnswered) runnerMessage() {}
 func (RenewAnswered) runnerMessage()  {}
 func (RunnerTick) runnerMessage()     {}
-func (Stopping) runnerMessage()       {}
+func (Shutdown) runnerMessage()       {}
 
 // RunnerAction is an output of Runner.Step, which the caller executes. Each Send action
 // is sent to the given leader and answered exactly once.
--- a/jobs/runner.go
+++ b/jobs/runner.go
@@ -94,8 +94,8 @@
 	switch message := message.(type) {
 	case Leaders:
 		r.setLeaders(now, message.Groups)
-	case Rooms:
-		r.setRooms(message.Rooms)
+	case Capacity:
+		r.setRooms(message.Rows)
 	case GrantArrived:
 		actions = r.handleGrant(now, message)
 	case StartAnswered:
@@ -110,7 +110,7 @@
 		actions = r.handleRenewAnswer(now, message)
 	case RunnerTick:
 		actions = r.retryStarts(now)
-	case Stopping:
+	case Shutdown:
 		r.stopping = true
 	}
 	r.returnHeld(now) // before launchHeld: after a pause of the process, held items may be outdated
@@ -152,7 +152,7 @@
 			group.renewing, group.renewAt = false, now
 		}
 		group.waiting = map[api.ServiceName]bool{}
-		for _, backlog := range leader.Waiting {
+		for _, backlog := range leader.Backlog {
 			group.waiting[backlog.Service] = backlog.Items > 0
 		}
 	}
@@ -167,10 +167,10 @@
 	return group
 }
 
-func (r *Runner) setRooms(rooms []ClaimWant) {
+func (r *Runner) setRooms(rooms []RowCapacity) {
 	r.rooms = map[api.RowKey]int{}
 	for _, room := range rooms {
-		r.rooms[api.RowKey{Service: room.Service, Place: room.Place}] = room.Room
+		r.rooms[api.RowKey{Service: room.Service, Place: room.Place}] = room.Slots
 	}
 }
 
@@ -208,7 +208,7 @@
 // launchHeld starts held items as far as there is room for them.
 func (r *Runner) launchHeld(now time.Time) []RunnerAction {
 	var actions []RunnerAction
-	if r.unsettledBytes > r.settings.MaximumUnsettledBytes {
+	if r.unsettledBytes > r.settings.MaxUnsettledBytes {
 		return nil
 	}
 	for _, key := range r.sortedRows() {
@@ -271,7 +271,7 @@
 		// An earlier attempt whose answer was lost may have been committed.
 		started.started = true
 		r.removeRun(started)
-		r.reportReturned(started, ReturnedItem{Reason: ReturnNoRoom})
+		r.reportReturned(started, ReturnedItem{Reason: ReturnNoCapacity})
 	case StartUnknown:
 		started.retryStartAt = now.Add(r.settings.RetryInterval)
 	}
@@ -325,7 +325,7 @@
 	if ended.state == runRunning {
 		r.row(ended.key).recordDuration(now.Sub(ended.since))
 	}
-	refused := ended.state == runLaunching && finished.Returned.Reason == ReturnNoRoom && finished.Outcome == api.OutcomeNotRun
+	refused := ended.state == runLaunching && finished.Returned.Reason == ReturnNoCapacity && finished.Outcome == api.OutcomeNotRun
 	r.removeRun(ended)
 	switch {
 	case finished.Result != nil:
@@ -383,9 +383,9 @@
 func (r *Runner) returnHeld(now time.Time) {
 	for _, key := range r.sortedRows() {
 		for _, held := range slices.Clone(r.rows[key].held) {
-			if r.stopping || now.Sub(held.heldAt) >= r.settings.HoldTime {
+			if r.stopping || now.Sub(held.heldAt) >= r.settings.MaxHoldTime {
 				r.removeRun(held)
-				r.reportReturned(held, ReturnedItem{Reason: ReturnNoRoom})
+				r.reportReturned(held, ReturnedItem{Reason: ReturnNoCapacity})
 			}
 		}
 	}
--- a/jobs/runner_sends.go
+++ b/jobs/runner_sends.go
@@ -28,11 +28,11 @@
 // router has items of the group, an empty claim stays pending, so that cancellations
 // arrive at once. A pending claim is replaced when another row has room.
 func (r *Runner) sendClaim(now time.Time, group *runnerGroup) []RunnerAction {
-	if r.stopping || now.Before(group.claimNotBefore) || r.unsettledBytes > r.settings.MaximumUnsettledBytes {
+	if r.stopping || now.Before(group.claimNotBefore) || r.unsettledBytes > r.settings.MaxUnsettledBytes {
 		return nil
 	}
 	wants := r.wants()
-	fresh := slices.ContainsFunc(wants, func(want ClaimWant) bool {
+	fresh := slices.ContainsFunc(wants, func(want RowCapacity) bool {
 		return !group.claimedRows[api.RowKey{Service: want.Service, Place: want.Place}]
 	})
 	if len(wants) == 0 && !r.hasRuns(group) || group.claimSerial != 0 && !fresh {
@@ -45,7 +45,7 @@
 		group.claimedRows[api.RowKey{Service: want.Service, Place: want.Place}] = true
 	}
 	return []RunnerAction{SendClaim{Group: group.id, Leader: group.leader, Serial: group.serial, Claim: ClaimItems{
-		Router: r.settings.Router, Wants: wants, WaitMs: int(r.settings.ClaimWait.Milliseconds()),
+		Router: r.settings.Router, Rows: wants, WaitMs: int(r.settings.ClaimWait.Milliseconds()),
 	}}}
 }
 
@@ -61,8 +61,8 @@
 // wants returns what to claim: for each row, its free room and the runs expected to end
 // within the lookahead, less the held items. Rows that hold at least half of that
 // already are left out.
-func (r *Runner) wants() []ClaimWant {
-	var wants []ClaimWant
+func (r *Runner) wants() []RowCapacity {
+	var wants []RowCapacity
 	for key := range r.rooms {
 		r.row(key)
 	}
@@ -70,7 +70,7 @@
 		row := r.rows[key]
 		target := max(r.freeRoom(key), 0) + row.endingWithin(r.settings.Lookahead)
 		if target > 0 && 2*len(row.held) < target && r.hasRow(key) {
-			wants = append(wants, ClaimWant{Service: key.Service, Place: key.Place, Room: target - len(row.held)})
+			wants = append(wants, RowCapacity{Service: key.Service, Place: key.Place, Slots: target - len(row.held)})
 		}
 	}
 	return wants
--- a/jobs/runner_test.go
+++ b/jobs/runner_test.go
@@ -32,7 +32,7 @@
 func (r *testRunner) step(message RunnerMessage) { r.actions = r.Step(r.now, message) }
 
 func (r *testRunner) room(count int) {
-	r.step(Rooms{Rooms: []ClaimWant{{Service: "judge", Place: "old", Room: count}}})
+	r.step(Capacity{Rows: []RowCapacity{{Service: "judge", Place: "old", Slots: count}}})
 }
 
 // grant answers the pending claim with count items.
@@ -71,19 +71,19 @@
 func TestRunnerRunsNoMoreItemsThanRoom(t *testing.T) {
 	r := newTestRunner()
 	r.room(2)
-	if claims := actionsOf[SendClaim](r.actions); len(claims) != 1 || claims[0].Claim.Wants[0].Room != 2 {
+	if claims := actionsOf[SendClaim](r.actions); len(claims) != 1 || claims[0].Claim.Rows[0].Slots != 2 {
 		t.Fatalf("claims %+v", claims)
 	}
 	r.grant(true, 3)
 	if runs := actionsOf[RunItem](r.actions); len(runs) != 2 {
 		t.Fatalf("%d items run in room for 2", len(runs))
 	}
-	r.now = r.now.Add(2 * r.settings.HoldTime)
+	r.now = r.now.Add(2 * r.settings.MaxHoldTime)
 	r.room(5)
 	if runs := actionsOf[RunItem](r.actions); len(runs) != 0 {
 		t.Fatal("an item that was held for too long was run")
 	}
-	if report := r.settle(t).Settle; len(report.Returned) != 1 || report.Returned[0].Reason != ReturnNoRoom {
+	if report := r.settle(t).Settle; len(report.Returned) != 1 || report.Returned[0].Reason != ReturnNoCapacity {
 		t.Fatalf("report %+v", report)
 	}
 }
--- a/jobs/simstore_test.go
+++ b/jobs/simstore_test.go
@@ -61,7 +61,7 @@
 	s.state, s.dispatcher, s.role = state, nil, replication.RoleChanged{}
 	s.proposals, s.waiting = map[uint64]func(Result, bool){}, map[uint64]waitingEntry{}
 	s.answers = map[uint64]func(any){}
-	index, _ := state.Applied()
+	index, _ := state.AppliedIndex()
 	s.machine, err = replication.NewMachine(replication.Settings{
 		Group: 1, Self: s.id, Heartbeat: 20 * time.Millisecond, ElectionTimeout: 100 * time.Millisecond, Random: s.cluster.simulation.ForkRandom(),
 	}, replication.RecoveredState{
@@ -74,7 +74,7 @@
 	}
 	s.process.Every(10*time.Millisecond, func() {
 		s.step(replication.Tick{})
-		s.dispatch(DispatchTick{})
+		s.dispatch(DispatcherTick{})
 	})
 }
 
@@ -138,7 +138,7 @@
 	}
 	s.cluster.checkApplied(s, entry.Index, command, results[0])
 	if s.dispatcher != nil {
-		s.dispatch(Applied{Command: command, Result: results[0]})
+		s.dispatch(CommandApplied{Command: command, Result: results[0]})
 	}
 	if waiting, ok := s.waiting[entry.Index]; ok {
 		delete(s.waiting, entry.Index)
@@ -161,19 +161,19 @@
 	s.dispatch(KnownServices{Services: []api.ServiceName{"judge", "tutor"}})
 }
 
-func (s *simStore) dispatch(message DispatchMessage) {
+func (s *simStore) dispatch(message DispatcherMessage) {
 	if s.dispatcher == nil {
 		return
 	}
 	for _, action := range s.dispatcher.Step(s.process.Now(), message) {
 		switch action := action.(type) {
-		case Granted:
+		case AnswerClaim:
 			s.answer(action.Token, action.Grant)
-		case Noticed:
+		case AnswerNotice:
 			s.answer(action.Token, action.Notice)
 		case ProposeCommand:
 			s.propose(action.Command, func(Result, bool) {})
-		case DispatchFailed:
+		case DispatcherFailed:
 			s.cluster.reportViolation("%s: %v", s.id, action.Err)
 		}
 	}
@@ -283,13 +283,13 @@
 }
 
 func (r *simRouter) sendRooms() {
-	var rooms []ClaimWant
+	var rooms []RowCapacity
 	for _, service := range []api.ServiceName{"judge", "tutor"} {
 		if room := r.slots - len(r.running); room > 0 {
-			rooms = append(rooms, ClaimWant{Service: service, Place: "old", Room: room})
+			rooms = append(rooms, RowCapacity{Service: service, Place: "old", Slots: room})
 		}
 	}
-	r.step(Rooms{Rooms: rooms})
+	r.step(Capacity{Rows: rooms})
 }
 
 func (r *simRouter) step(message RunnerMessage) {
@@ -354,7 +354,7 @@
 // one.
 func (r *simRouter) run(run RunItem) {
 	if len(r.running) >= r.slots {
-		r.step(ItemFinished{Request: run.Request, Outcome: api.OutcomeNotRun, Returned: ReturnedItem{Reason: ReturnNoRoom}})
+		r.step(ItemFinished{Request: run.Request, Outcome: api.OutcomeNotRun, Returned: ReturnedItem{Reason: ReturnNoCapacity}})
 		return
 	}
 	r.running[run.Request] = run.Item
@@ -362,7 +362,7 @@
 	random := r.cluster.simulation.Random()
 	chance := random.Float64()
 	if chance < 0.05 {
-		r.end(run.Request, ItemFinished{Request: run.Request, Outcome: api.OutcomeNotRun, Returned: ReturnedItem{Reason: ReturnNoRoom, RetryAfterMs: 30}})
+		r.end(run.Request, ItemFinished{Request: run.Request, Outcome: api.OutcomeNotRun, Returned: ReturnedItem{Reason: ReturnNoCapacity, RetryAfterMs: 30}})
 		return
 	}
 	r.cluster.recordExecution(run)
@@ -378,7 +378,7 @@
 	}
 	took := time.Duration(random.Int64N(int64(60 * time.Millisecond)))
 	if random.Float64() < 0.03 {
-		took += 2 * r.cluster.dispatcher.Lifetime // longer than the lifetime of a grant
+		took += 2 * r.cluster.dispatcher.GrantLifetime // longer than the lifetime of a grant
 	}
 	r.process.After(took, func() { r.end(run.Request, finished) })
 }
--- a/jobs/simulation_test.go
+++ b/jobs/simulation_test.go
@@ -166,7 +166,7 @@
 		"accept-second-result":        func(o *clusterOptions) { o.faults.AcceptSecondResult = true },
 		"start-after-cancel":          func(o *clusterOptions) { o.faults.StartAfterCancel = true },
 		"grant-without-fence":         func(o *clusterOptions) { o.faults.IgnoreEpoch = true },
-		"forget-returned-item":        func(o *clusterOptions) { o.faults.ForgetReturned = true },
+		"forget-returned-item":        func(o *clusterOptions) { o.faults.DropReturned = true },
 		"send-before-start-committed": func(o *clusterOptions) { o.runnerFaults.SendBeforeStart = true },
 	}
 	for name, plant := range cases {
--- a/jobs/simworld_test.go
+++ b/jobs/simworld_test.go
@@ -49,8 +49,8 @@
 		clusterOptions: o, simulation: sim.New(o.seed), dispatcher: DefaultDispatcherSettings(), runner: DefaultRunnerSettings(),
 		cancelled: map[JobID]bool{}, starts: map[ItemRef]Start{}, records: map[ItemRef]string{}, executions: map[ItemRef]int{},
 	}
-	c.dispatcher.Lifetime, c.dispatcher.Backoff = 600*time.Millisecond, 20*time.Millisecond
-	c.runner.ClaimWait, c.runner.RenewInterval, c.runner.HoldTime = 300*time.Millisecond, 150*time.Millisecond, 200*time.Millisecond
+	c.dispatcher.GrantLifetime, c.dispatcher.Backoff = 600*time.Millisecond, 20*time.Millisecond
+	c.runner.ClaimWait, c.runner.RenewInterval, c.runner.MaxHoldTime = 300*time.Millisecond, 150*time.Millisecond, 200*time.Millisecond
 	c.network = c.simulation.NewNetwork(func(_, _ string) time.Duration { return 500 * time.Microsecond })
 	for slot := range o.stores {
 		c.voters = append(c.voters, replication.ReplicaID(fmt.Sprintf("store-%d", slot)))
@@ -166,7 +166,7 @@
 		return false
 	}
 	for _, store := range c.stores {
-		index, err := store.state.Applied()
+		index, err := store.state.AppliedIndex()
 		active, _ := store.state.ActiveJobs()
 		if err != nil || index != c.lastIndex || len(active) > 0 || !store.process.Up() {
 			return false
@@ -179,7 +179,7 @@
 // the counts add up, and all replicas have the same state.
 func (c *cluster) checkFinal() {
 	for _, store := range c.stores {
-		if index, _ := store.state.Applied(); index != c.lastIndex {
+		if index, _ := store.state.AppliedIndex(); index != c.lastIndex {
 			c.reportViolation("%s has applied %d of %d entries", store.id, index, c.lastIndex)
 			return
 		}
--- a/jobs/state.go
+++ b/jobs/state.go
@@ -34,9 +34,9 @@
 	AcceptSecondResult bool // a later result replaces the first
 	StartAfterCancel   bool // items of cancelled jobs are started
 	IgnoreEpoch        bool // a late start under an older grant is accepted
-	ForgetReturned     bool // a returned item is not requeued
+	DropReturned       bool // a returned item is not requeued
 	IgnoreQueueBound   bool // jobs are admitted to a full queue
-	TrustKept          bool // a result is listed although the stored parts do not match it
+	TrustCheckpoints   bool // a result is listed although the stored parts do not match it
 }
 
 // OpenState opens the state that the storage holds, which may be empty.
@@ -54,8 +54,8 @@
 	return state, err
 }
 
-// Applied returns the index of the last applied entry.
-func (s *State) Applied() (uint64, error) {
+// AppliedIndex returns the index of the last applied entry.
+func (s *State) AppliedIndex() (uint64, error) {
 	index := uint64(0)
 	err := s.storage.View(func(r Reader) error {
 		index = appliedIndex(r)
@@ -140,8 +140,8 @@
 		return c.submitInline(*command.SubmitInline)
 	case command.CompleteInline != nil:
 		return c.completeInline(*command.CompleteInline)
-	case command.KeepInline != nil:
-		return c.checkpointInline(*command.KeepInline)
+	case command.CheckpointInline != nil:
+		return c.checkpointInline(*command.CheckpointInline)
 	case command.EndInline != nil:
 		return c.endInline(*command.EndInline)
 	case command.ExpireInline != nil:
--- a/jobs/state_claims.go
+++ b/jobs/state_claims.go
@@ -8,9 +8,9 @@
 
 // storedClaim is a claimed idempotency key with the recorded answer, if any.
 type storedClaim struct {
-	Claim   ClaimRequest   `json:"claim"`
-	Created time.Time      `json:"created"`
-	Record  *RecordRequest `json:"record,omitempty"`
+	Claim   ClaimKey      `json:"claim"`
+	Created time.Time     `json:"created"`
+	Record  *RecordAnswer `json:"record,omitempty"`
 	// Free is set if the claiming request did not run, so that another may claim the
 	// key.
 	Free bool `json:"free,omitempty"`
@@ -20,7 +20,7 @@
 	return nameKey(keyClaim, string(tenant), key)
 }
 
-func (c *change) claim(command ClaimRequest) Result {
+func (c *change) claim(command ClaimKey) Result {
 	key := claimKey(command.Tenant, command.Key)
 	var known storedClaim
 	if !c.get(key, &known) {
@@ -46,7 +46,7 @@
 	return result
 }
 
-func (c *change) record(command RecordRequest) Result {
+func (c *change) record(command RecordAnswer) Result {
 	key := claimKey(command.Tenant, command.Key)
 	var known storedClaim
 	if !c.get(key, &known) || known.Claim.Request != command.Request {
