--- a/admission/benchmark_test.go
+++ b/admission/benchmark_test.go
@@ -14,7 +14,7 @@
 	for _, count := range []int{15, 100} {
 		b.Run(fmt.Sprintf("workers=%d", count), func(b *testing.B) {
 			o := newObserver(DefaultBatchPolicy())
-			o.row.BatchAllowance = api.MaximumSlots
+			o.row.BatchAllowance = api.MaxSlots
 			o.setRow(o.row)
 			o.setWorkers(testWorkers(count))
 			for range count * 8 {
--- a/api/headers.go
+++ b/api/headers.go
@@ -4,26 +4,26 @@
 const (
 	HeaderRequestID      = "X-Request-Id"
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderBackendKey carries the idempotency key between processes and to back
+	// HeaderBackendIdempotencyKey carries the idempotency key between processes and to back
 	// ends. With HeaderIdempotencyKey set, net/http may retry a request by itself.
-	HeaderBackendKey = "Dykewing-Idempotency-Key"
-	HeaderRepeatable = "Dykewing-Repeatable" // "true" or "false"
-	// HeaderAttemptID returns to the caller the unique id assigned to the request,
+	HeaderBackendIdempotencyKey = "Dykewing-Idempotency-Key"
+	HeaderRepeatable            = "Dykewing-Repeatable" // "true" or "false"
+	// HeaderAssignedRequestID returns to the caller the unique id assigned to the request,
 	// which between processes and at back ends is HeaderRequestID.
-	HeaderAttemptID     = "Dykewing-Request-Id"
-	HeaderReplayed      = "Dykewing-Replayed" // "true" on a recorded response
-	HeaderOutcome       = "Dykewing-Outcome"
-	HeaderTenant        = "Dykewing-Tenant"
-	HeaderClass         = "Dykewing-Class"
-	HeaderService       = "Dykewing-Service"
-	HeaderPlace         = "Dykewing-Place"
-	HeaderWorker        = "Dykewing-Worker"
-	HeaderDeadline      = "Dykewing-Deadline-Ms" // remaining milliseconds, independent of clock differences
-	HeaderExcluded      = "Dykewing-Excluded"    // workers at which earlier attempts failed, separated by ExcludedSeparator
-	HeaderAttempt       = "Dykewing-Attempt"     // only on retries: 2 or more
-	HeaderResume        = "Dykewing-Resume"      // "true": the engine ran part of this request before
-	HeaderHops          = "Dykewing-Hops"        // number of routers passed
-	HeaderTableRevision = "Dykewing-Table-Revision"
+	HeaderAssignedRequestID = "Dykewing-Request-Id"
+	HeaderReplayed          = "Dykewing-Replayed" // "true" on a recorded response
+	HeaderOutcome           = "Dykewing-Outcome"
+	HeaderTenant            = "Dykewing-Tenant"
+	HeaderClass             = "Dykewing-Class"
+	HeaderService           = "Dykewing-Service"
+	HeaderPlace             = "Dykewing-Place"
+	HeaderWorker            = "Dykewing-Worker"
+	HeaderDeadline          = "Dykewing-Deadline-Ms" // remaining milliseconds, independent of clock differences
+	HeaderExcluded          = "Dykewing-Excluded"    // workers at which earlier attempts failed, separated by ExcludedSeparator
+	HeaderAttempt           = "Dykewing-Attempt"     // only on retries: 2 or more
+	HeaderResume            = "Dykewing-Resume"      // "true": the engine ran part of this request before
+	HeaderHops              = "Dykewing-Hops"        // number of routers passed
+	HeaderTableRevision     = "Dykewing-Table-Revision"
 )
 
 // ExcludedSeparator separates the names in HeaderExcluded.
--- a/api/identity.go
+++ b/api/identity.go
@@ -41,8 +41,8 @@
 	RoleFrontend Role = "frontend"
 )
 
-// Represents reports whether processes of the role represent their zone to other zones.
-func (r Role) Represents() bool { return r == RoleRouter || r == RoleFrontend }
+// RepresentsZone reports whether processes of the role represent their zone to other zones.
+func (r Role) RepresentsZone() bool { return r == RoleRouter || r == RoleFrontend }
 
 // Class is the scheduling class of work: online never waits for batch.
 type Class string
--- a/api/node.go
+++ b/api/node.go
@@ -16,11 +16,11 @@
 	// TableRevision is the node's current table revision.
 	TableRevision int64 `json:"table_revision,omitempty"`
 	// Summary is the load reported by the node; empty for sidecars.
-	Summary Summary `json:"summary,omitzero"`
+	Summary LoadSummary `json:"summary,omitzero"`
 }
 
-// Summary is the load report in a node's heartbeat.
-type Summary struct {
+// LoadSummary is the load report in a node's heartbeat.
+type LoadSummary struct {
 	Sequence uint64           `json:"sequence,omitempty"` // incremented with each report of an incarnation
 	Services []ServiceSummary `json:"services,omitempty"` // routers: load and capacity of their homed workers
 	Groups   []GroupSummary   `json:"groups,omitempty"`   // stores: replicas held
@@ -29,9 +29,9 @@
 	Replica string `json:"replica,omitempty"`
 	// DiskFull is set if the store accepts no new jobs and files.
 	DiskFull bool `json:"disk_full,omitempty"`
-	// Apart is set if a frontend cannot reach the stores directly; callers should
+	// StoresUnreachable is set if a frontend cannot reach the stores directly; callers should
 	// prefer another one.
-	Apart bool `json:"apart,omitempty"`
+	StoresUnreachable bool `json:"apart,omitempty"`
 }
 
 // ServiceSummary is the load of one row's workers at their home router.
--- a/api/row.go
+++ b/api/row.go
@@ -8,10 +8,10 @@
 
 // Limits of a row's cells, checked by Row.Validate.
 const (
-	MaximumWeight   = 1e6
-	MaximumSlots    = 1_000_000 // allowance and concurrency ceiling
-	MaximumRate     = 1e7       // requests per second
-	MaximumPriority = 100
+	MaxWeight       = 1e6
+	MaxSlots        = 1_000_000 // allowance and concurrency ceiling
+	MaxRate         = 1e7       // requests per second
+	MaxPriority     = 100
 	maxNameLength   = 128
 	namePatternText = `^[A-Za-z0-9][A-Za-z0-9._-]*$`
 	maxEditIDBytes  = 128
@@ -51,20 +51,20 @@
 	if err := ValidateName("place", string(r.Place)); err != nil {
 		return err
 	}
-	if math.IsNaN(r.Weight) || r.Weight < 0 || r.Weight > MaximumWeight {
-		return fmt.Errorf("cell weight of %s: %v is not within 0 to %v", r.Key(), r.Weight, float64(MaximumWeight))
+	if math.IsNaN(r.Weight) || r.Weight < 0 || r.Weight > MaxWeight {
+		return fmt.Errorf("cell weight of %s: %v is not within 0 to %v", r.Key(), r.Weight, float64(MaxWeight))
 	}
-	if r.BatchAllowance < 0 || r.BatchAllowance > MaximumSlots {
-		return fmt.Errorf("cell batch_allowance of %s: %d is not within 0 to %d", r.Key(), r.BatchAllowance, MaximumSlots)
+	if r.BatchAllowance < 0 || r.BatchAllowance > MaxSlots {
+		return fmt.Errorf("cell batch_allowance of %s: %d is not within 0 to %d", r.Key(), r.BatchAllowance, MaxSlots)
 	}
-	if r.CeilingConcurrency < 0 || r.CeilingConcurrency > MaximumSlots {
-		return fmt.Errorf("cell ceiling_concurrency of %s: %d is not within 0 to %d", r.Key(), r.CeilingConcurrency, MaximumSlots)
+	if r.CeilingConcurrency < 0 || r.CeilingConcurrency > MaxSlots {
+		return fmt.Errorf("cell ceiling_concurrency of %s: %d is not within 0 to %d", r.Key(), r.CeilingConcurrency, MaxSlots)
 	}
-	if math.IsNaN(r.CeilingRate) || r.CeilingRate < 0 || r.CeilingRate > MaximumRate {
-		return fmt.Errorf("cell ceiling_rate of %s: %v is not within 0 to %v", r.Key(), r.CeilingRate, float64(MaximumRate))
+	if math.IsNaN(r.CeilingRate) || r.CeilingRate < 0 || r.CeilingRate > MaxRate {
+		return fmt.Errorf("cell ceiling_rate of %s: %v is not within 0 to %v", r.Key(), r.CeilingRate, float64(MaxRate))
 	}
-	if r.Priority < 0 || r.Priority > MaximumPriority {
-		return fmt.Errorf("cell priority of %s: %d is not within 0 to %d", r.Key(), r.Priority, MaximumPriority)
+	if r.Priority < 0 || r.Priority > MaxPriority {
+		return fmt.Errorf("cell priority of %s: %d is not within 0 to %d", r.Key(), r.Priority, MaxPriority)
 	}
 	return nil
 }
--- a/api/table.go
+++ b/api/table.go
@@ -65,13 +65,13 @@
 	Delete bool      `json:"delete,omitempty"`
 	// Create allows the edit to create the row.
 	Create bool `json:"create,omitempty"`
-	// ExpectRevision, if positive, is the revision that the row must have. Otherwise
+	// ExpectedRevision, if positive, is the revision that the row must have. Otherwise
 	// the row is read first, and concurrent edits of other cells are merged.
-	ExpectRevision int64 `json:"expect_revision,omitempty"`
-	// Since, if positive, indicates a resend: the outcome of an earlier send with this
+	ExpectedRevision int64 `json:"expect_revision,omitempty"`
+	// SinceRevision, if positive, indicates a resend: the outcome of an earlier send with this
 	// ID is unknown, and before that send the table was at this revision or later.
-	Since int64  `json:"since,omitempty"`
-	By    string `json:"by,omitempty"` // author, for the history
+	SinceRevision int64  `json:"since,omitempty"`
+	Author        string `json:"by,omitempty"` // author, for the history
 }
 
 // Validate returns an error that names the first invalid field. Cells are validated
@@ -80,7 +80,7 @@
 	if e.ID == "" || len(e.ID) > maxEditIDBytes {
 		return fmt.Errorf("id of the edit must have 1 to %d bytes", maxEditIDBytes)
 	}
-	if len(e.By) > maxEditIDBytes {
+	if len(e.Author) > maxEditIDBytes {
 		return fmt.Errorf("by must have at most %d bytes", maxEditIDBytes)
 	}
 	if err := ValidateName("service", string(e.Key.Service)); err != nil {
@@ -105,7 +105,7 @@
 	ID       string        `json:"id"`
 	Outcome  EditOutcome   `json:"outcome"`
 	Revision int64         `json:"revision,omitempty"` // at which the edit took effect
-	Standing *VersionedRow `json:"standing,omitempty"` // the current row, if known
+	Current  *VersionedRow `json:"standing,omitempty"` // the current row, if known
 	Message  string        `json:"message,omitempty"`
 }
 
@@ -115,7 +115,7 @@
 	Key      RowKey    `json:"key"`
 	Revision int64     `json:"revision"` // at which the edit took effect
 	Time     time.Time `json:"time"`     // by the clock of the router that wrote it
-	By       string    `json:"by,omitempty"`
+	Author   string    `json:"by,omitempty"`
 	Before   *Row      `json:"before,omitempty"` // nil: the row was new
 	After    *Row      `json:"after,omitempty"`  // nil: the row was deleted
 }
--- a/cmd/dykewing/main.go
+++ b/cmd/dykewing/main.go
@@ -98,7 +98,7 @@
 }
 
 func serveRole(role api.Role, settings config.Settings, logger *logrus.Logger) error {
-	if bytes := settings.Node.HeapBytes(); bytes > 0 {
+	if bytes := settings.Node.MaxHeapBytes(); bytes > 0 {
 		debug.SetMemoryLimit(bytes)
 	}
 	ctx, kill := stopSignals()
@@ -143,7 +143,7 @@
 		return nil
 	}
 	pace := kv.Paced(kv.Rates{Reads: settings.Platform.ReadsPerSecond, Writes: settings.Platform.WritesPerSecond})
-	store := platform.NewKeyValue(settings.Platform.StoreAddress, settings.Platform.Timeout, settings.Platform.LongWait())
+	store := platform.NewKeyValue(settings.Platform.StoreAddress, settings.Platform.Timeout, settings.Platform.LongPollTimeout())
 	store.Admit = pace.Wait
 	return &daemon.Platform{
 		KeyValue: store,
--- a/cmd/dykewingctl/table.go
+++ b/cmd/dykewingctl/table.go
@@ -128,7 +128,7 @@
 	lines := make([]string, 0, len(records))
 	for _, record := range records {
 		lines = append(lines, fmt.Sprintf("%d\t%s\t%s\t%s\t%s\t%s", record.Revision,
-			record.Time.Format("2006-01-02 15:04:05"), record.By, record.Key, describeEdit(record), record.ID))
+			record.Time.Format("2006-01-02 15:04:05"), record.Author, record.Key, describeEdit(record), record.ID))
 	}
 	return s.print(records, "REVISION\tTIME (UTC)\tBY\tROW\tCHANGE\tEDIT", lines)
 }
--- a/cmd/dykewingctl/table_import.go
+++ b/cmd/dykewingctl/table_import.go
@@ -106,7 +106,7 @@
 	plan := make([]plannedEdit, 0, len(lines))
 	for _, line := range lines {
 		planned := plannedEdit{line: line}
-		planned.edit = api.TableEdit{ID: uuid.NewString(), Key: line.Key, Change: line.Change, By: operator()}
+		planned.edit = api.TableEdit{ID: uuid.NewString(), Key: line.Key, Change: line.Change, Author: operator()}
 		before, exists := standing[line.Key]
 		after := line.Change.Apply(before.Row)
 		after.Service, after.Place = line.Key.Service, line.Key.Place
@@ -117,7 +117,7 @@
 		case before.Row == after:
 			planned.equal, planned.text = true, "equal"
 		default:
-			planned.edit.ExpectRevision = before.Revision
+			planned.edit.ExpectedRevision = before.Revision
 			planned.text = describeCells(before.Row, after)
 		}
 		plan = append(plan, planned)
--- a/cmd/dykewingctl/table_set.go
+++ b/cmd/dykewingctl/table_set.go
@@ -54,9 +54,9 @@
 
 func (f *setFlags) edit() (api.TableEdit, error) {
 	edit := api.TableEdit{
-		ID:  uuid.NewString(),
-		Key: api.RowKey{Service: api.ServiceName(f.service), Place: api.PlaceName(f.place)},
-		By:  operator(), Create: f.create, Delete: f.remove, ExpectRevision: f.expect,
+		ID:     uuid.NewString(),
+		Key:    api.RowKey{Service: api.ServiceName(f.service), Place: api.PlaceName(f.place)},
+		Author: operator(), Create: f.create, Delete: f.remove, ExpectedRevision: f.expect,
 	}
 	for _, cell := range f.cells {
 		column, text, ok := strings.Cut(cell, "=")
@@ -105,10 +105,10 @@
 		if failure == nil && result.Outcome != api.EditUnknown {
 			return result, nil
 		}
-		if failure != nil && api.AsError("edit table", failure).Outcome == api.OutcomeNotRun && edit.Since == 0 {
+		if failure != nil && api.AsError("edit table", failure).Outcome == api.OutcomeNotRun && edit.SinceRevision == 0 {
 			return result, failure
 		}
-		edit.Since = max(since, 1)
+		edit.SinceRevision = max(since, 1)
 		time.Sleep(time.Duration(send+1) * 200 * time.Millisecond)
 	}
 	if failure != nil {
@@ -139,10 +139,10 @@
 	default:
 		fmt.Fprintf(s.out, "Row %s: refused, the edit had no effect: %s.\n", edit.Key, result.Message)
 	}
-	if result.Standing == nil || result.Outcome == api.EditAccepted {
+	if result.Current == nil || result.Outcome == api.EditAccepted {
 		return nil
 	}
-	line := strings.Join(table.FormatCells(result.Standing.Row), "\t") + fmt.Sprintf("\t%d", result.Standing.Revision)
+	line := strings.Join(table.FormatCells(result.Current.Row), "\t") + fmt.Sprintf("\t%d", result.Current.Revision)
 	return s.print(nil, tableHeader, []string{line})
 }
 
--- a/cmd/dykewingctl/table_test.go
+++ b/cmd/dykewingctl/table_test.go
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	plan := planImport(lines, standing)
-	if changed := plan[0]; changed.equal || changed.edit.ExpectRevision != 7 || changed.edit.Create || changed.text != "weight 95 -> 50" {
+	if changed := plan[0]; changed.equal || changed.edit.ExpectedRevision != 7 || changed.edit.Create || changed.text != "weight 95 -> 50" {
 		t.Errorf("changed row: %+v", changed)
 	}
 	if !plan[1].equal {
--- a/config/config.go
+++ b/config/config.go
@@ -51,11 +51,11 @@
 // the program, stacks and mapped files.
 const heapFraction = 0.45
 
-// HeapBytes returns the limit of the heap in bytes; 0 means none.
-func (n Node) HeapBytes() int64 { return int64(heapFraction * float64(n.MemoryMB) * (1 << 20)) }
+// MaxHeapBytes returns the limit of the heap in bytes; 0 means none.
+func (n Node) MaxHeapBytes() int64 { return int64(heapFraction * float64(n.MemoryMB) * (1 << 20)) }
 
-// StopWithin returns how long a graceful shutdown may take: StopTimeout less StopMargin.
-func (n Node) StopWithin() time.Duration { return n.StopTimeout - n.StopMargin }
+// ShutdownTimeout returns how long a graceful shutdown may take: StopTimeout less StopMargin.
+func (n Node) ShutdownTimeout() time.Duration { return n.StopTimeout - n.StopMargin }
 
 // Location returns the node's region and zone.
 func (n Node) Location() api.Location {
@@ -153,8 +153,8 @@
 // changes.
 const longPollFraction = 0.75
 
-// LongWait returns the long-poll timeout of a watch that serves only this process.
-func (p Platform) LongWait() time.Duration {
+// LongPollTimeout returns the long-poll timeout of a watch that serves only this process.
+func (p Platform) LongPollTimeout() time.Duration {
 	return time.Duration(longPollFraction * float64(p.Freshness))
 }
 
@@ -203,10 +203,10 @@
 	return 2*slices.Max(s.ToleratedLosses) + 1
 }
 
-// Gathered reports whether groups need not survive the loss of a zone or anything larger,
+// ConcentrateVoters reports whether groups need not survive the loss of a zone or anything larger,
 // so that their voters are placed in few zones. Without ToleratedLosses for zones, voters
 // are spread.
-func (s Store) Gathered() bool {
+func (s Store) ConcentrateVoters() bool {
 	return len(s.ToleratedLosses) > 1 && slices.Max(s.ToleratedLosses[1:]) == 0
 }
 
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -56,7 +56,7 @@
 		{nil, false}, {[]int{2}, false}, {[]int{2, 0, 0}, true}, {[]int{1, 0}, true},
 		{[]int{1, 1, 0}, false}, {[]int{2, 0, 1}, false}, {[]int{0, 0, 0}, true},
 	} {
-		if got := (Store{ToleratedLosses: test.losses}).Gathered(); got != test.want {
+		if got := (Store{ToleratedLosses: test.losses}).ConcentrateVoters(); got != test.want {
 			t.Errorf("%v: gathered %t", test.losses, got)
 		}
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -95,7 +95,7 @@
 	}
 	var common *node.Node
 	members := func() []feed.Member { return feedMembers(common.Nodes(), settings.Node.Location()) }
-	within := feed.NewSettings(api.NodeID(settings.Node.ID), settings.Platform.ChangesWithin, settings.Platform.LongWait())
+	within := feed.NewSettings(api.NodeID(settings.Node.ID), settings.Platform.ChangesWithin, settings.Platform.LongPollTimeout())
 	changes := relay.New(platform.KeyValue, within, members, log.WithField("part", "feed").WithField("node", settings.Node.ID))
 	common, err := node.New(role, settings, log, node.WithKeyValue(changes))
 	if err != nil {
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -112,7 +112,7 @@
 		random:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		successLogs: rate.NewLimiter(maxSuccessLogsPerSecond, maxSuccessLogsPerSecond),
 	}
-	f.memory = newMemoryBudget(common.Settings.Node.HeapBytes(), common.Logger("memory"), common.Registry)
+	f.memory = newMemoryBudget(common.Settings.Node.MaxHeapBytes(), common.Logger("memory"), common.Registry)
 	f.shutdownCtx, f.cancelRequests = context.WithCancel(context.Background())
 	registered := &storeclient.Registered{}
 	f.leaders = &storeclient.Leaders{Prefix: common.Settings.KeyValueService.Prefix}
@@ -121,7 +121,7 @@
 		Self: f.selfNode, Nodes: common.Nodes, ForwardedPaths: []string{limiter.PathTokens}, Log: common.Logger("relayed"), Registry: common.Registry,
 	})
 	common.Mux.Handle("POST "+relayed.Path, f.relayClient)
-	common.SetSummary(func() api.Summary { return api.Summary{Apart: f.relayClient.Isolated()} })
+	common.SetSummary(func() api.LoadSummary { return api.LoadSummary{StoresUnreachable: f.relayClient.Isolated()} })
 	f.limiter = limiter.New(common.Settings.Tenants.Tolerance(), common.ID(), f.relayClient, func() []api.Node { return storeclient.Owners(common.Nodes(), registered.With) }, f.admittingFrontends, common.Logger("limits"), common.Registry)
 	f.pool = backend.NewPool(worker.TwoChoiceSettings(common.Settings.Node.Zone), nil)
 	f.pool.SetGroups(f.workerGroup)
@@ -234,7 +234,7 @@
 // Callers that keep the address longer are refused the connection and try another one.
 func (f *Frontend) acceptTime() time.Duration {
 	expiry := time.Duration(f.settings.ForgetFactor*float64(f.settings.AddressLifetime)) + addressExpiryMargin
-	return min(expiry, time.Duration(maxAcceptFraction*float64(f.node.Settings.Node.StopWithin())), maxAcceptTime)
+	return min(expiry, time.Duration(maxAcceptFraction*float64(f.node.Settings.Node.ShutdownTimeout())), maxAcceptTime)
 }
 
 // drain shuts the listeners down gracefully.
--- a/internal/frontend/identity.go
+++ b/internal/frontend/identity.go
@@ -36,7 +36,7 @@
 // error sends the caller to another frontend.
 func (f *Frontend) unknownKeyError(request backend.Request) *api.Error {
 	if f.catalog.OutOfContact() && request.HasKey {
-		return api.NewError("identify tenant", "", api.CodeNoContact, api.OutcomeNotRun, "unknown key; this frontend has lost contact with the key-value service and may lack new keys")
+		return api.NewError("identify tenant", "", api.CodeKeyValueUnavailable, api.OutcomeNotRun, "unknown key; this frontend has lost contact with the key-value service and may lack new keys")
 	}
 	if request.HasKey {
 		return api.NewError("identify tenant", "", api.CodeUnauthorized, api.OutcomeNotRun, "key %s is not valid", request.Key)
--- a/internal/frontend/limits.go
+++ b/internal/frontend/limits.go
@@ -51,7 +51,7 @@
 func (x *exchange) rateLimitError(verdict limiter.Result) *api.Error {
 	limit := x.identity.tenant.Limit
 	if verdict.RetryAfter <= 0 {
-		failure := api.NewError("ask for tokens", "", api.CodeNoContact, api.OutcomeNotRun, "no owner of the rate limit (%g/s, burst %g) answered", limit.Rate, limit.Burst)
+		failure := api.NewError("ask for tokens", "", api.CodeKeyValueUnavailable, api.OutcomeNotRun, "no owner of the rate limit (%g/s, burst %g) answered", limit.Rate, limit.Burst)
 		failure.RetryAfter = ownerUnreachableRetryAfter
 		return failure
 	}
--- a/internal/frontend/registry.go
+++ b/internal/frontend/registry.go
@@ -78,13 +78,13 @@
 			continue
 		}
 		total[node.Location]++
-		if node.Summary.Apart {
+		if node.Summary.StoresUnreachable {
 			disconnected[node.Location]++
 		}
 	}
 	return func(node api.Node) bool {
 		minority := float64(disconnected[node.Location]) <= maxExcludedFraction*float64(total[node.Location])
-		return keep(node) && !(node.Summary.Apart && minority)
+		return keep(node) && !(node.Summary.StoresUnreachable && minority)
 	}
 }
 
--- a/internal/frontend/registry_test.go
+++ b/internal/frontend/registry_test.go
@@ -30,12 +30,12 @@
 				for _, kind := range zone {
 					nodes = append(nodes, api.Node{
 						ID: api.NodeID(string(kind)), Role: api.RoleFrontend, Location: api.Location{Zone: api.ZoneName(fmt.Sprint(i))},
-						Suspected: kind == 's', Leaving: kind == 'l', Summary: api.Summary{Apart: kind == 'a'},
+						Suspected: kind == 's', Leaving: kind == 'l', Summary: api.LoadSummary{StoresUnreachable: kind == 'a'},
 					})
 				}
 			}
 			// Stores must not be counted.
-			nodes = append(nodes, api.Node{ID: "x", Role: api.RoleStore, Location: api.Location{Zone: "0"}, Summary: api.Summary{Apart: true}})
+			nodes = append(nodes, api.Node{ID: "x", Role: api.RoleStore, Location: api.Location{Zone: "0"}, Summary: api.LoadSummary{StoresUnreachable: true}})
 			keep := excludeDisconnected(nodes, func(node api.Node) bool { return !node.Suspected })
 			for i, want := range test.want {
 				got := strings.Builder{}
--- a/internal/guard/requests.go
+++ b/internal/guard/requests.go
@@ -50,7 +50,7 @@
 		return
 	}
 	if err := g.published.write(r.Context(), digest, nil); err != nil {
-		transport.WriteError(w, api.NewError(step, "", api.CodeNoContact, api.OutcomeUnknown, "%w", err))
+		transport.WriteError(w, api.NewError(step, "", api.CodeKeyValueUnavailable, api.OutcomeUnknown, "%w", err))
 		return
 	}
 	g.log.WithFields(logrus.Fields{"event": "request_released", "digest": digest, "why": "an operator asked for it"}).Info("A request is released from quarantine.")
--- a/internal/guard/tell.go
+++ b/internal/guard/tell.go
@@ -300,7 +300,7 @@
 func (g *Guard) sendTrialRequest(ctx context.Context, request quarantine.Digest) (trial TrialResponse, err error) {
 	owners := placement.RankStores(ownerKey, g.owners())
 	if len(owners) == 0 {
-		return trial, api.NewError("ask for a trial", "", api.CodeNoContact, api.OutcomeNotRun, "no store is known")
+		return trial, api.NewError("ask for a trial", "", api.CodeKeyValueUnavailable, api.OutcomeNotRun, "no store is known")
 	}
 	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
--- a/internal/integration/load_test.go
+++ b/internal/integration/load_test.go
@@ -136,7 +136,7 @@
 		case c.last.correct:
 			return cut
 		case c.last.refused || c.last.outcome == api.OutcomeNotRun:
-		case c.kind == kindKeyed && strings.Contains(c.last.detail, string(api.CodeAlreadySubmitted)):
+		case c.kind == kindKeyed && strings.Contains(c.last.detail, string(api.CodeInProgress)):
 		case c.kind != kindUnkeyed && c.last.outcome == api.OutcomeUnknown && !strings.Contains(c.last.detail, "dykewing_outcome"):
 			cut++
 		default:
--- a/internal/node/edit.go
+++ b/internal/node/edit.go
@@ -58,7 +58,7 @@
 	}
 	editor := table.NewEditor(edit, current)
 	key := table.StoreKey(n.Settings.KeyValueService.Prefix, edit.Key)
-	var message table.EditorMessage = table.Begin{}
+	var message table.EditorMessage = table.Start{}
 	for {
 		for _, action := range editor.Step(time.Now(), message) {
 			if finished, ok := action.(table.Finished); ok {
@@ -74,25 +74,25 @@
 	switch action := action.(type) {
 	case table.ReadRow:
 		if !n.sleep(ctx, action.Delay) {
-			return table.GiveUp{Reason: "the key-value service did not answer in time"}
+			return table.Abort{Reason: "the key-value service did not answer in time"}
 		}
 		pair, revision, err := n.KeyValue.Read(ctx, key)
 		return table.ReadDone{Pair: storedPair(pair), Revision: revision, Err: err}
 	case table.SwapRow:
 		result, err := n.KeyValue.Swap(ctx, kv.Swap{Key: key, Expected: action.Expected, Value: action.Value})
 		return table.SwapDone{
-			Succeeded: result.Succeeded, Revision: result.Revision, Standing: storedPair(result.Standing),
+			Succeeded: result.Succeeded, Revision: result.Revision, Current: storedPair(result.Standing),
 			Unknown: errors.Is(err, kv.ErrUnknown), Err: err,
 		}
 	}
-	return table.GiveUp{Reason: "unknown action"}
+	return table.Abort{Reason: "unknown action"}
 }
 
-func storedPair(pair *kv.Pair) table.StoredPair {
+func storedPair(pair *kv.Pair) table.KeyValue {
 	if pair == nil {
-		return table.StoredPair{}
+		return table.KeyValue{}
 	}
-	return table.StoredPair{Value: pair.Value, Revision: pair.Revision}
+	return table.KeyValue{Value: pair.Value, Revision: pair.Revision}
 }
 
 // serveHistory responds with the latest edits that the rows have recorded, newest first.
--- a/internal/node/edit_test.go
+++ b/internal/node/edit_test.go
@@ -99,7 +99,7 @@
 					return []any{rowValue{revision: result.Revision, weight: edit.weight}}
 				}
 			case api.EditConflict:
-				if row.matches(result.Standing) {
+				if row.matches(result.Current) {
 					return []any{row}
 				}
 			case api.EditRefused:
@@ -142,7 +142,7 @@
 				weight := float64(client*100 + number)
 				edit := api.TableEdit{ID: fmt.Sprintf("%d-%d", client, number), Key: key, Create: true, Change: api.RowChange{Weight: &weight}}
 				if random.IntN(2) == 0 {
-					edit.ExpectRevision = known
+					edit.ExpectedRevision = known
 				}
 				since := int64(1)
 				if snapshot := nodes[0].Table(); snapshot != nil {
@@ -151,16 +151,16 @@
 				called := time.Since(begin)
 				result, err := post(t, nodes[random.IntN(len(nodes))], edit)
 				for resend := 0; resend < 3 && (err != nil || result.Outcome == api.EditUnknown); resend++ {
-					edit.Since = since
+					edit.SinceRevision = since
 					result, err = post(t, nodes[random.IntN(len(nodes))], edit)
 				}
-				if result.Standing != nil {
-					known = result.Standing.Revision
+				if result.Current != nil {
+					known = result.Current.Revision
 				}
 				mutex.Lock()
 				counts[result.Outcome]++
 				history = append(history, porcupine.Operation{
-					ClientId: client, Input: editInput{expect: edit.ExpectRevision, weight: weight},
+					ClientId: client, Input: editInput{expect: edit.ExpectedRevision, weight: weight},
 					Call: int64(called), Output: result, Return: int64(time.Since(begin)),
 				})
 				mutex.Unlock()
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -125,7 +125,7 @@
 	}
 	n.membershipMetrics.answered.Inc()
 	n.membershipMetrics.records.Add(float64(len(exchange.Updates)))
-	actions, err := n.membership.Ask(membership.Incoming{Exchange: exchange})
+	actions, err := n.membership.Ask(membership.RequestReceived{Exchange: exchange})
 	if err != nil {
 		transport.WriteError(w, api.AsError(step, err))
 		return
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -86,7 +86,7 @@
 		n.sends.Go(func() { n.sendExchange(action) })
 	case membership.ViewChanged:
 		n.schedulePublish()
-	case membership.Died:
+	case membership.MemberDied:
 		n.logDeath(action)
 	case membership.DuplicateID:
 		n.Logger("membership").WithField("peer", action.Address).
@@ -94,7 +94,7 @@
 	}
 }
 
-func (n *Node) logDeath(died membership.Died) {
+func (n *Node) logDeath(died membership.MemberDied) {
 	entry := n.Logger("membership").WithField("peer", died.Node)
 	if died.Leaving {
 		entry.Info("A leaving peer has left.")
@@ -162,7 +162,7 @@
 	}
 	n.peerAnswered.Store(true)
 	n.membershipMetrics.records.Add(float64(len(answer.Updates)))
-	n.membership.Tell(membership.Answered{Sent: send, Exchange: answer})
+	n.membership.Tell(membership.ReplyReceived{Sent: send, Exchange: answer})
 }
 
 // logUnreachable logs the first failure to reach a peer, unless a peer has responded before.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -79,7 +79,7 @@
 	leaving           atomic.Bool
 	connections       *connTracker
 	panics            prometheus.Counter
-	summary           func() api.Summary
+	summary           func() api.LoadSummary
 	mutex             sync.Mutex // guards the callbacks
 	onView            []func([]api.Node)
 	onResume          []func()
@@ -109,7 +109,7 @@
 		System: newActorSystem(), Control: transport.NewClient(controlConnections),
 		listener: listener, incarnation: uint64(time.Now().UnixMilli()),
 		gossip: newGossipClient(settings.Membership.Interval), reportNow: make(chan struct{}, 1), connections: newConnTracker(),
-		summary: func() api.Summary { return api.Summary{} },
+		summary: func() api.LoadSummary { return api.LoadSummary{} },
 	}
 	node.panics = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "dykewing_node_panics_total", Help: "Panics of handlers of the internal protocol.",
@@ -190,7 +190,7 @@
 
 // SetSummary sets the function that returns the summary in the node's heartbeats. It must
 // be called before Run.
-func (n *Node) SetSummary(summary func() api.Summary) { n.summary = summary }
+func (n *Node) SetSummary(summary func() api.LoadSummary) { n.summary = summary }
 
 // OnView adds a callback that is called, in order, with each new view; it must not block.
 func (n *Node) OnView(callback func([]api.Node)) {
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -87,7 +87,7 @@
 func (n *Node) stop(kill context.Context, stopBackground func()) error {
 	began := time.Now()
 	n.BeginLeaving()
-	deadline, cancel := context.WithTimeout(kill, n.Settings.Node.StopWithin())
+	deadline, cancel := context.WithTimeout(kill, n.Settings.Node.ShutdownTimeout())
 	defer cancel()
 	if n.Role != api.RoleSidecar && n.Role != api.RoleFrontend && kill.Err() == nil {
 		n.awaitAcknowledged(deadline)
@@ -130,7 +130,7 @@
 	n.reportSelf()
 	n.poll(ctx, func() bool {
 		pending := 0
-		err := n.membership.Inspect(func() { pending = n.machine.LeavePending() })
+		err := n.membership.Inspect(func() { pending = n.machine.PendingLeaveAcks() })
 		return err != nil || pending == 0
 	})
 }
--- a/internal/node/table.go
+++ b/internal/node/table.go
@@ -21,7 +21,7 @@
 	switch action := action.(type) {
 	case table.Gap:
 		n.Logger("table").Debugf("Received changes do not follow revision %d; fetching the missing ones.", action.Revision)
-	case table.InForce:
+	case table.SnapshotApplied:
 		n.applySnapshot(action.Snapshot)
 	}
 }
@@ -37,7 +37,7 @@
 	}
 	n.snapshot.Store(snapshot)
 	n.tableMetrics.revision.Set(float64(snapshot.Revision()))
-	n.tableMetrics.rows.Set(float64(snapshot.Live()))
+	n.tableMetrics.rows.Set(float64(snapshot.LiveCount()))
 	n.ReportNow()
 }
 
@@ -104,5 +104,5 @@
 		return
 	}
 	n.tableMetrics.fetches.Inc()
-	n.replica.Tell(table.Received{Delta: delta})
+	n.replica.Tell(table.DeltaReceived{Delta: delta})
 }
--- a/internal/node/table_watch.go
+++ b/internal/node/table_watch.go
@@ -116,11 +116,11 @@
 		return fmt.Errorf("read table: %w", err)
 	}
 	s.recordContact()
-	received := table.Received{Delta: api.TableDelta{Revision: result.Revision, Full: true}}
+	received := table.DeltaReceived{Delta: api.TableDelta{Revision: result.Revision, Full: true}}
 	for _, pair := range result.Pairs {
 		row, err := s.decode(pair)
 		if err != nil {
-			if key, keyErr := table.KeyOf(s.prefix(), pair.Key); keyErr == nil {
+			if key, keyErr := table.ParseStoreKey(s.prefix(), pair.Key); keyErr == nil {
 				received.Unreadable = append(received.Unreadable, key)
 			}
 			continue
@@ -163,7 +163,7 @@
 			delta.Rows = append(delta.Rows, row)
 		}
 	}
-	s.node.replica.Tell(table.Received{Delta: delta})
+	s.node.replica.Tell(table.DeltaReceived{Delta: delta})
 	s.delivered.Store(max(batch.Revision, delta.After))
 }
 
@@ -171,7 +171,7 @@
 	if !event.Deleted {
 		return s.decode(event.Pair)
 	}
-	key, err := table.KeyOf(s.prefix(), event.Pair.Key)
+	key, err := table.ParseStoreKey(s.prefix(), event.Pair.Key)
 	row := api.Row{Service: key.Service, Place: key.Place}
 	return api.VersionedRow{Row: row, Revision: event.Pair.Revision, Deleted: true}, err
 }
--- a/internal/node/wire_test.go
+++ b/internal/node/wire_test.go
@@ -52,7 +52,7 @@
 		services[i] = api.ServiceSummary{Service: "tutor-model", Place: "cairo-west", Workers: 5, Slots: 160, Online: 40 + i, Batch: 7 * i}
 	}
 	exchange := membership.Exchange{From: "router-07-12", Updates: []membership.Record{{Node: api.Node{
-		ID: "router-07-12", Role: api.RoleRouter, Address: "10.20.30.40:7000", Incarnation: 1796198526781, Summary: api.Summary{Services: services},
+		ID: "router-07-12", Role: api.RoleRouter, Address: "10.20.30.40:7000", Incarnation: 1796198526781, Summary: api.LoadSummary{Services: services},
 	}}}}
 	body, compressed, err := EncodeExchange(exchange)
 	if err != nil || !compressed {
--- a/internal/relay/peer.go
+++ b/internal/relay/peer.go
@@ -64,7 +64,7 @@
 	}
 	err := transport.GetSteadily(ctx, r.client, "ask for changes", peer.Address, path, header, stallTimeout, into)
 	var failure *api.Error
-	if errors.As(err, &failure) && failure.Code == api.CodeNoContact {
+	if errors.As(err, &failure) && failure.Code == api.CodeKeyValueUnavailable {
 		return fmt.Errorf("%w: %w", errNoContact, err)
 	}
 	return err
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -361,7 +361,7 @@
 	for i := range z.members[:members-1] {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			if requests.Add(1) <= 4 { // watchers and standbys, once each
-				transport.WriteError(w, api.NewError("tell changes", "", api.CodeNoContact, api.OutcomeNotRun, "not yet"))
+				transport.WriteError(w, api.NewError("tell changes", "", api.CodeKeyValueUnavailable, api.OutcomeNotRun, "not yet"))
 				return
 			}
 			fmt.Fprint(w, `{"revision":7,"pairs":[{"Key":"op/config","Revision":7}]}`)
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -83,7 +83,7 @@
 }
 
 func (r *Relay) refuse(w http.ResponseWriter, state status) {
-	transport.WriteError(w, api.NewError("tell changes", "", api.CodeNoContact, api.OutcomeNotRun,
+	transport.WriteError(w, api.NewError("tell changes", "", api.CodeKeyValueUnavailable, api.OutcomeNotRun,
 		"last answer of the service was %v ago", clock.Since(state.lastContact).Round(time.Millisecond)))
 }
 
--- a/internal/relayed/relayed.go
+++ b/internal/relayed/relayed.go
@@ -274,7 +274,7 @@
 	}
 	peer, known := findNode(a.settings.Nodes(), path.Relay)
 	if !known {
-		result.status, result.err = detour.NoAnswer, api.NewError(request.Step, string(path.Relay), api.CodeNoContact, api.OutcomeNotRun, "peer is no longer a member")
+		result.status, result.err = detour.NoAnswer, api.NewError(request.Step, string(path.Relay), api.CodeKeyValueUnavailable, api.OutcomeNotRun, "peer is no longer a member")
 		return result
 	}
 	deadline, _ := ctx.Deadline()
@@ -288,7 +288,7 @@
 	switch {
 	case !reply.Reached:
 		result.status = detour.Unreachable
-		result.err = api.NewError(request.Step, string(path.Relay), api.CodeNoContact, reply.outcomeOrUnknown(), "peer does not reach %s: %s", request.Target.ID, reply.Failure)
+		result.err = api.NewError(request.Step, string(path.Relay), api.CodeKeyValueUnavailable, reply.outcomeOrUnknown(), "peer does not reach %s: %s", request.Target.ID, reply.Failure)
 	case reply.Failure != "":
 		result.err = api.NewError(request.Step, string(request.Target.ID), api.CodeUpstream, reply.outcomeOrUnknown(), "%s", reply.Failure)
 	}
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -16,7 +16,7 @@
 )
 
 // requestHeaders are forwarded from the caller to the back end.
-var requestHeaders = []string{"Content-Type", "Accept", "Authorization", "Traceparent", api.HeaderBackendKey}
+var requestHeaders = []string{"Content-Type", "Accept", "Authorization", "Traceparent", api.HeaderBackendIdempotencyKey}
 
 // responseHeaders are forwarded from the back end to the caller.
 var responseHeaders = []string{"Content-Type", "Content-Length", "Retry-After"}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -118,8 +118,8 @@
 	r.admission.Tell(admission.Rows{Rows: rows})
 }
 
-func (r *Router) summary() api.Summary {
-	var summary api.Summary
+func (r *Router) summary() api.LoadSummary {
+	var summary api.LoadSummary
 	_ = r.admission.Inspect(func() { summary.Services = r.machine.Summaries() })
 	return summary
 }
--- a/internal/sidecar/claim.go
+++ b/internal/sidecar/claim.go
@@ -55,7 +55,7 @@
 	if failure == nil {
 		return result.Recorded, nil
 	}
-	if failure.Code != api.CodeAlreadySubmitted || result.Claimed == nil {
+	if failure.Code != api.CodeInProgress || result.Claimed == nil {
 		return nil, failure
 	}
 	if s.isHolderRunning(ctx, *result.Claimed) {
@@ -66,7 +66,7 @@
 	if failure == nil {
 		return result.Recorded, nil
 	}
-	if failure.Code != api.CodeAlreadySubmitted {
+	if failure.Code != api.CodeInProgress {
 		return nil, failure
 	}
 	return nil, api.NewError("claim key", "", api.CodeOutcomeUnknown, api.OutcomeUnknown,
--- a/internal/sidecar/claim_test.go
+++ b/internal/sidecar/claim_test.go
@@ -58,7 +58,7 @@
 	})
 	<-begun
 	resend := f.postCalendar(api.HeaderIdempotencyKey, "key")
-	if resend.status != http.StatusConflict || resend.header.Get("Retry-After") == "" || !strings.Contains(resend.body, string(api.CodeAlreadySubmitted)) {
+	if resend.status != http.StatusConflict || resend.header.Get("Retry-After") == "" || !strings.Contains(resend.body, string(api.CodeInProgress)) {
 		t.Errorf("a resend while the request runs: %+v", resend)
 	}
 	close(release)
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -82,7 +82,7 @@
 	}))
 	f.nodes = append(f.nodes, api.Node{
 		ID: api.NodeID(fmt.Sprintf("router-%d", number)), Role: api.RoleRouter, Address: server.Listener.Addr().String(),
-		Summary: api.Summary{Services: []api.ServiceSummary{
+		Summary: api.LoadSummary{Services: []api.ServiceSummary{
 			{Service: "model", Place: "here", Workers: 1, Slots: 1}, {Service: "calendar", Place: "here", Workers: 1, Slots: 1},
 		}},
 	})
--- a/internal/sidecar/online.go
+++ b/internal/sidecar/online.go
@@ -24,7 +24,7 @@
 		s.refuse(w, failure)
 		return
 	}
-	w.Header().Set(api.HeaderAttemptID, string(request.routed.ID))
+	w.Header().Set(api.HeaderAssignedRequestID, string(request.routed.ID))
 	w.Header().Set(api.HeaderRequestID, string(request.routed.ID))
 	if request.callerID != "" {
 		w.Header().Set(api.HeaderRequestID, request.callerID)
@@ -148,7 +148,7 @@
 		}
 	}
 	if request.key != "" {
-		header.Set(api.HeaderBackendKey, request.key)
+		header.Set(api.HeaderBackendIdempotencyKey, request.key)
 	}
 	header.Set(api.HeaderRequestID, string(request.routed.ID))
 	header.Set(api.HeaderTenant, string(request.routed.Tenant))
--- a/internal/sidecar/online_test.go
+++ b/internal/sidecar/online_test.go
@@ -220,11 +220,11 @@
 		seen = r.Header.Clone()
 		respondJSON(w, r)
 	})
-	reply := f.postModel(api.HeaderPlace, "elsewhere", api.HeaderAttempt, "9", api.HeaderBackendKey, "k", api.HeaderRequestID, "mine", api.HeaderDeadline, "60000")
-	if seen.Get(api.HeaderPlace) != "here" || seen.Get(api.HeaderAttempt) != "" || seen.Get(api.HeaderBackendKey) != "" {
+	reply := f.postModel(api.HeaderPlace, "elsewhere", api.HeaderAttempt, "9", api.HeaderBackendIdempotencyKey, "k", api.HeaderRequestID, "mine", api.HeaderDeadline, "60000")
+	if seen.Get(api.HeaderPlace) != "here" || seen.Get(api.HeaderAttempt) != "" || seen.Get(api.HeaderBackendIdempotencyKey) != "" {
 		t.Errorf("router got %v", seen)
 	}
-	if id := seen.Get(api.HeaderRequestID); !strings.HasPrefix(id, "mine.") || reply.header.Get(api.HeaderRequestID) != "mine" || reply.header.Get(api.HeaderAttemptID) != id {
+	if id := seen.Get(api.HeaderRequestID); !strings.HasPrefix(id, "mine.") || reply.header.Get(api.HeaderRequestID) != "mine" || reply.header.Get(api.HeaderAssignedRequestID) != id {
 		t.Errorf("ids %q, %v", id, reply.header)
 	}
 }
--- a/internal/slopes/machines_test.go
+++ b/internal/slopes/machines_test.go
@@ -32,10 +32,10 @@
 }
 
 // summaryOf returns the summary of a router that is home of the workers.
-func summaryOf(workers []api.Worker) api.Summary {
+func summaryOf(workers []api.Worker) api.LoadSummary {
 	machine := admission.NewMachine(admission.Settings{})
 	machine.Step(sim.Epoch, admission.Workers{Workers: workers})
-	return api.Summary{Sequence: 1, Services: machine.Summaries()}
+	return api.LoadSummary{Sequence: 1, Services: machine.Summaries()}
 }
 
 // reportingNodes returns the fleet's nodes with their summaries.
@@ -94,7 +94,7 @@
 		size.Models = models
 		rows := size.TableRows()
 		replica := table.NewReplica()
-		replica.Step(sim.Epoch, table.Received{Delta: api.TableDelta{Revision: int64(len(rows)), Rows: rows}})
+		replica.Step(sim.Epoch, table.DeltaReceived{Delta: api.TableDelta{Revision: int64(len(rows)), Rows: rows}})
 		b.Run(fmt.Sprintf("rows=%d", len(rows)), func(b *testing.B) {
 			revision := int64(len(rows))
 			var delta api.TableDelta
@@ -103,7 +103,7 @@
 				changed := rows[int(revision)%len(rows)]
 				changed.Revision = revision
 				delta = api.TableDelta{Revision: revision, Rows: []api.VersionedRow{changed}}
-				replica.Step(sim.Epoch, table.Received{Delta: delta})
+				replica.Step(sim.Epoch, table.DeltaReceived{Delta: delta})
 			}
 			b.ReportMetric(encodedSize(b, delta), "delta-bytes")
 			b.ReportMetric(encodedSize(b, api.TableDelta{Revision: revision, Rows: rows}), "table-bytes")
@@ -293,7 +293,7 @@
 	for i, node := range nodes {
 		records[i] = membership.Record{Node: node, Status: membership.StatusAlive}
 	}
-	all := membership.Incoming{Exchange: membership.Exchange{From: nodes[2].ID, Location: nodes[0].Location, Updates: records}}
+	all := membership.RequestReceived{Exchange: membership.Exchange{From: nodes[2].ID, Location: nodes[0].Location, Updates: records}}
 	sender.Step(sim.Epoch, all)
 	receiver.Step(sim.Epoch, all)
 	now, bytes := sim.Epoch, 0
@@ -310,7 +310,7 @@
 			if err := json.Unmarshal(raw, &decoded); err != nil {
 				b.Fatal(err)
 			}
-			receiver.Step(now, membership.Incoming{Exchange: decoded})
+			receiver.Step(now, membership.RequestReceived{Exchange: decoded})
 		}
 	}
 	b.ReportMetric(float64(bytes)/float64(b.N), "bytes/heartbeat")
--- a/internal/slopes/memory_test.go
+++ b/internal/slopes/memory_test.go
@@ -80,7 +80,7 @@
 	machine := membership.NewMachine(membership.Settings{
 		Self: self, Interval: time.Second, SuspectTimeout: 5 * time.Second, Random: benchmarkRandom(),
 	})
-	machine.Step(sim.Epoch, membership.Incoming{Exchange: exchange})
+	machine.Step(sim.Epoch, membership.RequestReceived{Exchange: exchange})
 	return machine
 }
 
--- a/internal/store/bootstrap.go
+++ b/internal/store/bootstrap.go
@@ -234,7 +234,7 @@
 // when there are too few candidates.
 func (s *Store) initialMembers(id api.GroupID, candidates []placement.Store) (replication.Members, bool) {
 	settings := s.node.Settings.Store
-	if settings.Gathered() {
+	if settings.ConcentrateVoters() {
 		return placement.CompactMembers(id, candidates, settings.Voters())
 	}
 	return placement.SpreadMembers(id, candidates, settings.Voters())
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -96,7 +96,7 @@
 	at, since := group.members(), group.leadingSince()
 	change, ok := placement.NextChange(placement.GroupView{
 		Group: group.id, Self: group.database.identity, Members: at.Members,
-		Stores: s.shared.peers.stores(time.Now()), Replicas: s.node.Settings.Store.Voters(), Compact: s.node.Settings.Store.Gathered(),
+		Stores: s.shared.peers.stores(time.Now()), Replicas: s.node.Settings.Store.Voters(), Compact: s.node.Settings.Store.ConcentrateVoters(),
 		Lost:    func(replica replication.ReplicaID) bool { return s.lost(replica, since) },
 		Leaving: s.isDecommissioning,
 	})
--- a/internal/store/peers.go
+++ b/internal/store/peers.go
@@ -95,7 +95,7 @@
 	}
 	p.successors[answer.Replica] = api.Node{
 		ID: answer.Node, Role: api.RoleStore, Address: address, Location: answer.Location,
-		Summary: api.Summary{Replica: string(answer.Replica)},
+		Summary: api.LoadSummary{Replica: string(answer.Replica)},
 	}
 	p.owners[member] = answer.Node
 	p.replaced[member] = true
@@ -124,7 +124,7 @@
 		p.replaced[current] = true
 		p.successors[record.Replica] = api.Node{
 			ID: id, Role: api.RoleStore, Address: record.Address, Location: record.Location,
-			Summary: api.Summary{Replica: string(record.Replica)},
+			Summary: api.LoadSummary{Replica: string(record.Replica)},
 		}
 		p.set(record.Replica, p.successors[record.Replica])
 	}
--- a/internal/store/peers_test.go
+++ b/internal/store/peers_test.go
@@ -9,7 +9,7 @@
 )
 
 func storeNode(id, replica, address string) api.Node {
-	return api.Node{ID: api.NodeID(id), Role: api.RoleStore, Address: address, Summary: api.Summary{Replica: replica}}
+	return api.Node{ID: api.NodeID(id), Role: api.RoleStore, Address: address, Summary: api.LoadSummary{Replica: replica}}
 }
 
 // The membership view may show a replaced disk for seconds, in which a second disk may be lost.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -122,7 +122,7 @@
 	settings := s.node.Settings.Store
 	peers := newPeers(settings.ReplaceAfter)
 	s.shared = groupDependencies{
-		settings: settings, heapBytes: s.node.Settings.Node.HeapBytes(),
+		settings: settings, heapBytes: s.node.Settings.Node.MaxHeapBytes(),
 		electionTimeout: settings.ElectionTimeoutAt(s.node.Settings.Node.ProcessorShare), database: database, peers: peers, metrics: metrics, log: s.log, inline: s.inline, onLeading: s.requestPublish,
 		sender: newSender(database.identity, s.node.Address(), peers, metrics, s.node.Traffic, hooks.level()),
 	}
@@ -329,8 +329,8 @@
 	}
 }
 
-func (s *Store) summary() api.Summary {
-	summary := api.Summary{Replica: string(s.shared.database.identity), DiskFull: s.space.full.Load()}
+func (s *Store) summary() api.LoadSummary {
+	summary := api.LoadSummary{Replica: string(s.shared.database.identity), DiskFull: s.space.full.Load()}
 	for _, group := range s.sortedGroups() {
 		summary.Groups = append(summary.Groups, group.summary())
 	}
--- a/internal/storeclient/registered.go
+++ b/internal/storeclient/registered.go
@@ -110,7 +110,7 @@
 	for _, each := range newest {
 		added = append(added, api.Node{
 			ID: each.record.Node, Role: api.RoleStore, Address: each.record.Address, Location: each.record.Location,
-			Summary: api.Summary{Replica: string(each.record.Replica)},
+			Summary: api.LoadSummary{Replica: string(each.record.Replica)},
 		})
 	}
 	slices.SortFunc(added, func(a, b api.Node) int { return cmp.Compare(a.ID, b.ID) })
--- a/jobs/state_claims.go
+++ b/jobs/state_claims.go
@@ -41,7 +41,7 @@
 	if known.Claim.Request == command.Request {
 		return Result{}
 	}
-	result := failure(api.CodeAlreadySubmitted, "idempotency key %q is in use by a request whose answer is not recorded", command.Key)
+	result := failure(api.CodeInProgress, "idempotency key %q is in use by a request whose answer is not recorded", command.Key)
 	result.Claimed = &known.Claim
 	return result
 }
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -15,8 +15,8 @@
 // TCP and IP, as counted by a test of package node.
 const HeaderBytes = 240
 
-// MembershipOptions configures a simulated fleet.
-type MembershipOptions struct {
+// FleetOptions configures a simulated fleet.
+type FleetOptions struct {
 	Seed            uint64
 	Regions         int
 	Zones           int
@@ -33,9 +33,9 @@
 	Fault           membership.Fault
 }
 
-// DefaultMembershipOptions describes a fleet of about 670 nodes in 15 zones.
-func DefaultMembershipOptions() MembershipOptions {
-	return MembershipOptions{
+// DefaultFleetOptions describes a fleet of about 670 nodes in 15 zones.
+func DefaultFleetOptions() FleetOptions {
+	return FleetOptions{
 		Seed: 1, Regions: 6, Zones: 15, RoutersPerZone: 43, StoresPerZone: 2,
 		ServicesPerZone: 8, ServicesPerNode: 3,
 		Interval: time.Second, SuspectTimeout: 5 * time.Second,
@@ -60,19 +60,19 @@
 	// OnAction, if set, is called with each action of the machine.
 	OnAction func(membership.Action)
 
-	summary  api.Summary
+	summary  api.LoadSummary
 	revision int64
 	leaving  bool
 	waiting  map[uint64]membership.Send
 }
 
-// Membership simulates a fleet of membership machines.
-type Membership struct {
+// Fleet simulates a fleet of membership machines.
+type Fleet struct {
 	Simulation *sim.Simulation
 	Network    *sim.Network
 	Members    []*Member
 
-	options MembershipOptions
+	options FleetOptions
 	byName  map[string]*Member
 	tokens  uint64
 	random  *rand.Rand
@@ -95,10 +95,10 @@
 	crossRegionLatency = 30 * time.Millisecond
 )
 
-// NewMembership returns a fleet whose nodes start within the first interval.
-func NewMembership(options MembershipOptions) *Membership {
+// NewFleet returns a fleet whose nodes start within the first interval.
+func NewFleet(options FleetOptions) *Fleet {
 	simulation := sim.New(options.Seed)
-	fleet := &Membership{Simulation: simulation, options: options, byName: map[string]*Member{}, random: simulation.ForkRandom()}
+	fleet := &Fleet{Simulation: simulation, options: options, byName: map[string]*Member{}, random: simulation.ForkRandom()}
 	fleet.Network = simulation.NewNetwork(fleet.latency)
 	for zone := range options.Zones {
 		location := api.Location{
@@ -122,7 +122,7 @@
 	return fleet
 }
 
-func (f *Membership) add(role api.Role, name string, location api.Location) {
+func (f *Fleet) add(role api.Role, name string, location api.Location) {
 	member := &Member{
 		Process: f.Simulation.NewProcess(name),
 		Node:    api.Node{ID: api.NodeID(name), Role: role, Address: name, Location: location},
@@ -133,10 +133,10 @@
 }
 
 // Member returns the member with the name, or nil.
-func (f *Membership) Member(name string) *Member { return f.byName[name] }
+func (f *Fleet) Member(name string) *Member { return f.byName[name] }
 
 // Start gives the member a new machine with the incarnation and starts its ticks.
-func (f *Membership) Start(member *Member, incarnation uint64) {
+func (f *Fleet) Start(member *Member, incarnation uint64) {
 	member.Node.Incarnation = incarnation
 	member.waiting = map[uint64]membership.Send{}
 	member.leaving = false
@@ -153,7 +153,7 @@
 }
 
 // seeds returns the first two routers of the first two zones and of the member's own.
-func (f *Membership) seeds(member *Member) []string {
+func (f *Fleet) seeds(member *Member) []string {
 	var seeds []string
 	perZone := f.options.RoutersPerZone + f.options.StoresPerZone
 	for i, other := range f.Members[:f.options.Zones*perZone] {
@@ -165,13 +165,13 @@
 	return seeds
 }
 
-func (f *Membership) tick(member *Member) {
+func (f *Fleet) tick(member *Member) {
 	f.step(member, membership.Tick{})
 	member.Process.After(f.options.Interval, func() { f.tick(member) })
 }
 
 // changeLoad gives the member a random load.
-func (f *Membership) changeLoad(member *Member) {
+func (f *Fleet) changeLoad(member *Member) {
 	services := make([]api.ServiceSummary, f.options.ServicesPerNode)
 	first := f.random.IntN(max(f.options.ServicesPerZone, 1))
 	if len(member.summary.Services) > 0 {
@@ -191,27 +191,27 @@
 	f.report(member)
 }
 
-func (f *Membership) SetRevision(member *Member, revision int64) {
+func (f *Fleet) SetRevision(member *Member, revision int64) {
 	member.revision = revision
 	f.report(member)
 }
 
-func (f *Membership) Leave(member *Member) {
+func (f *Fleet) Leave(member *Member) {
 	member.leaving = true
 	f.report(member)
 }
 
-func (f *Membership) report(member *Member) {
+func (f *Fleet) report(member *Member) {
 	f.step(member, membership.SelfChanged{Leaving: member.leaving, TableRevision: member.revision, Summary: member.summary})
 }
 
 // Stop announces the member's shutdown and ends its process.
-func (f *Membership) Stop(member *Member) {
+func (f *Fleet) Stop(member *Member) {
 	f.step(member, membership.Stopped{})
 	member.Process.Crash()
 }
 
-func (f *Membership) step(member *Member, message membership.Message) []membership.Action {
+func (f *Fleet) step(member *Member, message membership.Message) []membership.Action {
 	actions := member.Machine.Step(member.Process.Now(), message)
 	for _, action := range actions {
 		if send, ok := action.(membership.Send); ok {
@@ -224,7 +224,7 @@
 	return actions
 }
 
-func (f *Membership) send(member *Member, send membership.Send) {
+func (f *Fleet) send(member *Member, send membership.Send) {
 	f.tokens++
 	token := f.tokens
 	member.waiting[token] = send
@@ -244,19 +244,19 @@
 }
 
 // refuse fails an exchange like a host on which no process listens.
-func (f *Membership) refuse(member *Member, token uint64) {
+func (f *Fleet) refuse(member *Member, token uint64) {
 	if send, open := member.waiting[token]; open {
 		delete(member.waiting, token)
 		f.step(member, membership.Unreachable{Sent: send, Refused: true})
 	}
 }
 
-func (f *Membership) deliver(member *Member, from string, message any) {
+func (f *Fleet) deliver(member *Member, from string, message any) {
 	switch message := message.(type) {
 	case request:
 		member.Traffic.Answered++
 		f.measure(member, message.token, message.exchange, HeaderBytes)
-		for _, action := range f.step(member, membership.Incoming{Exchange: message.exchange}) {
+		for _, action := range f.step(member, membership.RequestReceived{Exchange: message.exchange}) {
 			if reply, ok := action.(membership.Reply); ok {
 				f.measure(member, message.token, reply.Exchange, 0)
 				f.Network.Send(member.Process.Name(), from, response{token: message.token, exchange: reply.Exchange})
@@ -269,13 +269,13 @@
 		}
 		delete(member.waiting, message.token)
 		f.measure(member, message.token, message.exchange, 0)
-		f.step(member, membership.Answered{Sent: send, Exchange: message.exchange})
+		f.step(member, membership.ReplyReceived{Sent: send, Exchange: message.exchange})
 	}
 }
 
 // measure encodes a sample of the exchanges to count their bytes; headers are counted
 // with the request.
-func (f *Membership) measure(member *Member, token uint64, exchange membership.Exchange, headers int) {
+func (f *Fleet) measure(member *Member, token uint64, exchange membership.Exchange, headers int) {
 	if f.options.MeasureEvery == 0 || token%uint64(f.options.MeasureEvery) != 0 {
 		return
 	}
@@ -287,7 +287,7 @@
 	member.Traffic.Bytes += len(body) + headers
 }
 
-func (f *Membership) ResetTraffic() {
+func (f *Fleet) ResetTraffic() {
 	for _, member := range f.Members {
 		member.Traffic = Traffic{}
 	}
@@ -295,12 +295,12 @@
 
 // BytesPerSecond estimates the member's traffic in both directions; elapsed is the time
 // since ResetTraffic.
-func (f *Membership) BytesPerSecond(member *Member, elapsed time.Duration) float64 {
+func (f *Fleet) BytesPerSecond(member *Member, elapsed time.Duration) float64 {
 	return float64(member.Traffic.Bytes*f.options.MeasureEvery) / elapsed.Seconds()
 }
 
 // latency returns the one-way latency between two nodes.
-func (f *Membership) latency(from, to string) time.Duration {
+func (f *Fleet) latency(from, to string) time.Duration {
 	a, b := f.byName[from], f.byName[to]
 	switch {
 	case a == nil || b == nil || a.Node.Location.Region != b.Node.Location.Region:
--- a/membership/growth_test.go
+++ b/membership/growth_test.go
@@ -15,11 +15,11 @@
 
 func measureStartup(t *testing.T, members int) startupCost {
 	t.Helper()
-	options := DefaultMembershipOptions()
+	options := DefaultFleetOptions()
 	options.Seed, options.MeasureEvery, options.SummaryInterval = 5, 0, 0
 	options.Interval, options.SuspectTimeout = startupInterval, time.Second
 	options.Regions, options.Zones, options.RoutersPerZone, options.StoresPerZone = 1, 1, 2, members-2
-	fleet := NewMembership(options)
+	fleet := NewFleet(options)
 	const observed = 12 * time.Second
 	converged, err := runUntil(fleet, observed, func() bool {
 		for _, member := range fleet.Members {
--- a/membership/homes_test.go
+++ b/membership/homes_test.go
@@ -8,9 +8,9 @@
 	"github.com/dykewing/dykewing/placement"
 )
 
-// Homes records which routers consider themselves home of which workers.
-type Homes struct {
-	fleet   *Membership
+// HomeTracker records which routers consider themselves home of which workers.
+type HomeTracker struct {
+	fleet   *Fleet
 	workers []api.Worker
 	routers map[api.NodeID]*routerHomes
 }
@@ -20,16 +20,16 @@
 	owned []api.Worker
 }
 
-// Overlap accumulates the time during which slots had more than one home or none.
-type Overlap struct {
-	Doubled  float64       // slot-seconds with more than one home
-	Homeless float64       // slot-seconds without a home
-	LastBad  time.Duration // time of the last sample in which some worker did not have exactly one home
+// HomeViolations accumulates the time during which slots had more than one home or none.
+type HomeViolations struct {
+	MultipleHomes float64       // slot-seconds with more than one home
+	NoHome        float64       // slot-seconds without a home
+	LastViolation time.Duration // time of the last sample in which some worker did not have exactly one home
 }
 
-// NewHomes creates workers in the fleet's first zone.
-func NewHomes(fleet *Membership, workers, slots int) *Homes {
-	h := &Homes{fleet: fleet, routers: map[api.NodeID]*routerHomes{}}
+// NewHomeTracker creates workers in the fleet's first zone.
+func NewHomeTracker(fleet *Fleet, workers, slots int) *HomeTracker {
+	h := &HomeTracker{fleet: fleet, routers: map[api.NodeID]*routerHomes{}}
 	for i := range workers {
 		h.workers = append(h.workers, api.Worker{
 			ID: api.WorkerID(fmt.Sprintf("worker-%04d", i)), Location: fleet.Members[0].Node.Location, Slots: slots,
@@ -39,8 +39,8 @@
 }
 
 // Watch runs the fleet for the duration and samples it after each step.
-func (h *Homes) Watch(duration, step time.Duration) Overlap {
-	var overlap Overlap
+func (h *HomeTracker) Watch(duration, step time.Duration) HomeViolations {
+	var overlap HomeViolations
 	for elapsed := time.Duration(0); elapsed < duration; elapsed += step {
 		h.fleet.Simulation.Run(step)
 		invalid := false
@@ -48,15 +48,15 @@
 			slots := float64(h.workers[i].Slots) * step.Seconds()
 			switch {
 			case count > 1:
-				overlap.Doubled += slots
+				overlap.MultipleHomes += slots
 				invalid = true
 			case count == 0:
-				overlap.Homeless += slots
+				overlap.NoHome += slots
 				invalid = true
 			}
 		}
 		if invalid {
-			overlap.LastBad = elapsed + step
+			overlap.LastViolation = elapsed + step
 		}
 	}
 	return overlap
@@ -64,7 +64,7 @@
 
 // count returns, for each worker, the number of running routers that consider
 // themselves its home.
-func (h *Homes) count() []int {
+func (h *HomeTracker) count() []int {
 	index := map[api.WorkerID]int{}
 	for i, worker := range h.workers {
 		index[worker.ID] = i
@@ -81,7 +81,7 @@
 	return counts
 }
 
-func (h *Homes) owned(member *Member) []api.Worker {
+func (h *HomeTracker) owned(member *Member) []api.Worker {
 	owner, ok := h.routers[member.Node.ID]
 	if !ok {
 		owner = &routerHomes{homes: placement.NewHomes(member.Node.ID)}
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -32,12 +32,12 @@
 	SuspectTimeout time.Duration // from suspect to dead, before scaling with the zone's size
 	Random         *rand.Rand
 
-	MaximumBytes   int // optional: limit on the JSON size of a heartbeat's updates
+	MaxUpdateBytes int // optional: limit on the JSON size of a heartbeat's updates
 	IndirectProbes int // optional: peers asked to probe before a peer is suspected
 	SyncTicks      int // optional: ticks between anti-entropy exchanges
 	ZoneTicks      int // optional: ticks between a representative's exchanges with other zones
 	PublishTicks   int // optional: ticks between publications of the zone's summary
-	Gateways       int // optional: routers advertised to other zones
+	MaxGateways    int // optional: routers advertised to other zones
 	ObserveTicks   int // optional: ticks between an observer's polls
 
 	Fault Fault // injected by tests
@@ -66,12 +66,12 @@
 )
 
 func (s Settings) withDefaults() Settings {
-	setDefault(&s.MaximumBytes, defaultMaxUpdateBytes)
+	setDefault(&s.MaxUpdateBytes, defaultMaxUpdateBytes)
 	setDefault(&s.IndirectProbes, defaultIndirectProbes)
 	setDefault(&s.SyncTicks, defaultSyncTicks)
 	setDefault(&s.ZoneTicks, defaultZoneTicks)
 	setDefault(&s.PublishTicks, defaultPublishTicks)
-	setDefault(&s.Gateways, defaultMaxGateways)
+	setDefault(&s.MaxGateways, defaultMaxGateways)
 	setDefault(&s.ObserveTicks, defaultObserveTicks)
 	return s
 }
@@ -107,7 +107,7 @@
 	source Contact // observer: the member that it polls
 	// sourceIsSeed: the source was chosen from the seeds, before any member was known.
 	sourceIsSeed bool
-	cursor       Observe
+	cursor       ObserveRequest
 	location     api.Location // zone that the entries belong to
 }
 
@@ -137,9 +137,9 @@
 	switch message := message.(type) {
 	case Tick:
 		return m.tick(now)
-	case Incoming:
+	case RequestReceived:
 		return m.handleIncoming(now, message.Exchange)
-	case Answered:
+	case ReplyReceived:
 		return m.handleReply(now, message)
 	case Unreachable:
 		return m.handleUnreachable(now, message)
@@ -190,7 +190,7 @@
 	return append(actions, Reply{Exchange: reply})
 }
 
-func (m *Machine) handleReply(now time.Time, message Answered) []Action {
+func (m *Machine) handleReply(now time.Time, message ReplyReceived) []Action {
 	if m.observer {
 		return m.handleObserveReply(now, message)
 	}
@@ -203,7 +203,7 @@
 		actions = append(actions, m.send(message.Sent.Peer, PurposePush, m.exchange(message.Sent.Peer)))
 	}
 	actions = append(actions, m.announceJoin(message.Exchange)...)
-	if message.Sent.Purpose == PurposeProbeForOther {
+	if message.Sent.Purpose == PurposeProbeOnBehalf {
 		result := Exchange{From: m.self.ID, Location: m.self.Location, Reached: message.Sent.Peer}
 		actions = append(actions, Send{
 			Address: message.Sent.Origin.Address, Peer: message.Sent.Origin.ID,
@@ -230,7 +230,7 @@
 // A router is announced to all routers, so that workers that move to it have two
 // homes only briefly.
 func (m *Machine) announceJoin(exchange Exchange) []Action {
-	if m.joined || !exchange.Whole || exchange.Location != m.self.Location {
+	if m.joined || !exchange.Full || exchange.Location != m.self.Location {
 		return nil
 	}
 	m.joined = true
@@ -254,7 +254,7 @@
 	if known, ok := m.entries[to]; ok && known.record.Status != StatusAlive {
 		exchange.Updates = append(exchange.Updates, wireRecord(known.record))
 	}
-	exchange.Updates = append(exchange.Updates, m.queue.take(to, m.entries, m.settings.MaximumBytes)...)
+	exchange.Updates = append(exchange.Updates, m.queue.take(to, m.entries, m.settings.MaxUpdateBytes)...)
 	return exchange
 }
 
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -14,11 +14,11 @@
 const settleTime = 40 * time.Second
 
 // newSettledZone starts one zone and runs it for settleTime.
-func newSettledZone(seed uint64, routers int, fault membership.Fault) *Membership {
-	options := DefaultMembershipOptions()
+func newSettledZone(seed uint64, routers int, fault membership.Fault) *Fleet {
+	options := DefaultFleetOptions()
 	options.Seed, options.Fault, options.MeasureEvery = seed, fault, 0
 	options.Regions, options.Zones, options.RoutersPerZone, options.StoresPerZone = 1, 1, routers, 0
-	fleet := NewMembership(options)
+	fleet := NewFleet(options)
 	fleet.Simulation.Run(settleTime)
 	return fleet
 }
@@ -34,7 +34,7 @@
 }
 
 // allSeeStatus reports whether every other running member sees the member with the status.
-func allSeeStatus(fleet *Membership, of *Member, status membership.Status) bool {
+func allSeeStatus(fleet *Fleet, of *Member, status membership.Status) bool {
 	for _, holder := range fleet.Members {
 		if holder != of && holder.Process.Up() && statusInView(holder, of) != status {
 			return false
@@ -44,7 +44,7 @@
 }
 
 // runUntil runs the fleet until the condition holds and returns the time taken.
-func runUntil(fleet *Membership, bound time.Duration, condition func() bool) (time.Duration, error) {
+func runUntil(fleet *Fleet, bound time.Duration, condition func() bool) (time.Duration, error) {
 	const step = 100 * time.Millisecond
 	begin := fleet.Simulation.Now()
 	for fleet.Simulation.Now().Sub(begin) < bound {
@@ -57,11 +57,11 @@
 }
 
 // countFalseDeaths counts how often running members are declared dead.
-func countFalseDeaths(fleet *Membership) *int {
+func countFalseDeaths(fleet *Fleet) *int {
 	deaths := 0
 	for _, holder := range fleet.Members {
 		holder.OnAction = func(action membership.Action) {
-			if died, ok := action.(membership.Died); ok && fleet.Member(string(died.Node)).Process.Up() {
+			if died, ok := action.(membership.MemberDied); ok && fleet.Member(string(died.Node)).Process.Up() {
 				deaths++
 			}
 		}
@@ -89,10 +89,10 @@
 // Verifies that the check for detection can fail: if suspicions do not time out, a
 // crashed member stays in the view.
 func TestCrashIsUndetectedWithoutSuspicionTimeout(t *testing.T) {
-	options := DefaultMembershipOptions()
+	options := DefaultFleetOptions()
 	options.MeasureEvery, options.SuspectTimeout = 0, time.Hour
 	options.Regions, options.Zones, options.RoutersPerZone, options.StoresPerZone = 1, 1, 12, 0
-	fleet := NewMembership(options)
+	fleet := NewFleet(options)
 	fleet.Simulation.Run(settleTime)
 	member := fleet.Members[3]
 	member.Process.Crash()
@@ -229,7 +229,7 @@
 				}
 			}
 		}
-		return leaver.Machine.LeavePending() == 0
+		return leaver.Machine.PendingLeaveAcks() == 0
 	}
 	took, err := runUntil(fleet, time.Second, known)
 	if err != nil {
@@ -279,10 +279,10 @@
 }
 
 func TestSidecarViewFollowsZone(t *testing.T) {
-	options := DefaultMembershipOptions()
+	options := DefaultFleetOptions()
 	options.MeasureEvery, options.Zones, options.Regions = 0, 3, 2
 	options.RoutersPerZone, options.StoresPerZone, options.Sidecars = 10, 1, 5
-	fleet := NewMembership(options)
+	fleet := NewFleet(options)
 	fleet.Simulation.Run(settleTime)
 	const view = 1 + 11 + 2*(8+1) // itself, its zone, and the gateways and store of two zones
 	sidecars := fleet.Members[len(fleet.Members)-options.Sidecars:]
@@ -312,10 +312,10 @@
 }
 
 func TestPartitionedRegionRecovers(t *testing.T) {
-	options := DefaultMembershipOptions()
+	options := DefaultFleetOptions()
 	options.MeasureEvery, options.Zones, options.Regions = 0, 4, 2
 	options.RoutersPerZone, options.StoresPerZone = 9, 1
-	fleet := NewMembership(options)
+	fleet := NewFleet(options)
 	fleet.Simulation.Run(time.Minute)
 	deaths := countFalseDeaths(fleet)
 	partitionRegions(fleet)
@@ -335,7 +335,7 @@
 	t.Logf("all zones offer services again after %v", took)
 }
 
-func partitionRegions(fleet *Membership) {
+func partitionRegions(fleet *Fleet) {
 	for _, a := range fleet.Members {
 		for _, b := range fleet.Members {
 			if a.Node.Location.Region != b.Node.Location.Region {
@@ -374,9 +374,9 @@
 			if !ok {
 				continue
 			}
-			for _, answer := range sidecar.Step(sim.Epoch, membership.Incoming{Exchange: sent.Exchange}) {
+			for _, answer := range sidecar.Step(sim.Epoch, membership.RequestReceived{Exchange: sent.Exchange}) {
 				if reply, ok := answer.(membership.Reply); ok {
-					asker.Step(sim.Epoch, membership.Answered{Sent: sent, Exchange: reply.Exchange})
+					asker.Step(sim.Epoch, membership.ReplyReceived{Sent: sent, Exchange: reply.Exchange})
 				}
 			}
 		}
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -29,7 +29,7 @@
 			actions = append(actions, m.refute(record)...)
 			continue
 		}
-		if exchange.Whole && record.Status == StatusDead && record.Node.ID != exchange.From {
+		if exchange.Full && record.Status == StatusDead && record.Node.ID != exchange.From {
 			// A full view may come from the other side of a healed partition:
 			// give the nodes that it declared dead a chance to refute.
 			if _, known := m.entries[record.Node.ID]; !known {
@@ -38,7 +38,7 @@
 			record.Status = StatusSuspect
 		}
 		more, differs := m.mergeRecord(now, record)
-		if exchange.Whole && !m.joined {
+		if exchange.Full && !m.joined {
 			// The sender has already gossiped these records.
 			m.queue.drop(record.Node.ID)
 		}
@@ -82,7 +82,7 @@
 		!sameOfferedRows(next.Node.Summary.Services, known.record.Node.Summary.Services)
 	var actions []Action
 	if next.Status == StatusDead && known.record.Status != StatusDead {
-		actions = append(actions, Died{Node: next.Node.ID, Leaving: next.Node.Leaving})
+		actions = append(actions, MemberDied{Node: next.Node.ID, Leaving: next.Node.Leaving})
 	}
 	m.storeRecord(now, next, urgent)
 	return actions, true
--- a/membership/messages.go
+++ b/membership/messages.go
@@ -62,8 +62,8 @@
 	Location api.Location `json:"location"`
 	// Updates holds records of the sender's zone, its own first.
 	Updates []Record `json:"updates,omitempty"`
-	// Whole is set if Updates holds every record that the sender knows.
-	Whole bool `json:"whole,omitempty"`
+	// Full is set if Updates holds every record that the sender knows.
+	Full bool `json:"whole,omitempty"`
 	// Digest of the sender's live members; 0 if absent. A receiver of the same zone
 	// whose digest differs replies with all its records.
 	Digest uint64 `json:"digest,omitempty"`
@@ -73,27 +73,27 @@
 	// Probe asks the receiver to probe this node on the sender's behalf.
 	Probe *Contact `json:"probe,omitempty"`
 	// Reached is the node that the sender probed successfully on the receiver's behalf.
-	Reached api.NodeID `json:"reached,omitempty"`
-	Observe *Observe   `json:"observe,omitempty"`
-	Cursor  *Cursor    `json:"cursor,omitempty"` // in the reply to a poll
+	Reached api.NodeID      `json:"reached,omitempty"`
+	Observe *ObserveRequest `json:"observe,omitempty"`
+	Cursor  *Cursor         `json:"cursor,omitempty"` // in the reply to a poll
 }
 
-// Observe requests the changes at a member since a cursor, for a node that is not a
+// ObserveRequest requests the changes at a member since a cursor, for a node that is not a
 // member itself. A cursor of another source or incarnation requests everything.
-type Observe struct {
-	Source api.NodeID `json:"source,omitempty"`
-	Life   uint64     `json:"life,omitempty"`
-	After  uint64     `json:"after,omitempty"`
-	// Brief requests only urgent changes: of status, incarnation, leaving mark, table
+type ObserveRequest struct {
+	Source      api.NodeID `json:"source,omitempty"`
+	Incarnation uint64     `json:"life,omitempty"`
+	After       uint64     `json:"after,omitempty"`
+	// UrgentOnly requests only urgent changes: of status, incarnation, leaving mark, table
 	// revision and offered rows. The cursor does not advance.
-	Brief bool `json:"brief,omitempty"`
+	UrgentOnly bool `json:"brief,omitempty"`
 }
 
 // Cursor is the position from which an observer's next poll continues.
 type Cursor struct {
-	Life  uint64 `json:"life"`
-	Stamp uint64 `json:"stamp"`
-	Reset bool   `json:"reset,omitempty"` // the reply replaces the observer's whole view
+	Incarnation uint64 `json:"life"`
+	ChangeIndex uint64 `json:"stamp"`
+	Reset       bool   `json:"reset,omitempty"` // the reply replaces the observer's whole view
 }
 
 // Message is an input of Machine.Step.
@@ -102,11 +102,11 @@
 // Tick drives heartbeats and timeouts; the caller sends it every Settings.Interval.
 type Tick struct{}
 
-// Incoming is a request from a peer; the machine responds with one Reply.
-type Incoming struct{ Exchange Exchange }
+// RequestReceived is a request from a peer; the machine responds with one Reply.
+type RequestReceived struct{ Exchange Exchange }
 
-// Answered is the reply to a Send.
-type Answered struct {
+// ReplyReceived is the reply to a Send.
+type ReplyReceived struct {
 	Sent     Send
 	Exchange Exchange
 }
@@ -123,19 +123,19 @@
 type SelfChanged struct {
 	Leaving       bool
 	TableRevision int64
-	Summary       api.Summary
+	Summary       api.LoadSummary
 }
 
 // Stopped is the node's last message. Some peers are told that the node is dead, so
 // that they need not detect it.
 type Stopped struct{}
 
-func (Tick) membershipMessage()        {}
-func (Incoming) membershipMessage()    {}
-func (Answered) membershipMessage()    {}
-func (Unreachable) membershipMessage() {}
-func (SelfChanged) membershipMessage() {}
-func (Stopped) membershipMessage()     {}
+func (Tick) membershipMessage()            {}
+func (RequestReceived) membershipMessage() {}
+func (ReplyReceived) membershipMessage()   {}
+func (Unreachable) membershipMessage()     {}
+func (SelfChanged) membershipMessage()     {}
+func (Stopped) membershipMessage()         {}
 
 // Action is an output of Machine.Step that the caller carries out.
 type Action interface{ membershipAction() }
@@ -147,7 +147,7 @@
 const (
 	PurposeProbe         Purpose = "probe"     // regular heartbeat
 	PurposeIndirect      Purpose = "indirect"  // requests an indirect probe
-	PurposeProbeForOther Purpose = "probe_for" // performs an indirect probe
+	PurposeProbeOnBehalf Purpose = "probe_for" // performs an indirect probe
 	PurposeResult        Purpose = "result"    // reports a successful indirect probe
 	PurposePush          Purpose = "push"      // spreads an urgent change
 	PurposeSync          Purpose = "sync"      // anti-entropy and joining
@@ -170,8 +170,8 @@
 // ViewChanged reports that the results of Nodes or Zones have changed.
 type ViewChanged struct{}
 
-// Died reports that a member was declared dead, by this node or by a peer.
-type Died struct {
+// MemberDied reports that a member was declared dead, by this node or by a peer.
+type MemberDied struct {
 	Node     api.NodeID
 	Observed time.Duration // how long it was suspect here; 0 if learned from a peer
 	Leaving  bool          // it had announced its shutdown
@@ -183,5 +183,5 @@
 func (Send) membershipAction()        {}
 func (Reply) membershipAction()       {}
 func (ViewChanged) membershipAction() {}
-func (Died) membershipAction()        {}
+func (MemberDied) membershipAction()  {}
 func (DuplicateID) membershipAction() {}
--- a/membership/moves_test.go
+++ b/membership/moves_test.go
@@ -22,9 +22,9 @@
 
 func TestSimulationIsDeterministic(t *testing.T) {
 	run := func(seed uint64) string {
-		options := DefaultMembershipOptions()
+		options := DefaultFleetOptions()
 		options.Seed, options.Zones, options.Regions, options.RoutersPerZone, options.MeasureEvery = seed, 3, 2, 6, 1
-		fleet := NewMembership(options)
+		fleet := NewFleet(options)
 		fleet.Network.SetFaults(sim.Faults{Loss: 0.03, Delay: 0.1, MaxDelay: time.Second})
 		fleet.Simulation.Run(time.Minute)
 		text := ""
@@ -43,10 +43,10 @@
 }
 
 // newFullZone starts one zone of the default size and lets it settle.
-func newFullZone(seed uint64) *Membership {
-	options := DefaultMembershipOptions()
+func newFullZone(seed uint64) *Fleet {
+	options := DefaultFleetOptions()
 	options.Seed, options.Zones, options.Regions, options.MeasureEvery = seed, 1, 1, 0
-	fleet := NewMembership(options)
+	fleet := NewFleet(options)
 	fleet.Simulation.Run(fullSettleTime)
 	return fleet
 }
@@ -56,22 +56,22 @@
 var moves = []struct {
 	name  string
 	bound time.Duration
-	move  func(*Membership, *Member)
+	move  func(*Fleet, *Member)
 }{
-	{"planned stop", 5 * time.Second, func(fleet *Membership, member *Member) { fleet.Leave(member) }},
-	{"restart", 30 * time.Second, func(fleet *Membership, member *Member) {
+	{"planned stop", 5 * time.Second, func(fleet *Fleet, member *Member) { fleet.Leave(member) }},
+	{"restart", 30 * time.Second, func(fleet *Fleet, member *Member) {
 		member.Process.Crash()
 		fleet.Simulation.After(2*time.Second, func() {
 			member.Process.Restart()
 			fleet.Start(member, 2)
 		})
 	}},
-	{"crash of a machine", 30 * time.Second, func(_ *Membership, member *Member) { member.Process.Crash() }},
-	{"crash of a process", 10 * time.Second, func(fleet *Membership, member *Member) {
+	{"crash of a machine", 30 * time.Second, func(_ *Fleet, member *Member) { member.Process.Crash() }},
+	{"crash of a process", 10 * time.Second, func(fleet *Fleet, member *Member) {
 		fleet.options.Refuse = true
 		member.Process.Crash()
 	}},
-	{"pause of 20 s", 39 * time.Second, func(fleet *Membership, member *Member) {
+	{"pause of 20 s", 39 * time.Second, func(fleet *Fleet, member *Member) {
 		member.Process.Pause()
 		fleet.Simulation.After(20*time.Second, member.Process.Resume)
 	}},
@@ -80,14 +80,14 @@
 func TestEachWorkerHasOneHomeAfterMove(t *testing.T) {
 	for _, move := range moves {
 		fleet := newFullZone(5)
-		homes := NewHomes(fleet, 200, slotsPerWorker)
-		if before := homes.Watch(time.Second, watchInterval); before.Doubled+before.Homeless > 0 {
+		homes := NewHomeTracker(fleet, 200, slotsPerWorker)
+		if before := homes.Watch(time.Second, watchInterval); before.MultipleHomes+before.NoHome > 0 {
 			t.Fatalf("%s: %+v before the move", move.name, before)
 		}
 		move.move(fleet, fleet.Members[7])
 		overlap := homes.Watch(watchTime, 5*watchInterval)
-		if overlap.LastBad > move.bound {
-			t.Errorf("%s: some worker did not have exactly one home %v after the move, want at most %v", move.name, overlap.LastBad, move.bound)
+		if overlap.LastViolation > move.bound {
+			t.Errorf("%s: some worker did not have exactly one home %v after the move, want at most %v", move.name, overlap.LastViolation, move.bound)
 		}
 		t.Logf("%s: %+v", move.name, overlap)
 	}
@@ -98,22 +98,22 @@
 func BenchmarkHomeMoves(b *testing.B) {
 	for _, move := range moves {
 		b.Run(move.name, func(b *testing.B) {
-			var total Overlap
+			var total HomeViolations
 			seed := uint64(0)
 			for b.Loop() {
 				seed++
 				fleet := newFullZone(seed)
-				homes := NewHomes(fleet, workersPerZone, slotsPerWorker)
+				homes := NewHomeTracker(fleet, workersPerZone, slotsPerWorker)
 				homes.Watch(watchInterval, watchInterval)
 				move.move(fleet, fleet.Members[int(seed)%40])
 				overlap := homes.Watch(watchTime, watchInterval)
-				total.Doubled += overlap.Doubled
-				total.Homeless += overlap.Homeless
-				total.LastBad = max(total.LastBad, overlap.LastBad)
+				total.MultipleHomes += overlap.MultipleHomes
+				total.NoHome += overlap.NoHome
+				total.LastViolation = max(total.LastViolation, overlap.LastViolation)
 			}
-			b.ReportMetric(total.Doubled/float64(b.N), "doubled-slot-s")
-			b.ReportMetric(total.Homeless/float64(b.N), "homeless-slot-s")
-			b.ReportMetric(total.LastBad.Seconds(), "worst-s")
+			b.ReportMetric(total.MultipleHomes/float64(b.N), "doubled-slot-s")
+			b.ReportMetric(total.NoHome/float64(b.N), "homeless-slot-s")
+			b.ReportMetric(total.LastViolation.Seconds(), "worst-s")
 		})
 	}
 }
@@ -134,10 +134,10 @@
 }
 
 func measureFleet(b *testing.B, sidecars int, after time.Duration) {
-	options := DefaultMembershipOptions()
+	options := DefaultFleetOptions()
 	options.MeasureEvery, options.Sidecars = 0, sidecars
 	before := heapBytes()
-	fleet := NewMembership(options)
+	fleet := NewFleet(options)
 	fleet.Simulation.Run(after)
 	count := float64(len(fleet.Members))
 	b.ReportMetric(float64(heapBytes()-before)/count/1024, "KiB/node")
@@ -160,7 +160,7 @@
 	return stats.HeapAlloc
 }
 
-func reportTraffic(b *testing.B, fleet *Membership) {
+func reportTraffic(b *testing.B, fleet *Fleet) {
 	sum, most, exchanges, count := 0.0, 0.0, 0, 0.0
 	for _, member := range fleet.Members {
 		if member.Node.Role == api.RoleSidecar {
@@ -178,7 +178,7 @@
 }
 
 // reportAges reports the age of the loads in the nodes' views.
-func reportAges(b *testing.B, fleet *Membership) {
+func reportAges(b *testing.B, fleet *Fleet) {
 	zoneAge, zones, lag, records := 0.0, 0.0, 0.0, 0.0
 	now := fleet.Simulation.Now().UnixMilli()
 	for _, member := range fleet.Members {
@@ -210,7 +210,7 @@
 				fleet := newFullZone(seed)
 				for _, member := range fleet.Members {
 					member.OnAction = func(action membership.Action) {
-						if _, died := action.(membership.Died); died {
+						if _, died := action.(membership.MemberDied); died {
 							deaths++
 						}
 					}
--- a/membership/observer.go
+++ b/membership/observer.go
@@ -19,7 +19,7 @@
 // is usable, so that only changes are transferred.
 func (m *Machine) observeSource() []Action {
 	if (m.ticks+m.phase())%sourceRotationTicks == 0 || !m.sourceUsable() || m.sourceIsSeed && len(m.candidates()) > 0 {
-		m.source, m.cursor = m.chooseSource(), Observe{}
+		m.source, m.cursor = m.chooseSource(), ObserveRequest{}
 		// A seed only bootstraps: observers that all kept to the few configured
 		// seeds would overload them.
 		m.sourceIsSeed = m.source.ID == ""
@@ -28,7 +28,7 @@
 		return nil
 	}
 	cursor := m.cursor
-	cursor.Brief = cursor.Source != "" && m.ticks%fullObserveTicks != 0
+	cursor.UrgentOnly = cursor.Source != "" && m.ticks%fullObserveTicks != 0
 	exchange := Exchange{From: m.self.ID, Location: m.self.Location, Observe: &cursor}
 	return []Action{Send{Address: m.source.Address, Peer: m.source.ID, Purpose: PurposeObserve, Exchange: exchange}}
 }
@@ -90,21 +90,21 @@
 }
 
 // answerObserve adds the changes after the observer's cursor to the reply.
-func (m *Machine) answerObserve(reply *Exchange, observe Observe) {
+func (m *Machine) answerObserve(reply *Exchange, observe ObserveRequest) {
 	incarnation := m.settings.Self.Incarnation
 	after := observe.After
-	known := observe.Source == m.self.ID && observe.Life == incarnation
+	known := observe.Source == m.self.ID && observe.Incarnation == incarnation
 	if !known {
 		after = 0
 	}
-	if known && observe.Brief {
+	if known && observe.UrgentOnly {
 		reply.Updates = m.urgentRecords(after)
-		reply.Cursor = &Cursor{Life: incarnation, Stamp: after}
+		reply.Cursor = &Cursor{Incarnation: incarnation, ChangeIndex: after}
 		return
 	}
 	reply.Updates = m.records(after)
 	reply.Zones = m.zonesWhere(func(zone *zoneEntry) bool { return zone.changeIndex > after })
-	reply.Cursor = &Cursor{Life: incarnation, Stamp: m.changeIndex, Reset: !known}
+	reply.Cursor = &Cursor{Incarnation: incarnation, ChangeIndex: m.changeIndex, Reset: !known}
 }
 
 // urgentRecords returns the records with a change after the index in more than their
@@ -122,7 +122,7 @@
 	return records
 }
 
-func (m *Machine) handleObserveReply(now time.Time, message Answered) []Action {
+func (m *Machine) handleObserveReply(now time.Time, message ReplyReceived) []Action {
 	exchange := message.Exchange
 	if message.Sent.Address != m.source.Address {
 		return nil
@@ -137,7 +137,7 @@
 	}
 	m.location = exchange.Location
 	m.source.ID = exchange.From
-	m.cursor = Observe{Source: exchange.From, Life: exchange.Cursor.Life, After: exchange.Cursor.Stamp}
+	m.cursor = ObserveRequest{Source: exchange.From, Incarnation: exchange.Cursor.Incarnation, After: exchange.Cursor.ChangeIndex}
 	changed := exchange.Cursor.Reset
 	for _, record := range exchange.Updates {
 		changed = m.applyObserved(now, record) || changed
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -77,7 +77,7 @@
 		record := e.record
 		record.Status = StatusDead
 		m.storeRecord(now, record, true)
-		actions := []Action{Died{Node: id, Observed: age, Leaving: record.Node.Leaving}, ViewChanged{}}
+		actions := []Action{MemberDied{Node: id, Observed: age, Leaving: record.Node.Leaving}, ViewChanged{}}
 		return append(actions, m.push(m.settings.IndirectProbes)...)
 	case StatusDead:
 		if age > deadRetentionFactor*m.settings.SuspectTimeout {
@@ -158,7 +158,7 @@
 	}
 	origin := Contact{ID: exchange.From, Role: asker.record.Node.Role, Address: asker.record.Node.Address}
 	return []Action{Send{
-		Address: exchange.Probe.Address, Peer: exchange.Probe.ID, Purpose: PurposeProbeForOther,
+		Address: exchange.Probe.Address, Peer: exchange.Probe.ID, Purpose: PurposeProbeOnBehalf,
 		Origin: origin, Exchange: m.exchange(exchange.Probe.ID),
 	}}
 }
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -84,7 +84,7 @@
 	if exchange.Digest == 0 || exchange.Location != m.self.Location || exchange.Digest == m.digest() {
 		return
 	}
-	reply.Updates, reply.Whole = m.records(0), true
+	reply.Updates, reply.Full = m.records(0), true
 }
 
 // records returns the node's own record and those that changed after the index.
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -19,7 +19,7 @@
 
 // tableFleet adds a table.Replica to each member.
 type tableFleet struct {
-	*Membership
+	*Fleet
 	replicas     map[*Member]*table.Replica
 	appliedAfter map[*Member]time.Duration // since the edit
 	edited       time.Time
@@ -29,9 +29,9 @@
 }
 
 func newTableFleet(seed uint64, routersPerZone int) *tableFleet {
-	options := DefaultMembershipOptions()
+	options := DefaultFleetOptions()
 	options.Seed, options.MeasureEvery, options.RoutersPerZone = seed, 0, routersPerZone
-	fleet := &tableFleet{Membership: NewMembership(options), replicas: map[*Member]*table.Replica{}, revision: tableRows}
+	fleet := &tableFleet{Fleet: NewFleet(options), replicas: map[*Member]*table.Replica{}, revision: tableRows}
 	rows := make([]api.VersionedRow, 0, tableRows)
 	for i := range tableRows {
 		row := api.Row{Service: api.ServiceName("model-" + string(rune('a'+i%24))), Place: api.PlaceName("zone-" + string(rune('a'+i/24))), Weight: 100, BatchAllowance: 8}
@@ -39,7 +39,7 @@
 	}
 	for _, member := range fleet.Members {
 		replica := table.NewReplica()
-		replica.Step(member.Process.Now(), table.Received{Delta: api.TableDelta{Revision: tableRows, Rows: rows, Full: true}})
+		replica.Step(member.Process.Now(), table.DeltaReceived{Delta: api.TableDelta{Revision: tableRows, Rows: rows, Full: true}})
 		fleet.replicas[member] = replica
 		member.Process.After(time.Duration(fleet.random.Int64N(int64(peerInterval))), func() {
 			fleet.SetRevision(member, tableRows)
@@ -80,7 +80,7 @@
 }
 
 func (f *tableFleet) apply(member *Member, delta api.TableDelta) {
-	f.replicas[member].Step(member.Process.Now(), table.Received{Delta: delta})
+	f.replicas[member].Step(member.Process.Now(), table.DeltaReceived{Delta: delta})
 	f.SetRevision(member, f.replicas[member].Current().Revision())
 	if _, known := f.appliedAfter[member]; !known && f.replicas[member].Current().Revision() >= f.revision {
 		f.appliedAfter[member] = f.Simulation.Now().Sub(f.edited)
@@ -135,7 +135,7 @@
 // BenchmarkEditPropagation measures the same with the default fleet size.
 func BenchmarkEditPropagation(b *testing.B) {
 	for range b.N {
-		median, worst := newTableFleet(1, DefaultMembershipOptions().RoutersPerZone).measureEdits(b, 6)
+		median, worst := newTableFleet(1, DefaultFleetOptions().RoutersPerZone).measureEdits(b, 6)
 		b.ReportMetric(median.Seconds(), "s-median")
 		b.ReportMetric(worst.Seconds(), "s-worst")
 	}
--- a/membership/view.go
+++ b/membership/view.go
@@ -33,18 +33,18 @@
 	var nodes []api.Node
 	stale := m.stale(zone)
 	for _, contact := range zone.summary.Gateways {
-		if !contact.Role.Represents() {
+		if !contact.Role.RepresentsZone() {
 			continue
 		}
 		node := m.remoteNode(zone, contact)
 		if !stale {
-			node.Summary = api.Summary{Sequence: uint64(zone.summary.Version), Services: zone.summary.Services}
+			node.Summary = api.LoadSummary{Sequence: uint64(zone.summary.Version), Services: zone.summary.Services}
 		}
 		nodes = append(nodes, node)
 	}
 	for _, store := range zone.summary.Stores {
 		node := m.remoteNode(zone, store.Contact)
-		node.Summary = api.Summary{Sequence: uint64(zone.summary.Version), Groups: store.Groups, Replica: store.Replica, DiskFull: store.DiskFull}
+		node.Summary = api.LoadSummary{Sequence: uint64(zone.summary.Version), Groups: store.Groups, Replica: store.Replica, DiskFull: store.DiskFull}
 		nodes = append(nodes, node)
 	}
 	return nodes
@@ -78,9 +78,9 @@
 	return records
 }
 
-// LeavePending returns the number of members that have not acknowledged this node's
+// PendingLeaveAcks returns the number of members that have not acknowledged this node's
 // leaving mark.
-func (m *Machine) LeavePending() int { return len(m.unackedLeaves) }
+func (m *Machine) PendingLeaveAcks() int { return len(m.unackedLeaves) }
 
 // Self returns the node's own record.
 func (m *Machine) Self() api.Node { return m.self }
--- a/membership/zones.go
+++ b/membership/zones.go
@@ -81,7 +81,7 @@
 		contact := scoredContact{Contact{ID: node.ID, Role: node.Role, Address: node.Address}, placement.Score(gatewayKey, node.ID)}
 		switch {
 		case node.Leaving:
-		case node.Role.Represents():
+		case node.Role.RepresentsZone():
 			routers = append(routers, contact)
 		default:
 			others = append(others, contact)
@@ -98,7 +98,7 @@
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.ID, b.ID))
 	})
 	var gateways []Contact
-	for _, scored := range routers[:min(len(routers), m.settings.Gateways)] {
+	for _, scored := range routers[:min(len(routers), m.settings.MaxGateways)] {
 		gateways = append(gateways, scored.Contact)
 	}
 	return gateways
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -153,7 +153,7 @@
 			return fmt.Errorf("row %s is listed twice", api.RowKey(row.Key))
 		}
 		seen[row.Key] = true
-		if min(row.Want, row.InFlight, row.Tokens, row.Share) < 0 || max(row.Want, row.InFlight, row.Tokens, row.Share) > api.MaximumSlots {
+		if min(row.Want, row.InFlight, row.Tokens, row.Share) < 0 || max(row.Want, row.InFlight, row.Tokens, row.Share) > api.MaxSlots {
 			return fmt.Errorf("row %s: value out of range", api.RowKey(row.Key))
 		}
 	}
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -18,7 +18,7 @@
 	api.CodeBadRequest, api.CodeTooLarge, api.CodeNotFound, api.CodeConflict, api.CodeUnknownService,
 	api.CodeCeiling, api.CodeNoCapacity, api.CodeNoTable, api.CodeNotLeader, api.CodeNoQuorum, api.CodeLeaving,
 	api.CodePreempted, api.CodeDiskFull, api.CodeDeadline, api.CodeUpstream, api.CodeOutcomeUnknown,
-	api.CodeClientCancelled, api.CodeAlreadySubmitted, api.CodeInternal, api.CodeOverloaded, api.CodeRequestTimeout,
+	api.CodeClientCancelled, api.CodeInProgress, api.CodeInternal, api.CodeOverloaded, api.CodeRequestTimeout,
 }
 
 func genAttempt(t *rapid.T) Attempt {
--- a/table/codec.go
+++ b/table/codec.go
@@ -41,8 +41,8 @@
 	return prefix + KeyPrefix + key.String()
 }
 
-// KeyOf parses a key of the key-value service; it is the inverse of StoreKey.
-func KeyOf(prefix, key string) (api.RowKey, error) {
+// ParseStoreKey parses a key of the key-value service; it is the inverse of StoreKey.
+func ParseStoreKey(prefix, key string) (api.RowKey, error) {
 	name, found := strings.CutPrefix(key, prefix+KeyPrefix)
 	service, place, cut := strings.Cut(name, "/")
 	rowKey := api.RowKey{Service: api.ServiceName(service), Place: api.PlaceName(place)}
@@ -75,7 +75,7 @@
 // DecodeKeyed is Decode for the value of a key; it also checks that the row belongs to
 // the key.
 func DecodeKeyed(prefix, key string, value []byte, revision int64) (api.VersionedRow, error) {
-	rowKey, err := KeyOf(prefix, key)
+	rowKey, err := ParseStoreKey(prefix, key)
 	if err != nil {
 		return api.VersionedRow{}, err
 	}
@@ -122,7 +122,7 @@
 		}
 		records[i] = api.EditRecord{
 			ID: record.ID, Key: s.Row.Key(), Revision: effective, Time: record.Time,
-			By: record.By, Before: record.Before, After: record.After,
+			Author: record.By, Before: record.Before, After: record.After,
 		}
 	}
 	return records
--- a/table/codec_test.go
+++ b/table/codec_test.go
@@ -15,11 +15,11 @@
 	name := rapid.StringMatching(`[A-Za-z0-9][A-Za-z0-9._-]{0,20}`)
 	return api.Row{
 		Service: api.ServiceName(name.Draw(t, "service")), Place: api.PlaceName(name.Draw(t, "place")),
-		Weight:             rapid.Float64Range(0, api.MaximumWeight).Draw(t, "weight"),
-		BatchAllowance:     rapid.IntRange(0, api.MaximumSlots).Draw(t, "allowance"),
-		CeilingConcurrency: rapid.IntRange(0, api.MaximumSlots).Draw(t, "concurrency"),
-		CeilingRate:        rapid.Float64Range(0, api.MaximumRate).Draw(t, "rate"),
-		Priority:           rapid.IntRange(0, api.MaximumPriority).Draw(t, "priority"),
+		Weight:             rapid.Float64Range(0, api.MaxWeight).Draw(t, "weight"),
+		BatchAllowance:     rapid.IntRange(0, api.MaxSlots).Draw(t, "allowance"),
+		CeilingConcurrency: rapid.IntRange(0, api.MaxSlots).Draw(t, "concurrency"),
+		CeilingRate:        rapid.Float64Range(0, api.MaxRate).Draw(t, "rate"),
+		Priority:           rapid.IntRange(0, api.MaxPriority).Draw(t, "priority"),
 		Repeatable:         rapid.Bool().Draw(t, "repeatable"),
 	}
 }
--- a/table/editor.go
+++ b/table/editor.go
@@ -11,19 +11,19 @@
 // EditorMessage is an input of Editor.Step.
 type EditorMessage interface{ editorMessage() }
 
-// Begin starts the edit. It is sent once.
-type Begin struct{}
+// Start starts the edit. It is sent once.
+type Start struct{}
 
-// StoredPair is the value and revision of a row's key in the key-value service. Revision
+// KeyValue is the value and revision of a row's key in the key-value service. Revision
 // is 0 if the key is absent.
-type StoredPair struct {
+type KeyValue struct {
 	Value    []byte
 	Revision int64
 }
 
 // ReadDone is the result of ReadRow.
 type ReadDone struct {
-	Pair     StoredPair
+	Pair     KeyValue
 	Revision int64 // of the key-value service
 	Err      error
 }
@@ -32,19 +32,19 @@
 // effect, now or later. Err without Unknown means that it did not and will not.
 type SwapDone struct {
 	Succeeded bool
-	Revision  int64      // of the key-value service after the call
-	Standing  StoredPair // the key's current value, if the swap failed
+	Revision  int64    // of the key-value service after the call
+	Current   KeyValue // the key's current value, if the swap failed
 	Unknown   bool
 	Err       error
 }
 
-// GiveUp aborts the edit, for example on a timeout.
-type GiveUp struct{ Reason string }
+// Abort aborts the edit, for example on a timeout.
+type Abort struct{ Reason string }
 
-func (Begin) editorMessage()    {}
+func (Start) editorMessage()    {}
 func (ReadDone) editorMessage() {}
 func (SwapDone) editorMessage() {}
-func (GiveUp) editorMessage()   {}
+func (Abort) editorMessage()    {}
 
 // EditorAction is an output of Editor.Step; at most one is outstanding.
 type EditorAction interface{ editorAction() }
@@ -85,7 +85,7 @@
 type Editor struct {
 	edit          api.TableEdit
 	localRevision int64 // the table's revision at this node
-	base          StoredPair
+	base          KeyValue
 	row           storedRow      // decoded from base; zero if absent
 	unresolved    map[int64]bool // expected revisions of swaps with unknown outcome
 	inFlight      bool           // a swap is outstanding
@@ -109,13 +109,13 @@
 		return nil
 	}
 	switch message := message.(type) {
-	case Begin:
+	case Start:
 		return []EditorAction{ReadRow{}}
 	case ReadDone:
 		return e.read(now, message)
 	case SwapDone:
 		return e.swapped(now, message)
-	case GiveUp:
+	case Abort:
 		return e.abort(message.Reason)
 	}
 	return nil
@@ -134,13 +134,13 @@
 }
 
 // resolve decides the next step from the current value of the key.
-func (e *Editor) resolve(now time.Time, pair StoredPair) []EditorAction {
+func (e *Editor) resolve(now time.Time, pair KeyValue) []EditorAction {
 	row, err := decodeBase(pair)
 	if err != nil {
 		return e.refuse(fmt.Sprintf("the row's value can't be read (%v); delete its key first", err))
 	}
 	if revision, ok := row.findEdit(e.edit.ID, pair.Revision); ok {
-		return e.finish(api.EditResult{Outcome: api.EditAccepted, Revision: revision, Standing: currentRow(row, pair)})
+		return e.finish(api.EditResult{Outcome: api.EditAccepted, Revision: revision, Current: currentRow(row, pair)})
 	}
 	if e.recordMayBeTruncated(row, pair) {
 		return e.unknown("the row was edited so often that its record may no longer show this edit", row, pair)
@@ -162,12 +162,12 @@
 
 // recordMayBeTruncated reports whether the edit may have taken effect and since been
 // dropped from the row's records, which cover only edits after the first one's Previous.
-func (e *Editor) recordMayBeTruncated(row storedRow, pair StoredPair) bool {
+func (e *Editor) recordMayBeTruncated(row storedRow, pair KeyValue) bool {
 	truncatedAt := pair.Revision
 	if len(row.Records) > 0 {
 		truncatedAt = row.Records[0].Previous
 	}
-	if e.edit.Since > 0 && truncatedAt > e.edit.Since {
+	if e.edit.SinceRevision > 0 && truncatedAt > e.edit.SinceRevision {
 		return true
 	}
 	for expected := range e.unresolved {
@@ -179,11 +179,11 @@
 }
 
 // checkConflict ends the edit if the current row rules it out; it returns nil otherwise.
-func (e *Editor) checkConflict(row storedRow, pair StoredPair) []EditorAction {
+func (e *Editor) checkConflict(row storedRow, pair KeyValue) []EditorAction {
 	exists := pair.Revision > 0 && !row.Deleted
 	switch {
-	case e.edit.ExpectRevision > 0 && pair.Revision != e.edit.ExpectRevision:
-		return e.conflict(row, pair, fmt.Sprintf("the row is at revision %d, not %d", pair.Revision, e.edit.ExpectRevision))
+	case e.edit.ExpectedRevision > 0 && pair.Revision != e.edit.ExpectedRevision:
+		return e.conflict(row, pair, fmt.Sprintf("the row is at revision %d, not %d", pair.Revision, e.edit.ExpectedRevision))
 	case !exists && e.edit.Delete:
 		return e.refuse("there is no such row")
 	case !exists && !e.edit.Create:
@@ -222,7 +222,7 @@
 
 // value returns the encoded row that results from applying the edit to the base.
 func (e *Editor) value(now time.Time) ([]byte, error) {
-	record := storedRecord{ID: e.edit.ID, Time: now.UTC(), By: e.edit.By, Previous: e.base.Revision}
+	record := storedRecord{ID: e.edit.ID, Time: now.UTC(), By: e.edit.Author, Previous: e.base.Revision}
 	next := e.row
 	next.Row.Service, next.Row.Place = e.edit.Key.Service, e.edit.Key.Place
 	if e.baseExists() {
@@ -256,7 +256,7 @@
 	case done.Succeeded:
 		return e.finish(api.EditResult{Outcome: api.EditAccepted, Revision: done.Revision})
 	}
-	return e.resolve(now, done.Standing)
+	return e.resolve(now, done.Current)
 }
 
 func (e *Editor) retryRead() []EditorAction {
@@ -266,14 +266,14 @@
 }
 
 func (e *Editor) abort(reason string) []EditorAction {
-	if e.edit.Since > 0 {
+	if e.edit.SinceRevision > 0 {
 		return e.finish(api.EditResult{Outcome: api.EditUnknown, Message: reason})
 	}
 	return e.refuse(reason)
 }
 
-func (e *Editor) unknown(reason string, row storedRow, pair StoredPair) []EditorAction {
-	return e.finish(api.EditResult{Outcome: api.EditUnknown, Standing: currentRow(row, pair), Message: reason})
+func (e *Editor) unknown(reason string, row storedRow, pair KeyValue) []EditorAction {
+	return e.finish(api.EditResult{Outcome: api.EditUnknown, Current: currentRow(row, pair), Message: reason})
 }
 
 // refuse ends the edit as refused, or as unknown if a swap is unresolved.
@@ -287,12 +287,12 @@
 
 func (e *Editor) hasUnresolvedSwap() bool { return e.inFlight || len(e.unresolved) > 0 }
 
-func (e *Editor) conflict(row storedRow, pair StoredPair, reason string) []EditorAction {
+func (e *Editor) conflict(row storedRow, pair KeyValue, reason string) []EditorAction {
 	outcome := api.EditConflict
 	if e.hasUnresolvedSwap() {
 		outcome = api.EditUnknown
 	}
-	return e.finish(api.EditResult{Outcome: outcome, Standing: currentRow(row, pair), Message: reason})
+	return e.finish(api.EditResult{Outcome: outcome, Current: currentRow(row, pair), Message: reason})
 }
 
 func (e *Editor) finish(result api.EditResult) []EditorAction {
@@ -301,14 +301,14 @@
 	return []EditorAction{Finished{Result: result}}
 }
 
-func decodeBase(pair StoredPair) (storedRow, error) {
+func decodeBase(pair KeyValue) (storedRow, error) {
 	if pair.Revision == 0 {
 		return storedRow{}, nil
 	}
 	return decodeStored(pair.Value)
 }
 
-func currentRow(row storedRow, pair StoredPair) *api.VersionedRow {
+func currentRow(row storedRow, pair KeyValue) *api.VersionedRow {
 	if pair.Revision == 0 {
 		return nil
 	}
--- a/table/editor_test.go
+++ b/table/editor_test.go
@@ -17,16 +17,16 @@
 	simulation *sim.Simulation
 	random     *rand.Rand
 	revision   int64
-	pair       StoredPair
+	pair       KeyValue
 	applied    map[string]int // number of swaps that took effect, by edit
 }
 
 func (s *keyValueSim) swap(edit string, swap SwapRow) SwapDone {
 	if swap.Expected != s.pair.Revision {
-		return SwapDone{Revision: s.revision, Standing: s.pair}
+		return SwapDone{Revision: s.revision, Current: s.pair}
 	}
 	s.revision += 1 + s.random.Int64N(3) // other keys change too
-	s.pair = StoredPair{Value: swap.Value, Revision: s.revision}
+	s.pair = KeyValue{Value: swap.Value, Revision: s.revision}
 	s.applied[edit]++
 	return SwapDone{Succeeded: true, Revision: s.revision}
 }
@@ -45,11 +45,11 @@
 	c.sends++
 	c.editor = NewEditor(c.edit, 0)
 	c.editor.fault = c.fault
-	c.step(Begin{})
+	c.step(Start{})
 	editor := c.editor
 	c.service.simulation.After(3*time.Second, func() {
 		if c.editor == editor {
-			c.step(GiveUp{Reason: "timeout"})
+			c.step(Abort{Reason: "timeout"})
 		}
 	})
 }
@@ -86,7 +86,7 @@
 	case Finished:
 		c.result = action.Result
 		if c.result.Outcome == api.EditUnknown && c.sends < 4 {
-			c.edit.Since = max(c.edit.Since, 1)
+			c.edit.SinceRevision = max(c.edit.SinceRevision, 1)
 			s.simulation.After(time.Millisecond, c.send)
 		}
 	}
@@ -134,9 +134,9 @@
 		clients = append(clients, c)
 		simulation.After(time.Duration(service.random.Int64N(int64(4*time.Second))), func() {
 			if i%5 == 0 {
-				c.edit.ExpectRevision = service.pair.Revision
+				c.edit.ExpectedRevision = service.pair.Revision
 			}
-			c.edit.Since = 0
+			c.edit.SinceRevision = 0
 			c.send()
 		})
 	}
@@ -199,11 +199,11 @@
 		t.Fatal(err)
 	}
 	editor := NewEditor(api.TableEdit{ID: "mine", Key: row.Key(), Change: api.RowChange{Weight: &weight}}, 0)
-	editor.Step(sim.Epoch, Begin{})
-	editor.Step(sim.Epoch, ReadDone{Pair: StoredPair{Value: value, Revision: 5}, Revision: 9})
+	editor.Step(sim.Epoch, Start{})
+	editor.Step(sim.Epoch, ReadDone{Pair: KeyValue{Value: value, Revision: 5}, Revision: 9})
 	row.BatchAllowance = allowance // another operator's edit
 	other, _ := Encode(row, "other")
-	actions := editor.Step(sim.Epoch, SwapDone{Standing: StoredPair{Value: other, Revision: 10}})
+	actions := editor.Step(sim.Epoch, SwapDone{Current: KeyValue{Value: other, Revision: 10}})
 	swap, ok := actions[0].(SwapRow)
 	if !ok {
 		t.Fatalf("got %#v, want another swap", actions[0])
@@ -219,7 +219,7 @@
 
 func TestEditorRefusesRestoredKeyValueService(t *testing.T) {
 	editor := NewEditor(api.TableEdit{ID: "mine", Key: api.RowKey{Service: "model", Place: "east"}, Create: true}, 100)
-	editor.Step(sim.Epoch, Begin{})
+	editor.Step(sim.Epoch, Start{})
 	actions := editor.Step(sim.Epoch, ReadDone{Revision: 60})
 	if finished, ok := actions[0].(Finished); !ok || finished.Result.Outcome != api.EditRefused {
 		t.Errorf("got %#v, want a refusal", actions[0])
--- a/table/replica_test.go
+++ b/table/replica_test.go
@@ -137,7 +137,7 @@
 		n.oldDeltas = n.oldDeltas[1:]
 	}
 	before := n.replica.Current()
-	n.replica.Step(n.process.Now(), Received{Delta: delta})
+	n.replica.Step(n.process.Now(), DeltaReceived{Delta: delta})
 	after := n.replica.Current()
 	if before != nil && after.Revision() < before.Revision() {
 		n.cluster.violation = fmt.Sprintf("%s reverted from revision %d to %d", n.process.Name(), before.Revision(), after.Revision())
@@ -146,7 +146,7 @@
 		return
 	}
 	live := map[api.RowKey]api.Row{}
-	for _, row := range after.After(0) {
+	for _, row := range after.ChangedSince(0) {
 		if !row.Deleted {
 			live[row.Row.Key()] = row.Row
 		}
@@ -216,7 +216,7 @@
 	step := func(rows ...api.VersionedRow) {
 		delta := api.TableDelta{After: revision, Revision: rows[len(rows)-1].Revision, Rows: rows}
 		revision = delta.Revision
-		replica.Step(sim.Epoch, Received{Delta: delta})
+		replica.Step(sim.Epoch, DeltaReceived{Delta: delta})
 	}
 	key := func(i int) api.Row {
 		return api.Row{Service: api.ServiceName(fmt.Sprintf("model-%d", i)), Place: "east"}
@@ -225,16 +225,16 @@
 		step(api.VersionedRow{Row: key(i), Revision: revision + 1})
 	}
 	old := replica.Current().Delta(-1)
-	lagging.Step(sim.Epoch, Received{Delta: old})
+	lagging.Step(sim.Epoch, DeltaReceived{Delta: old})
 	for i := range 3*maxTombstones - 1 {
 		step(api.VersionedRow{Row: key(i), Revision: revision + 1, Deleted: true})
 	}
 	if rows := len(replica.Current().rows); rows > maxTombstones+1 {
 		t.Errorf("%d rows kept, want at most %d", rows, maxTombstones+1)
 	}
-	replica.Step(sim.Epoch, Received{Delta: old})
-	lagging.Step(sim.Epoch, Received{Delta: replica.Current().Delta(lagging.revision())})
-	if replica.Current().Live() != 1 || lagging.Current().Live() != 1 {
-		t.Errorf("%d and %d rows are live, want 1", replica.Current().Live(), lagging.Current().Live())
+	replica.Step(sim.Epoch, DeltaReceived{Delta: old})
+	lagging.Step(sim.Epoch, DeltaReceived{Delta: replica.Current().Delta(lagging.revision())})
+	if replica.Current().LiveCount() != 1 || lagging.Current().LiveCount() != 1 {
+		t.Errorf("%d and %d rows are live, want 1", replica.Current().LiveCount(), lagging.Current().LiveCount())
 	}
 }
--- a/table/snapshot.go
+++ b/table/snapshot.go
@@ -47,8 +47,8 @@
 	return versioned.Row, ok && !versioned.Deleted
 }
 
-// Version returns the row or tombstone of the key with its revision, if any.
-func (s *Snapshot) Version(key api.RowKey) (api.VersionedRow, bool) {
+// VersionedRow returns the row or tombstone of the key with its revision, if any.
+func (s *Snapshot) VersionedRow(key api.RowKey) (api.VersionedRow, bool) {
 	versioned, ok := s.rows[key]
 	return versioned, ok
 }
@@ -63,8 +63,8 @@
 	return names
 }
 
-// Live returns the number of live rows.
-func (s *Snapshot) Live() int {
+// LiveCount returns the number of live rows.
+func (s *Snapshot) LiveCount() int {
 	count := 0
 	for _, rows := range s.byService {
 		count += len(rows)
@@ -72,8 +72,8 @@
 	return count
 }
 
-// After returns the rows newer than revision, including tombstones, oldest first.
-func (s *Snapshot) After(revision int64) []api.VersionedRow {
+// ChangedSince returns the rows newer than revision, including tombstones, oldest first.
+func (s *Snapshot) ChangedSince(revision int64) []api.VersionedRow {
 	var newer []api.VersionedRow
 	for _, versioned := range s.rows {
 		if versioned.Revision > revision {
@@ -90,8 +90,8 @@
 // since, or the whole table if tombstones that it would need have been dropped.
 func (s *Snapshot) Delta(after int64) api.TableDelta {
 	if after < s.droppedRevision {
-		live := slices.DeleteFunc(s.After(0), func(row api.VersionedRow) bool { return row.Deleted })
+		live := slices.DeleteFunc(s.ChangedSince(0), func(row api.VersionedRow) bool { return row.Deleted })
 		return api.TableDelta{Revision: s.revision, Rows: live, Full: true}
 	}
-	return api.TableDelta{After: max(after, 0), Revision: s.revision, Rows: s.After(after)}
+	return api.TableDelta{After: max(after, 0), Revision: s.revision, Rows: s.ChangedSince(after)}
 }
--- a/table/table.go
+++ b/table/table.go
@@ -19,28 +19,28 @@
 // Message is an input of Replica.Step.
 type Message interface{ tableMessage() }
 
-// Received carries changes from the key-value service or from a peer.
-type Received struct {
+// DeltaReceived carries changes from the key-value service or from a peer.
+type DeltaReceived struct {
 	Delta api.TableDelta
 	// Unreadable holds the keys of a full delta whose values are invalid; their
 	// current rows are kept.
 	Unreadable []api.RowKey
 }
 
-func (Received) tableMessage() {}
+func (DeltaReceived) tableMessage() {}
 
 // Action is an output of Replica.Step.
 type Action interface{ tableAction() }
 
-// InForce reports that the snapshot has become the current one.
-type InForce struct{ Snapshot *Snapshot }
+// SnapshotApplied reports that the snapshot has become the current one.
+type SnapshotApplied struct{ Snapshot *Snapshot }
 
 // Gap reports that a delta was ignored because changes between the current Revision and
 // its start are missing. The caller requests a new delta from Revision.
 type Gap struct{ Revision int64 }
 
-func (InForce) tableAction() {}
-func (Gap) tableAction()     {}
+func (SnapshotApplied) tableAction() {}
+func (Gap) tableAction()             {}
 
 // Replica holds the current Snapshot and applies newer changes to it. Invariants: a
 // snapshot at revision R contains all changes up to R, so a row with a revision up to R
@@ -68,7 +68,7 @@
 
 // Step applies a delta that is newer than the current snapshot.
 func (r *Replica) Step(_ time.Time, message Message) []Action {
-	received, ok := message.(Received)
+	received, ok := message.(DeltaReceived)
 	if !ok {
 		return nil
 	}
@@ -81,7 +81,7 @@
 		return []Action{Gap{Revision: max(revision, 0)}}
 	}
 	r.apply(received)
-	return []Action{InForce{Snapshot: r.current}}
+	return []Action{SnapshotApplied{Snapshot: r.current}}
 }
 
 // revision returns the current revision; -1 before the first.
@@ -92,7 +92,7 @@
 	return r.current.revision
 }
 
-func (r *Replica) apply(received Received) {
+func (r *Replica) apply(received DeltaReceived) {
 	delta := received.Delta
 	rows := map[api.RowKey]api.VersionedRow{}
 	floor := int64(0)
@@ -133,7 +133,7 @@
 // deleteMissing marks rows that are missing in a full delta as deleted at its revision,
 // unless their values were unreadable. The revisions of older tombstones are raised too,
 // since the row may have been recreated and deleted again in between.
-func deleteMissing(rows map[api.RowKey]api.VersionedRow, received Received) {
+func deleteMissing(rows map[api.RowKey]api.VersionedRow, received DeltaReceived) {
 	kept := map[api.RowKey]bool{}
 	for _, row := range received.Delta.Rows {
 		kept[row.Row.Key()] = true
