--- a/internal/batchrun/service.go
+++ b/internal/batchrun/service.go
@@ -38,7 +38,7 @@
 	catalog  *catalog.Catalog
 	nodes    func() []api.Node
 	stores   *storeclient.Client // client of other groups' leaders
-	members  *storeclient.Registered
+	members  *storeclient.Registrations
 	pool     *backend.Pool
 	caller   *backend.Caller
 	metrics  *metrics
@@ -57,7 +57,7 @@
 func New(common *node.Node, protocol backend.Protocol, source catalog.Source) *Service {
 	s := &Service{
 		settings: common.Settings.Batch, groups: common.Settings.Store.Groups, cpuShare: common.Settings.Node.ProcessorShare, log: common.Logger("batch"), caller: backend.NewCaller(protocol).Count(common.Traffic),
-		metrics: newMetrics(common.Registry), leaders: map[*Leader]bool{}, members: &storeclient.Registered{}, nodes: common.Nodes,
+		metrics: newMetrics(common.Registry), leaders: map[*Leader]bool{}, members: &storeclient.Registrations{}, nodes: common.Nodes,
 	}
 	s.slots, s.zoneWorkers = newSlotBroker(s), newZoneWorkers(common.Settings.Node.Zone)
 	s.pool = backend.NewPool(worker.DefaultSettings(common.Settings.Node.Zone), s.wakeAll)
@@ -66,7 +66,7 @@
 	common.OnResume(s.catalog.RestartWatch)
 	s.catalog.SetMaxStaleness(common.Settings.Platform.Freshness)
 	s.guard = guard.New(guard.Settings{
-		Self: common.ID(), Owners: func() []api.Node { return storeclient.Owners(common.Nodes(), s.members.With) },
+		Self: common.ID(), Owners: func() []api.Node { return storeclient.OwnerCandidates(common.Nodes(), s.members.Extend) },
 		Accepts: s.pool.Accepts, CurrentIncarnation: s.pool.Current, WatchDown: s.catalog.OutOfContact, OnTrialGranted: s.wakeAll, KeyValue: common.KeyValue,
 		Prefix: common.Settings.KeyValueService.Prefix, Log: common.Logger("guard"), Registry: common.Registry,
 	})
@@ -80,7 +80,7 @@
 	s.catalog.AddView(common.Settings.KeyValueService.Prefix+storeclient.PrefixStores, s.members)
 	s.stores = &storeclient.Client{
 		HTTP: common.Traffic.Count(transport.NewClient(storeConnections), transport.KindJobs), AttemptTimeout: storeAttemptTimeout,
-		Nodes: func() []api.Node { return s.members.With(common.Nodes()) },
+		Nodes: func() []api.Node { return s.members.Extend(common.Nodes()) },
 	}
 	common.Mux.Handle("POST "+limiter.PathTokens, limiter.NewOwner(common.Settings.Tenants.Tolerance(), common.ID(), common.Nodes))
 	common.Mux.HandleFunc("POST "+reservation.Path, s.serveSlots)
@@ -94,7 +94,7 @@
 )
 
 // RegisteredStores returns the registry of store nodes.
-func (s *Service) RegisteredStores() *storeclient.Registered { return s.members }
+func (s *Service) RegisteredStores() *storeclient.Registrations { return s.members }
 
 // Catalog returns the service's view of configuration and workers.
 func (s *Service) Catalog() *catalog.Catalog { return s.catalog }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -157,7 +157,7 @@
 	prefix := common.Settings.KeyValueService.Prefix
 	records := &store.GroupRecords{Prefix: prefix}
 	runner.Catalog().AddView(prefix+storeclient.PrefixGroups, records)
-	options := []store.Option{store.WithInlineRunner(runner.StartLeader), store.WithRegistered(runner.RegisteredStores()), store.WithGroupRecords(records)}
+	options := []store.Option{store.WithInlineRunner(runner.StartLeader), store.WithRegistrations(runner.RegisteredStores()), store.WithGroupRecords(records)}
 	if platform.Decommissions != nil {
 		runner.Catalog().AddView(platform.Decommissions.Prefix, platform.Decommissions)
 		options = append(options, store.WithDecommissions(platform.Decommissions))
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -114,15 +114,15 @@
 	}
 	f.memory = newMemoryBudget(common.Settings.Node.MaxHeapBytes(), common.Logger("memory"), common.Registry)
 	f.shutdownCtx, f.cancelRequests = context.WithCancel(context.Background())
-	registered := &storeclient.Registered{}
+	registered := &storeclient.Registrations{}
 	f.leaders = &storeclient.Leaders{Prefix: common.Settings.KeyValueService.Prefix}
-	f.stores = &storeclient.Client{HTTP: common.Traffic.Count(newStoreClient(), transport.KindJobs), AttemptTimeout: storeAttemptTimeout, Nodes: func() []api.Node { return registered.With(common.Nodes()) }}
+	f.stores = &storeclient.Client{HTTP: common.Traffic.Count(newStoreClient(), transport.KindJobs), AttemptTimeout: storeAttemptTimeout, Nodes: func() []api.Node { return registered.Extend(common.Nodes()) }}
 	f.relayClient = relayed.New(relayed.Settings{
 		Self: f.selfNode, Nodes: common.Nodes, ForwardedPaths: []string{limiter.PathTokens}, Log: common.Logger("relayed"), Registry: common.Registry,
 	})
 	common.Mux.Handle("POST "+relayed.Path, f.relayClient)
 	common.SetSummary(func() api.LoadSummary { return api.LoadSummary{StoresUnreachable: f.relayClient.Isolated()} })
-	f.limiter = limiter.New(common.Settings.Tenants.Tolerance(), common.ID(), f.relayClient, func() []api.Node { return storeclient.Owners(common.Nodes(), registered.With) }, f.admittingFrontends, common.Logger("limits"), common.Registry)
+	f.limiter = limiter.New(common.Settings.Tenants.Tolerance(), common.ID(), f.relayClient, func() []api.Node { return storeclient.OwnerCandidates(common.Nodes(), registered.Extend) }, f.admittingFrontends, common.Logger("limits"), common.Registry)
 	f.pool = backend.NewPool(worker.TwoChoiceSettings(common.Settings.Node.Zone), nil)
 	f.pool.SetGroups(f.workerGroup)
 	f.reservations = newReservations(f)
@@ -131,7 +131,7 @@
 	f.catalog.SetMaxStaleness(common.Settings.Platform.Freshness)
 	common.Registry.MustRegister(f.catalog.Metrics()...)
 	f.guard = guard.New(guard.Settings{
-		Self: common.ID(), Owners: func() []api.Node { return storeclient.Owners(common.Nodes(), registered.With) },
+		Self: common.ID(), Owners: func() []api.Node { return storeclient.OwnerCandidates(common.Nodes(), registered.Extend) },
 		Accepts: f.pool.Accepts, CurrentIncarnation: f.pool.Current, WatchDown: f.catalog.OutOfContact, KeyValue: common.KeyValue,
 		Prefix: common.Settings.KeyValueService.Prefix, Log: common.Logger("guard"), Registry: common.Registry,
 	})
--- a/internal/frontend/places.go
+++ b/internal/frontend/places.go
@@ -100,7 +100,7 @@
 
 // leaderOf returns the leader of a worker's group, if it is known.
 func (f *Frontend) leaderOf(id string) (api.Node, bool) {
-	return f.leaders.Of(f.node.Nodes(), placement.WorkerGroup(id, f.node.Settings.Store.Groups))
+	return f.leaders.Leader(f.node.Nodes(), placement.WorkerGroup(id, f.node.Settings.Store.Groups))
 }
 
 // groupsLedBy returns the groups whose leader passes the filter; with includeUnknown,
--- a/internal/router/batch.go
+++ b/internal/router/batch.go
@@ -247,7 +247,7 @@
 
 func (b *batchRunner) renew(action jobs.SendRenew) {
 	var notice jobs.Notice
-	err := b.call("renew grants", action.Leader, storeclient.RenewPath(action.Group), 0, action.Renew, &notice)
+	err := b.call("renew grants", action.Leader, storeclient.RenewalsPath(action.Group), 0, action.Renew, &notice)
 	b.shell.Tell(jobs.RenewAnswered{Group: action.Group, Notice: notice, Failed: err != nil})
 }
 
--- a/internal/store/bootstrap.go
+++ b/internal/store/bootstrap.go
@@ -41,7 +41,7 @@
 // groupRecord fixes a group's initial members. Members is what the group has committed
 // since; it is published here for information only.
 type groupRecord struct {
-	First   replication.Members `json:"first"`
+	Initial replication.Members `json:"first"`
 	Members replication.Members `json:"members"`
 	Index   uint64              `json:"index"` // log index of the entry that set Members
 	// Leader is the leader at the time of writing, for processes that have just started.
@@ -173,9 +173,9 @@
 	}
 	switch {
 	case result.Succeeded:
-		s.records.Written(kv.Pair{Key: key, Value: value, Revision: result.Revision})
+		s.records.Observe(kv.Pair{Key: key, Value: value, Revision: result.Revision})
 	case result.Standing != nil:
-		s.records.Written(*result.Standing)
+		s.records.Observe(*result.Standing)
 	}
 	return result, nil
 }
@@ -216,7 +216,7 @@
 			s.log.Debugf("Not creating groups yet: %d of %d stores are available.", len(candidates), s.node.Settings.Store.Voters())
 			return nil
 		}
-		value, err := json.Marshal(groupRecord{First: first, Members: first})
+		value, err := json.Marshal(groupRecord{Initial: first, Members: first})
 		if err != nil {
 			return err
 		}
@@ -244,7 +244,7 @@
 func replicaCounts(known map[api.GroupID]groupRecord) map[replication.ReplicaID]int {
 	counts := map[replication.ReplicaID]int{}
 	for _, record := range known {
-		for _, replica := range record.First.Voters {
+		for _, replica := range record.Initial.Voters {
 			counts[replica]++
 		}
 	}
@@ -290,10 +290,10 @@
 // startInitial starts a replica of a group whose initial members include this store,
 // unless it runs already. A replaced disk has a new identity and is never among them.
 func (s *Store) startInitial(id api.GroupID, record groupRecord) error {
-	if _, ok := s.group(id); ok || !slices.Contains(record.First.Voters, s.shared.database.identity) {
+	if _, ok := s.group(id); ok || !slices.Contains(record.Initial.Voters, s.shared.database.identity) {
 		return nil
 	}
-	return s.startGroup(id, record.First)
+	return s.startGroup(id, record.Initial)
 }
 
 // publish writes the group's committed members and its leader to the key-value service if
--- a/internal/store/form.go
+++ b/internal/store/form.go
@@ -39,9 +39,9 @@
 // and receiver where they equal those of the body.
 type frame struct {
 	messageBatch
-	To    replication.ReplicaID `json:"to"`
-	Sizes []int                 `json:"sizes,omitempty"` // bytes of each entry's data, in order
-	Sum   uint32                `json:"sum"`             // CRC-32C of all data
+	To       replication.ReplicaID `json:"to"`
+	Sizes    []int                 `json:"sizes,omitempty"` // bytes of each entry's data, in order
+	Checksum uint32                `json:"sum"`             // CRC-32C of all data
 }
 
 // encodeBatch returns a multipart body, with the JSON and the data of all entries, and its
@@ -61,7 +61,7 @@
 		for j, entry := range message.Entries {
 			framed.Sizes = append(framed.Sizes, len(entry.Data))
 			data.Write(entry.Data)
-			framed.Sum = crc32.Update(framed.Sum, castagnoli, entry.Data)
+			framed.Checksum = crc32.Update(framed.Checksum, castagnoli, entry.Data)
 			entry.Data = nil
 			entries[j] = entry
 		}
@@ -145,7 +145,7 @@
 		return messageBatch{}, fmt.Errorf("%w: %w", errInvalidFrame, err)
 	}
 	sizes := framed.Sizes
-	if crc32.Checksum(rest, castagnoli) != framed.Sum {
+	if crc32.Checksum(rest, castagnoli) != framed.Checksum {
 		return messageBatch{}, errInvalidFrame
 	}
 	for i := range framed.Messages {
--- a/internal/store/form_test.go
+++ b/internal/store/form_test.go
@@ -33,7 +33,7 @@
 	}
 	keep, _ := encodeCommand(jobs.Command{CheckpointInline: &jobs.CheckpointInline{Parts: []jobs.InlinePart{{Job: "j", Text: string(text)}}}}, true)
 	return messageBatch{
-		From: "one", Address: "10.0.0.1:1", Reads: logform.Newest, Members: map[replication.ReplicaID]string{"three": "10.0.0.3:1"},
+		From: "one", Address: "10.0.0.1:1", Level: logform.Newest, Members: map[replication.ReplicaID]string{"three": "10.0.0.3:1"},
 		Messages: []replication.WireMessage{
 			{Type: replication.MessageAppend, Group: 1, From: "one", To: "two", Term: 3, Index: 6, Entries: []replication.Entry{
 				{Index: 7, Term: 3, Data: keep}, {Index: 8, Term: 3, Kind: replication.EntryNoop}, {Index: 9, Term: 3, Data: []byte(`{"end_inline":{"job":"j"}}`)},
@@ -110,7 +110,7 @@
 		message.Entries = slices.Clone(message.Entries)
 		for i, entry := range message.Entries {
 			framed.Sizes = append(framed.Sizes, len(entry.Data))
-			framed.Sum = crc32.Update(framed.Sum, castagnoli, entry.Data)
+			framed.Checksum = crc32.Update(framed.Checksum, castagnoli, entry.Data)
 			data = append(data, entry.Data...)
 			message.Entries[i].Data = nil
 		}
@@ -127,7 +127,7 @@
 // downgraded to plain entries by its peers and then gets no packed entries.
 func TestLegacyFrameIsAccepted(t *testing.T) {
 	batch := testBatch()
-	batch.Reads = logform.Packed
+	batch.Level = logform.Packed
 	body := encodeLegacyFrame(t, "two", batch)
 	request := func(body []byte) (messageBatch, error) {
 		r := httptest.NewRequest(http.MethodPost, pathMessages, bytes.NewReader(body))
--- a/internal/store/messages.go
+++ b/internal/store/messages.go
@@ -20,7 +20,7 @@
 		return
 	}
 	s.shared.peers.recordContact(time.Now(), batch.From, batch.Address)
-	s.shared.peers.setLevel(batch.From, batch.Reads)
+	s.shared.peers.setLevel(batch.From, batch.Level)
 	s.shared.peers.recordAdvertised(batch.Members)
 	for _, message := range batch.Messages {
 		s.receive(message, batch.Address)
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -55,9 +55,9 @@
 	}
 }
 
-// Written takes a record returned by a write of this store, ahead of the watch: the one
+// Observe takes a record returned by a write of this store, ahead of the watch: the one
 // written, or the conflicting one.
-func (g *GroupRecords) Written(pair kv.Pair) {
+func (g *GroupRecords) Observe(pair kv.Pair) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.put(pair)
--- a/internal/store/records_test.go
+++ b/internal/store/records_test.go
@@ -20,18 +20,18 @@
 	}{
 		{"complete listing", func(*GroupRecords) {}, 4, false},
 		{"update", func(g *GroupRecords) { g.Apply(kv.Batch{Events: []kv.Event{{Pair: newer}}}) }, 5, false},
-		{"write of this store", func(g *GroupRecords) { g.Written(newer) }, 5, false},
-		{"stale update", func(g *GroupRecords) { g.Written(newer); g.Apply(kv.Batch{Events: []kv.Event{{Pair: older}}}) }, 5, false},
+		{"write of this store", func(g *GroupRecords) { g.Observe(newer) }, 5, false},
+		{"stale update", func(g *GroupRecords) { g.Observe(newer); g.Apply(kv.Batch{Events: []kv.Event{{Pair: older}}}) }, 5, false},
 		{"deletion is ignored", func(g *GroupRecords) {
 			g.Apply(kv.Batch{Events: []kv.Event{{Pair: kv.Pair{Key: "/d/groups/3", Revision: 8}, Deleted: true}}})
 		}, 4, false},
-		{"invalid record", func(g *GroupRecords) { g.Written(pair("/d/groups/3", `{`, 9)) }, 0, true},
-		{"foreign key", func(g *GroupRecords) { g.Written(pair("/d/groups/x", `{`, 9)) }, 4, false},
+		{"invalid record", func(g *GroupRecords) { g.Observe(pair("/d/groups/3", `{`, 9)) }, 0, true},
+		{"foreign key", func(g *GroupRecords) { g.Observe(pair("/d/groups/x", `{`, 9)) }, 4, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			g := &GroupRecords{Prefix: "/d/"}
-			g.Written(newer) // ignored before the first listing
+			g.Observe(newer) // ignored before the first listing
 			if _, err := g.all(); !errors.Is(err, errRecordsUnknown) {
 				t.Fatalf("before a complete listing: %v", err)
 			}
--- a/internal/store/sender.go
+++ b/internal/store/sender.go
@@ -31,8 +31,8 @@
 	// Members are addresses of other replicas, sent every advertiseInterval, so that followers
 	// can reach each other when they lose their leader.
 	Members map[replication.ReplicaID]string `json:"members,omitempty"`
-	// Reads is the log format that the sender's process decodes; older builds omit it.
-	Reads logform.Level `json:"reads,omitempty"`
+	// Level is the log format that the sender's process decodes; older builds omit it.
+	Level logform.Level `json:"reads,omitempty"`
 }
 
 // advertiseInterval is the minimum time between two lists of member addresses to one replica.
@@ -145,7 +145,7 @@
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, sendTimeout)
 	defer cancel()
-	body := messageBatch{From: s.self, Address: s.address, Messages: batch, Reads: s.level}
+	body := messageBatch{From: s.self, Address: s.address, Messages: batch, Level: s.level}
 	if now := time.Now(); now.Sub(queue.lastAdvertised) > advertiseInterval {
 		queue.lastAdvertised = now
 		body.Members = s.peers.recentAddresses(now, to)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -31,10 +31,10 @@
 	log             *logrus.Entry
 	shared          groupDependencies
 	space           *diskSpace
-	inline          StartInlineRunner       // nil: inline jobs are stored but not run
-	decommissions   *Decommissions          // nil: no decommission requests
-	registrations   *storeclient.Registered // nil: other stores are known from views only
-	records         *GroupRecords           // nil: this store reads the records itself
+	inline          StartInlineRunner          // nil: inline jobs are stored but not run
+	decommissions   *Decommissions             // nil: no decommission requests
+	registrations   *storeclient.Registrations // nil: other stores are known from views only
+	records         *GroupRecords              // nil: this store reads the records itself
 	startedAt       time.Time
 	registered      bool // used by runBootstrap only, like the next two
 	candidateCount  int  // candidates in the last round
@@ -62,9 +62,9 @@
 	return func(s *Store) { s.inline = start }
 }
 
-// WithRegistered makes the store use registrations to find stores that the membership view
+// WithRegistrations makes the store use registrations to find stores that the membership view
 // doesn't show yet.
-func WithRegistered(registered *storeclient.Registered) Option {
+func WithRegistrations(registered *storeclient.Registrations) Option {
 	return func(s *Store) { s.registrations = registered }
 }
 
--- a/internal/storeclient/client_test.go
+++ b/internal/storeclient/client_test.go
@@ -42,16 +42,16 @@
 }
 
 func TestRegisteredAddsMissingStores(t *testing.T) {
-	r := &Registered{}
+	r := &Registrations{}
 	r.Apply(kv.Batch{Events: []kv.Event{{Pair: registered("early", "x", 1)}}}) // ignored before the first listing
 	r.Reset(kv.RangeResult{Pairs: []kv.Pair{registered("old", "a", 4), registered("new", "a", 9), registered("other", "b", 5)}})
-	nodes := r.With([]api.Node{store("b", true)})
+	nodes := r.Extend([]api.Node{store("b", true)})
 	if len(nodes) != 2 || nodes[0].ID != "b" || nodes[1].ID != "a" || nodes[1].Summary.Replica != "new" {
 		t.Fatalf("view with registrations: %+v", nodes)
 	}
 	gone := registered("new", "a", 10)
 	r.Apply(kv.Batch{Events: []kv.Event{{Pair: gone, Deleted: true}}})
-	if nodes := r.With(nil); len(nodes) != 2 || nodes[0].Summary.Replica != "old" {
+	if nodes := r.Extend(nil); len(nodes) != 2 || nodes[0].Summary.Replica != "old" {
 		t.Errorf("after deletion of the newest registration: %+v", nodes)
 	}
 }
--- a/internal/storeclient/leaders.go
+++ b/internal/storeclient/leaders.go
@@ -76,9 +76,9 @@
 	}
 }
 
-// Of returns the leader of a group with the highest term, from the membership view or the
+// Leader returns the leader of a group with the highest term, from the membership view or the
 // published records; false if none is known.
-func (l *Leaders) Of(nodes []api.Node, group api.GroupID) (api.Node, bool) {
+func (l *Leaders) Leader(nodes []api.Node, group api.GroupID) (api.Node, bool) {
 	seen, term, ok := leader(nodes, group)
 	l.mutex.Lock()
 	published := l.leaders[group]
--- a/internal/storeclient/leaders_test.go
+++ b/internal/storeclient/leaders_test.go
@@ -34,7 +34,7 @@
 				l.Apply(kv.Batch{Events: []kv.Event{{Pair: pair}}})
 			}
 			got := ""
-			if node, ok := l.Of(test.view, 0); ok {
+			if node, ok := l.Leader(test.view, 0); ok {
 				got = string(node.ID) + " " + node.Address
 			}
 			if got != test.want {
--- a/internal/storeclient/paths.go
+++ b/internal/storeclient/paths.go
@@ -18,8 +18,8 @@
 // ClaimsPath accepts a jobs.ClaimItems and returns a jobs.Grant.
 func ClaimsPath(group api.GroupID) string { return groupPath(group, "claims") }
 
-// RenewPath accepts a jobs.Renew and returns a jobs.Notice.
-func RenewPath(group api.GroupID) string { return groupPath(group, "renewals") }
+// RenewalsPath accepts a jobs.Renew and returns a jobs.Notice.
+func RenewalsPath(group api.GroupID) string { return groupPath(group, "renewals") }
 
 // SettlePath accepts a jobs.Settle and returns a jobs.Notice.
 func SettlePath(group api.GroupID) string { return groupPath(group, "settle") }
--- a/internal/storeclient/registered.go
+++ b/internal/storeclient/registered.go
@@ -23,9 +23,9 @@
 	Location api.Location          `json:"location"`
 }
 
-// Registered caches the stores registered with a key-value service; it is a catalog.View and
+// Registrations caches the stores registered with a key-value service; it is a catalog.View and
 // safe for concurrent use. If a node has several registrations, the newest one counts.
-type Registered struct {
+type Registrations struct {
 	mutex   sync.Mutex // guards records
 	records map[string]registration
 }
@@ -36,7 +36,7 @@
 }
 
 // Reset replaces the cache by a complete listing.
-func (r *Registered) Reset(result kv.RangeResult) {
+func (r *Registrations) Reset(result kv.RangeResult) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.records = map[string]registration{}
@@ -46,7 +46,7 @@
 }
 
 // Apply adds, updates and removes registrations.
-func (r *Registered) Apply(batch kv.Batch) {
+func (r *Registrations) Apply(batch kv.Batch) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, event := range batch.Events {
@@ -60,7 +60,7 @@
 
 // put stores a registration. Invalid ones are ignored, since the membership view shows stores
 // too. The mutex is held.
-func (r *Registered) put(pair kv.Pair) {
+func (r *Registrations) put(pair kv.Pair) {
 	var record StoreRecord
 	if err := json.Unmarshal(pair.Value, &record); err != nil || r.records == nil {
 		return
@@ -69,7 +69,7 @@
 }
 
 // Records returns all registrations, the oldest first.
-func (r *Registered) Records() []StoreRecord {
+func (r *Registrations) Records() []StoreRecord {
 	r.mutex.Lock()
 	all := slices.Collect(maps.Values(r.records))
 	r.mutex.Unlock()
@@ -82,7 +82,7 @@
 }
 
 // Key returns the key and revision of a replica's registration; false if there is none.
-func (r *Registered) Key(replica replication.ReplicaID) (key string, revision int64, ok bool) {
+func (r *Registrations) Key(replica replication.ReplicaID) (key string, revision int64, ok bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for key, each := range r.records {
@@ -93,8 +93,8 @@
 	return "", 0, false
 }
 
-// With returns a membership view extended by the registered stores that it lacks.
-func (r *Registered) With(nodes []api.Node) []api.Node {
+// Extend returns a membership view extended by the registered stores that it lacks.
+func (r *Registrations) Extend(nodes []api.Node) []api.Node {
 	r.mutex.Lock()
 	newest := map[api.NodeID]registration{}
 	for _, each := range r.records {
@@ -117,10 +117,10 @@
 	return slices.Concat(nodes, added)
 }
 
-// Owners returns the stores that may own state shared between processes, such as limits:
+// OwnerCandidates returns the stores that may own state shared between processes, such as limits:
 // those alive in the membership view, or all registered ones if there are none. Registered
 // stores may be gone, and callers would wait for them.
-func Owners(view []api.Node, registered func([]api.Node) []api.Node) []api.Node {
+func OwnerCandidates(view []api.Node, registered func([]api.Node) []api.Node) []api.Node {
 	alive := slices.DeleteFunc(slices.Clone(view), func(node api.Node) bool { return node.Role != api.RoleStore || node.Suspected })
 	if len(alive) > 0 {
 		return alive
