--- a/cmd/dykewing/main.go
+++ b/cmd/dykewing/main.go
@@ -142,7 +142,7 @@
 	if settings.Platform.StoreAddress == "" {
 		return nil
 	}
-	pace := kv.Paced(kv.Rates{Reads: settings.Platform.ReadsPerSecond, Writes: settings.Platform.WritesPerSecond})
+	pace := kv.NewLimiter(kv.Rates{Reads: settings.Platform.ReadsPerSecond, Writes: settings.Platform.WritesPerSecond})
 	store := platform.NewKeyValue(settings.Platform.StoreAddress, settings.Platform.Timeout, settings.Platform.LongPollTimeout())
 	store.Admit = pace.Wait
 	return &daemon.Platform{
--- a/cmd/dykewingctl/cost.go
+++ b/cmd/dykewingctl/cost.go
@@ -21,7 +21,7 @@
 // resource usage and its cost of communication with other processes.
 var costMetricPrefixes = []string{
 	"process_cpu_seconds_total", "process_resident_memory_bytes", "go_goroutines", "go_memstats_alloc_bytes_total",
-	transport.TrafficName, transport.ConnectionsName, "dykewing_membership_", "dykewing_feed_", "dykewing_catalog_worker_changes_total",
+	transport.TrafficMetric, transport.ConnectionsMetric, "dykewing_membership_", "dykewing_feed_", "dykewing_catalog_worker_changes_total",
 	"dykewing_catalog_whole_states_total", "dykewing_key_value_calls_total", "dykewing_frontend_places_total", "dykewing_batch_attempts_total",
 }
 
--- a/cmd/dykewingctl/traffic.go
+++ b/cmd/dykewingctl/traffic.go
@@ -62,8 +62,8 @@
 	rows := []trafficRow{}
 	lines := bufio.NewScanner(metrics)
 	for lines.Scan() {
-		labels, value, found := strings.Cut(strings.TrimPrefix(lines.Text(), transport.TrafficName+"{"), "} ")
-		if !found || !strings.HasPrefix(lines.Text(), transport.TrafficName+"{") {
+		labels, value, found := strings.Cut(strings.TrimPrefix(lines.Text(), transport.TrafficMetric+"{"), "} ")
+		if !found || !strings.HasPrefix(lines.Text(), transport.TrafficMetric+"{") {
 			continue
 		}
 		bytes, err := strconv.ParseFloat(value, 64)
--- a/cmd/dykewingctl/traffic_test.go
+++ b/cmd/dykewingctl/traffic_test.go
@@ -20,7 +20,7 @@
 	registry.MustRegister(traffic)
 	server := httptest.NewServer(promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	defer server.Close()
-	client := traffic.Count(transport.NewClient(1), transport.KindJobs)
+	client := traffic.Instrument(transport.NewClient(1), transport.KindJobs)
 	response, err := client.Get(server.URL)
 	if err != nil {
 		t.Fatal(err)
@@ -39,10 +39,10 @@
 }
 
 func TestInvalidTrafficMetricsReturnError(t *testing.T) {
-	if _, err := readTraffic(strings.NewReader(transport.TrafficName + `{kind="log"} many` + "\n")); err == nil {
+	if _, err := readTraffic(strings.NewReader(transport.TrafficMetric + `{kind="log"} many` + "\n")); err == nil {
 		t.Error("a value that is no number was passed over")
 	}
-	rows, err := readTraffic(strings.NewReader("go_goroutines 7\n" + transport.TrafficName + `{crossing="zones",direction="sent",kind="log"} 1.5e+06` + "\n"))
+	rows, err := readTraffic(strings.NewReader("go_goroutines 7\n" + transport.TrafficMetric + `{crossing="zones",direction="sent",kind="log"} 1.5e+06` + "\n"))
 	if err != nil || len(rows) != 1 || rows[0] != (trafficRow{Kind: "log", Direction: "sent", Crossing: "zones", Bytes: 1_500_000}) {
 		t.Errorf("%+v, %v", rows, err)
 	}
--- a/cmd/dykewingsim/machinelist.go
+++ b/cmd/dykewingsim/machinelist.go
@@ -40,7 +40,7 @@
 	if err := json.Unmarshal(raw, &groups); err != nil {
 		return fmt.Errorf("read targets %s: %w", file, err)
 	}
-	workers, err := discovery.WorkersOf(groups)
+	workers, err := discovery.ParseWorkers(groups)
 	if err != nil {
 		return fmt.Errorf("read targets %s: %w", file, err)
 	}
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -117,7 +117,7 @@
 	if err := json.Unmarshal(raw, &groups); err != nil {
 		t.Fatalf("%s: %v", file, err)
 	}
-	workers, err := discovery.WorkersOf(groups)
+	workers, err := discovery.ParseWorkers(groups)
 	if err != nil {
 		t.Fatalf("%s: %v", file, err)
 	}
--- a/internal/backend/caller.go
+++ b/internal/backend/caller.go
@@ -38,14 +38,14 @@
 
 // NewCaller returns a Caller with its own connection pool.
 func NewCaller(protocol Protocol) *Caller {
-	return &Caller{Protocol: protocol, client: transport.NewProbingClient(transport.Options{
-		ConnectionsPerHost: maxIdleConnections, DialTimeout: dialTimeout, IdleLifetime: idleTimeout, SilenceLimit: silenceLimit,
+	return &Caller{Protocol: protocol, client: transport.NewKeepAliveClient(transport.ClientOptions{
+		ConnectionsPerHost: maxIdleConnections, DialTimeout: dialTimeout, IdleTimeout: idleTimeout, KeepAliveTimeout: silenceLimit,
 	})}
 }
 
 // Count adds the bytes sent to and received from workers to traffic and returns c.
 func (c *Caller) Count(traffic *transport.Traffic) *Caller {
-	traffic.Count(c.client, transport.KindWorkers)
+	traffic.Instrument(c.client, transport.KindWorkers)
 	return c
 }
 
--- a/internal/batchrun/service.go
+++ b/internal/batchrun/service.go
@@ -79,7 +79,7 @@
 	common.Registry.MustRegister(s.catalog.Metrics()...)
 	s.catalog.AddView(common.Settings.KeyValueService.Prefix+storeclient.PrefixStores, s.members)
 	s.stores = &storeclient.Client{
-		HTTP: common.Traffic.Count(transport.NewClient(storeConnections), transport.KindJobs), AttemptTimeout: storeAttemptTimeout,
+		HTTP: common.Traffic.Instrument(transport.NewClient(storeConnections), transport.KindJobs), AttemptTimeout: storeAttemptTimeout,
 		Nodes: func() []api.Node { return s.members.Extend(common.Nodes()) },
 	}
 	common.Mux.Handle("POST "+limiter.PathTokens, limiter.NewOwner(common.Settings.Tenants.Tolerance(), common.ID(), common.Nodes))
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -247,7 +247,7 @@
 		c.log.WithField("event", "history_gone").WithError(err).Info("Key-value service compacted its history; reading the full state.")
 		return
 	}
-	if !errors.Is(err, kv.ErrLimited) { // a rate-limited service is available and keeps its entries
+	if !errors.Is(err, kv.ErrRateLimited) { // a rate-limited service is available and keeps its entries
 		c.outages.recordFailure(c.callStarted, clock.Now())
 	}
 	if !c.disconnected {
--- a/internal/catalog/lapse_test.go
+++ b/internal/catalog/lapse_test.go
@@ -118,7 +118,7 @@
 		r := startCatalog(t, service)
 		r.await(t, "[]", "[a]")
 		for range 8 {
-			service.watch <- watchEvent{err: fmt.Errorf("status 429: %w", kv.ErrLimited)}
+			service.watch <- watchEvent{err: fmt.Errorf("status 429: %w", kv.ErrRateLimited)}
 		}
 		deletion := kv.Event{Pair: kv.Pair{Key: "workers/a", Revision: 3}, Deleted: true}
 		service.watch <- watchEvent{batch: kv.Batch{Revision: 3, Events: []kv.Event{deletion}}}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -40,7 +40,7 @@
 	Protocol backend.Protocol
 	Source   catalog.Source
 	// Pace limits KeyValue to this process's share of the store's rate limits. May be nil.
-	Pace *kv.Pace
+	Pace *kv.Limiter
 	// Observe registers a function that is called after each call of KeyValue. It is
 	// called before the first use of KeyValue. May be nil.
 	Observe func(call func(path string, err error))
@@ -56,7 +56,7 @@
 		return nil, err
 	}
 	if platform != nil && platform.Pace != nil {
-		platform.Pace.Among(func() int { return len(common.Nodes()) })
+		platform.Pace.SetProcesses(func() int { return len(common.Nodes()) })
 	}
 	daemon := &Daemon{Node: common}
 	switch role {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -309,7 +309,7 @@
 		if err := routers[i].await(t); err != nil {
 			t.Errorf("router-%d: %v", i, err)
 		}
-		if last := routers[i].Node.LastWork(); last.After(began) {
+		if last := routers[i].Node.LastRequest(); last.After(began) {
 			t.Logf("router-%d: last new request %v after the signal, ended after %v", i, last.Sub(began), time.Since(began))
 		}
 		routers = append(routers, platform.start(t, api.RoleRouter, fmt.Sprintf("router-%d", 3+i), homeZone))
--- a/internal/dev/fleet.go
+++ b/internal/dev/fleet.go
@@ -175,10 +175,10 @@
 		if result.Succeeded {
 			return nil
 		}
-		if result.Standing == nil {
+		if result.Current == nil {
 			return fmt.Errorf("write row %s: the key changes too often", row.Key())
 		}
-		swap.Expected = result.Standing.Revision
+		swap.Expected = result.Current.Revision
 	}
 }
 
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -82,17 +82,17 @@
 		return nil, transport.ReadError(step, l.Address, response)
 	}
 	var groups []Group
-	body := io.LimitReader(response.Body, transport.MaximumControlBytes)
+	body := io.LimitReader(response.Body, transport.MaxControlBytes)
 	if err := json.NewDecoder(body).Decode(&groups); err != nil {
 		return nil, api.NewError(step, l.Address, api.CodeUpstream, api.OutcomeUnknown, "read answer: %w", err)
 	}
 	l.etag = response.Header.Get("ETag")
-	return WorkersOf(groups)
+	return ParseWorkers(groups)
 }
 
-// WorkersOf returns the workers of target groups. It skips invalid targets and returns the
+// ParseWorkers returns the workers of target groups. It skips invalid targets and returns the
 // error of the last one beside the valid workers.
-func WorkersOf(groups []Group) ([]api.Worker, error) {
+func ParseWorkers(groups []Group) ([]api.Worker, error) {
 	var workers []api.Worker
 	var problem error
 	for _, group := range groups {
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -116,7 +116,7 @@
 	f.shutdownCtx, f.cancelRequests = context.WithCancel(context.Background())
 	registered := &storeclient.Registrations{}
 	f.leaders = &storeclient.Leaders{Prefix: common.Settings.KeyValueService.Prefix}
-	f.stores = &storeclient.Client{HTTP: common.Traffic.Count(newStoreClient(), transport.KindJobs), AttemptTimeout: storeAttemptTimeout, Nodes: func() []api.Node { return registered.Extend(common.Nodes()) }}
+	f.stores = &storeclient.Client{HTTP: common.Traffic.Instrument(newStoreClient(), transport.KindJobs), AttemptTimeout: storeAttemptTimeout, Nodes: func() []api.Node { return registered.Extend(common.Nodes()) }}
 	f.relayClient = relayed.New(relayed.Settings{
 		Self: f.selfNode, Nodes: common.Nodes, ForwardedPaths: []string{limiter.PathTokens}, Log: common.Logger("relayed"), Registry: common.Registry,
 	})
@@ -162,9 +162,9 @@
 )
 
 func newStoreClient() *http.Client {
-	return transport.NewProbingClient(transport.Options{
-		ConnectionsPerHost: storeConnections, DialTimeout: storeDialTimeout, IdleLifetime: storeIdleLifetime, SilenceLimit: storeSilenceLimit,
-		Compressed: true,
+	return transport.NewKeepAliveClient(transport.ClientOptions{
+		ConnectionsPerHost: storeConnections, DialTimeout: storeDialTimeout, IdleTimeout: storeIdleLifetime, KeepAliveTimeout: storeSilenceLimit,
+		AcceptGzip: true,
 	})
 }
 
--- a/internal/frontend/places.go
+++ b/internal/frontend/places.go
@@ -92,9 +92,9 @@
 	return &reservations{
 		self: f.node.ID(), zone: f.node.Settings.Node.Zone, pool: f.pool, log: f.log, metrics: f.metrics, leaderOf: f.leaderOf, groups: f.groupsLedBy,
 		sequence: uint64(time.Now().UnixNano()), leaders: map[api.NodeID]*leaderState{}, inFlight: map[worker.Incarnation]int{},
-		client: f.node.Traffic.Count(transport.NewProbingClient(transport.Options{
-			ConnectionsPerHost: leaderConnections, DialTimeout: reservationTimeout, IdleLifetime: storeIdleLifetime, SilenceLimit: leaderSilenceLimit,
-		}), transport.KindPlaces),
+		client: f.node.Traffic.Instrument(transport.NewKeepAliveClient(transport.ClientOptions{
+			ConnectionsPerHost: leaderConnections, DialTimeout: reservationTimeout, IdleTimeout: storeIdleLifetime, KeepAliveTimeout: leaderSilenceLimit,
+		}), transport.KindReservations),
 	}
 }
 
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -96,8 +96,8 @@
 	g := &Guard{
 		self: settings.Self, owners: settings.Owners, accepts: settings.Accepts, current: settings.CurrentIncarnation, watchDown: settings.WatchDown, granted: settings.OnTrialGranted,
 		log: settings.Log, metrics: newMetrics(settings.Registry), wake: make(chan struct{}, 1),
-		client: transport.NewProbingClient(transport.Options{
-			ConnectionsPerHost: connectionsPerHost, DialTimeout: dialTimeout, IdleLifetime: connectionLifetime, SilenceLimit: silenceLimit,
+		client: transport.NewKeepAliveClient(transport.ClientOptions{
+			ConnectionsPerHost: connectionsPerHost, DialTimeout: dialTimeout, IdleTimeout: connectionLifetime, KeepAliveTimeout: silenceLimit,
 		}),
 		broken: map[worker.Incarnation]*brokenWorker{}, survivals: map[quarantine.Digest]time.Time{}, detector: quarantine.New(quarantine.Settings{}),
 		ownerEntries: map[quarantine.Digest]time.Time{}, trials: map[quarantine.Digest]trialState{}, grantedTrials: map[quarantine.Digest]bool{},
--- a/internal/kv/call.go
+++ b/internal/kv/call.go
@@ -23,7 +23,7 @@
 var readOnlyPaths = map[string]bool{PathRange: true, PathWatch: true}
 
 // call posts a request within the timeout and decodes the response. Errors wrap
-// ErrUnknown if the request may have taken effect.
+// ErrOutcomeUnknown if the request may have taken effect.
 func (e *Etcd) call(ctx context.Context, path string, request, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, e.timeout)
 	defer cancel()
@@ -38,7 +38,7 @@
 	defer response.Body.Close()
 	limited := io.LimitReader(response.Body, maxResponseBytes)
 	if err := json.NewDecoder(limited).Decode(answer); err != nil {
-		return fmt.Errorf("%w: read answer: %w", ErrUnknown, err)
+		return fmt.Errorf("%w: read answer: %w", ErrOutcomeUnknown, err)
 	}
 	return nil
 }
@@ -48,7 +48,7 @@
 	failure := errors.New("no endpoint is configured")
 	for _, endpoint := range e.endpoints {
 		if err := e.limiter.Wait(ctx); err != nil {
-			return nil, errors.Join(failure, fmt.Errorf("%w: %w", ErrLimited, err))
+			return nil, errors.Join(failure, fmt.Errorf("%w: %w", ErrRateLimited, err))
 		}
 		response, err := e.attempt(ctx, endpoint, path, body)
 		if e.Observe != nil {
@@ -58,7 +58,7 @@
 			return response, nil
 		}
 		failure = fmt.Errorf("%s: %w", endpoint, err)
-		if !readOnlyPaths[path] && errors.Is(err, ErrUnknown) {
+		if !readOnlyPaths[path] && errors.Is(err, ErrOutcomeUnknown) {
 			return nil, failure
 		}
 	}
@@ -66,7 +66,7 @@
 }
 
 // attempt posts to one endpoint. Its errors wrap
-// ErrUnknown unless the request certainly had no effect: no connection was made, or the
+// ErrOutcomeUnknown unless the request certainly had no effect: no connection was made, or the
 // service rejected it.
 func (e *Etcd) attempt(ctx context.Context, endpoint, path string, body []byte) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, endpoint+path, bytes.NewReader(body))
@@ -75,11 +75,11 @@
 	}
 	request.Header.Set("Content-Type", "application/json")
 	response, err := e.client.Do(request)
-	if err != nil && transport.NeverConnected(err) {
+	if err != nil && transport.IsDialError(err) {
 		return nil, err
 	}
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	if response.StatusCode == http.StatusOK {
 		return response, nil
@@ -89,9 +89,9 @@
 	failure := fmt.Errorf("status %d: %s", response.StatusCode, bytes.TrimSpace(text))
 	switch {
 	case response.StatusCode == http.StatusTooManyRequests:
-		return nil, fmt.Errorf("%w: %w", ErrLimited, failure)
+		return nil, fmt.Errorf("%w: %w", ErrRateLimited, failure)
 	case response.StatusCode >= http.StatusInternalServerError:
-		return nil, fmt.Errorf("%w: %w", ErrUnknown, failure)
+		return nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, failure)
 	}
 	return nil, failure
 }
--- a/internal/kv/etcd.go
+++ b/internal/kv/etcd.go
@@ -43,7 +43,7 @@
 
 // Read implements Service.
 func (e *Etcd) Read(ctx context.Context, key string) (*Pair, int64, error) {
-	var answer WireRangeAnswer
+	var answer WireRangeResponse
 	if err := e.call(ctx, PathRange, WireRangeRequest{Key: []byte(key)}, &answer); err != nil {
 		return nil, 0, fmt.Errorf("read %s: %w", key, err)
 	}
@@ -58,7 +58,7 @@
 // Range implements Service.
 func (e *Etcd) Range(ctx context.Context, prefix string) (RangeResult, error) {
 	request := WireRangeRequest{Key: []byte(prefix), RangeEnd: PrefixEnd([]byte(prefix))}
-	var answer WireRangeAnswer
+	var answer WireRangeResponse
 	if err := e.call(ctx, PathRange, request, &answer); err != nil {
 		return RangeResult{}, fmt.Errorf("range %s: %w", prefix, err)
 	}
@@ -75,13 +75,13 @@
 		Key: []byte(prefix), RangeEnd: PrefixEnd([]byte(prefix)),
 		Limit: 1, SortOrder: WireSortDescend, SortTarget: WireSortMod,
 	}
-	var answer WireRangeAnswer
+	var answer WireRangeResponse
 	if err := e.call(ctx, PathRange, request, &answer); err != nil {
 		return Latest{}, fmt.Errorf("read latest pair of %s: %w", prefix, err)
 	}
 	latest := Latest{Revision: int64(answer.Header.Revision), Count: int64(answer.Count)}
 	for _, pair := range answer.Pairs {
-		latest.Modified = max(latest.Modified, int64(pair.ModRevision))
+		latest.ModRevision = max(latest.ModRevision, int64(pair.ModRevision))
 	}
 	return latest, nil
 }
@@ -102,7 +102,7 @@
 		Success: []WireOperation{operation},
 		Failure: []WireOperation{{Range: &WireRangeRequest{Key: key}}},
 	}
-	var answer WireTxnAnswer
+	var answer WireTxnResponse
 	if err := e.call(ctx, PathTxn, txn, &answer); err != nil {
 		return SwapResult{}, fmt.Errorf("swap %s: %w", swap.Key, err)
 	}
@@ -112,7 +112,7 @@
 	}
 	for _, pair := range answer.Responses[0].Range.Pairs {
 		standing := pairOf(pair)
-		result.Standing = &standing
+		result.Current = &standing
 	}
 	return result, nil
 }
@@ -127,8 +127,8 @@
 
 // KeepLease implements Service.
 func (e *Etcd) KeepLease(ctx context.Context, lease int64) error {
-	var answer WireLeaseKeepAnswer
-	if err := e.call(ctx, PathLeaseKeep, WireLease{ID: Int64(lease)}, &answer); err != nil {
+	var answer WireLeaseKeepAliveResponse
+	if err := e.call(ctx, PathLeaseKeepAlive, WireLease{ID: Int64(lease)}, &answer); err != nil {
 		return fmt.Errorf("keep lease: %w", err)
 	}
 	if answer.Result.TTL <= 0 {
--- a/internal/kv/etcd_test.go
+++ b/internal/kv/etcd_test.go
@@ -32,7 +32,7 @@
 	first.SetFaults(keyvalue.Faults{LoseAnswers: 1})
 	client := kv.NewEtcd([]string{start(t, first), start(t, second)}, testTimeout, testRate)
 	_, err := client.Swap(context.Background(), kv.Swap{Key: "/a", Value: []byte("x")})
-	if !errors.Is(err, kv.ErrUnknown) {
+	if !errors.Is(err, kv.ErrOutcomeUnknown) {
 		t.Errorf("got %v, want an unknown outcome", err)
 	}
 	if calls := second.Stats().Calls[kv.PathTxn]; calls != 0 {
@@ -65,7 +65,7 @@
 	client := kv.NewEtcd([]string{down.URL, down.URL, down.URL}, 200*time.Millisecond, 2)
 	client.Observe = func(string, error) { attempts++ }
 	_, err := client.Range(context.Background(), "/")
-	if attempts != 2 || !errors.Is(err, kv.ErrLimited) {
+	if attempts != 2 || !errors.Is(err, kv.ErrRateLimited) {
 		t.Errorf("%d attempts within the limit of 2, %v", attempts, err)
 	}
 }
@@ -75,7 +75,7 @@
 	service.SetFaults(keyvalue.Faults{RequestsPerSecond: 1e-9})
 	client := kv.NewEtcd([]string{start(t, service)}, testTimeout, testRate)
 	_, err := client.Swap(context.Background(), kv.Swap{Key: "/a", Value: []byte("x")})
-	if !errors.Is(err, kv.ErrLimited) || errors.Is(err, kv.ErrUnknown) {
+	if !errors.Is(err, kv.ErrRateLimited) || errors.Is(err, kv.ErrOutcomeUnknown) {
 		t.Errorf("got %v, want a rate limit error with a known outcome", err)
 	}
 }
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// ErrUnknown reports that a change may or may not have taken effect.
-var ErrUnknown = errors.New("key-value service: outcome unknown")
+// ErrOutcomeUnknown reports that a change may or may not have taken effect.
+var ErrOutcomeUnknown = errors.New("key-value service: outcome unknown")
 
 // ErrCompacted reports that a watch asked for compacted revisions; the caller has to read
 // the range again.
 var ErrCompacted = errors.New("key-value service: revision compacted")
 
-// ErrLimited reports that the rate limit of the service or of this client rejected the
+// ErrRateLimited reports that the rate limit of the service or of this client rejected the
 // call, which had no effect.
-var ErrLimited = errors.New("key-value service: rate limit reached")
+var ErrRateLimited = errors.New("key-value service: rate limit reached")
 
 // Pair is a key with its value and modification revision.
 type Pair struct {
@@ -35,9 +35,9 @@
 
 // Latest describes the state of a prefix without its values.
 type Latest struct {
-	Revision int64 // of the service
-	Modified int64 // highest modification revision of a pair; 0 if there is none
-	Count    int64 // number of pairs
+	Revision    int64 // of the service
+	ModRevision int64 // highest modification revision of a pair; 0 if there is none
+	Count       int64 // number of pairs
 }
 
 // Swap writes Value if the key's modification revision is still Expected, where 0 means
@@ -55,7 +55,7 @@
 type SwapResult struct {
 	Succeeded bool
 	Revision  int64 // of the service after the call
-	Standing  *Pair
+	Current   *Pair
 }
 
 // Event is a change of one key; Deleted pairs have no value.
@@ -73,7 +73,7 @@
 
 // Service is a key-value service with compare-and-swap, leases and watches.
 // Implementations are safe for concurrent use. Errors of Swap wrap
-// ErrUnknown unless the change certainly had no effect.
+// ErrOutcomeUnknown unless the change certainly had no effect.
 type Service interface {
 	// Read returns the pair of a key, nil if the key is absent, and the service's
 	// revision.
--- a/internal/kv/pace.go
+++ b/internal/kv/pace.go
@@ -15,9 +15,9 @@
 	Writes float64
 }
 
-// Pace limits one process to its share of the Rates of a service, so that all processes
+// Limiter limits one process to its share of the Rates of a service, so that all processes
 // may start, or reconnect after an outage, at the same time. It is safe for concurrent use.
-type Pace struct {
+type Limiter struct {
 	rates Rates
 
 	mutex     sync.Mutex // guards all below
@@ -34,22 +34,22 @@
 	burstPeriod = time.Second
 )
 
-// Paced returns the limits for a process that does not know of any others yet.
-func Paced(rates Rates) *Pace {
-	return &Pace{rates: rates, processes: func() int { return 1 }, reads: rate.NewLimiter(0, 1), writes: rate.NewLimiter(0, 1)}
+// NewLimiter returns the limits for a process that does not know of any others yet.
+func NewLimiter(rates Rates) *Limiter {
+	return &Limiter{rates: rates, processes: func() int { return 1 }, reads: rate.NewLimiter(0, 1), writes: rate.NewLimiter(0, 1)}
 }
 
-// Among sets the function that returns the number of processes that share the rates,
+// SetProcesses sets the function that returns the number of processes that share the rates,
 // including this one.
-func (p *Pace) Among(processes func() int) {
+func (p *Limiter) SetProcesses(processes func() int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.processes = processes
 }
 
 // Wait blocks until the limit permits one call. The error wraps
-// ErrLimited if ctx ends, or its deadline would pass, before that.
-func (p *Pace) Wait(ctx context.Context, write bool) error {
+// ErrRateLimited if ctx ends, or its deadline would pass, before that.
+func (p *Limiter) Wait(ctx context.Context, write bool) error {
 	total, limiter := p.rates.Reads, p.reads
 	if write {
 		total, limiter = p.rates.Writes, p.writes
@@ -58,17 +58,17 @@
 		return nil
 	}
 	p.mutex.Lock()
-	part := Part(total, p.processes())
+	part := Share(total, p.processes())
 	limiter.SetLimit(rate.Limit(part))
 	limiter.SetBurst(max(int(part*burstPeriod.Seconds()), 1))
 	p.mutex.Unlock()
 	if err := limiter.Wait(ctx); err != nil {
-		return fmt.Errorf("%w: the share of this process is %.2f calls per second: %w", ErrLimited, part, err)
+		return fmt.Errorf("%w: the share of this process is %.2f calls per second: %w", ErrRateLimited, part, err)
 	}
 	return nil
 }
 
-// Part returns the calls per second of one process out of the given number.
-func Part(total float64, processes int) float64 {
+// Share returns the calls per second of one process out of the given number.
+func Share(total float64, processes int) float64 {
 	return total / float64(max(processes, minProcesses))
 }
--- a/internal/kv/pace_test.go
+++ b/internal/kv/pace_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestPart(t *testing.T) {
+func TestShare(t *testing.T) {
 	tests := []struct {
 		name      string
 		total     float64
@@ -20,23 +20,23 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := Part(test.total, test.processes); got != test.want {
+			if got := Share(test.total, test.processes); got != test.want {
 				t.Errorf("%v calls per second, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// TestPaceLimitsReadsAndWritesSeparately allows one call in 16 s each, so that a second
+// TestLimiterLimitsReadsAndWritesSeparately allows one call in 16 s each, so that a second
 // call within a second is rejected before it reaches the service.
-func TestPaceLimitsReadsAndWritesSeparately(t *testing.T) {
-	pace := Paced(Rates{Reads: 1, Writes: 1})
+func TestLimiterLimitsReadsAndWritesSeparately(t *testing.T) {
+	pace := NewLimiter(Rates{Reads: 1, Writes: 1})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	calls := []struct {
 		write bool
 		want  error
-	}{{false, nil}, {false, ErrLimited}, {true, nil}, {true, ErrLimited}}
+	}{{false, nil}, {false, ErrRateLimited}, {true, nil}, {true, ErrRateLimited}}
 	for i, call := range calls {
 		if err := pace.Wait(ctx, call.write); !errors.Is(err, call.want) {
 			t.Errorf("call %d: %v, want %v", i, err, call.want)
@@ -45,7 +45,7 @@
 }
 
 func TestZeroRateIsUnlimited(t *testing.T) {
-	pace := Paced(Rates{})
+	pace := NewLimiter(Rates{})
 	for range 100 {
 		if err := pace.Wait(context.Background(), true); err != nil {
 			t.Fatal(err)
--- a/internal/kv/watch.go
+++ b/internal/kv/watch.go
@@ -37,7 +37,7 @@
 	defer answer.Body.Close()
 	decoder := json.NewDecoder(answer.Body)
 	for {
-		var message WireWatchAnswer
+		var message WireWatchResponse
 		if err := decoder.Decode(&message); err != nil {
 			return errors.Join(context.Cause(ctx), err)
 		}
@@ -51,7 +51,7 @@
 // deliverMessage delivers the events of a message. The revision of the message that
 // confirms the watch is ignored: changes up to it may not have been delivered yet, unlike
 // those up to the revision of a progress notification.
-func deliverMessage(message WireWatchAnswer, deliver func(Batch)) error {
+func deliverMessage(message WireWatchResponse, deliver func(Batch)) error {
 	if message.Error != nil {
 		return fmt.Errorf("the service responded with an error: %s", message.Error.Message)
 	}
--- a/internal/kv/wire.go
+++ b/internal/kv/wire.go
@@ -36,12 +36,12 @@
 
 // Paths of the etcd v3 API.
 const (
-	PathRange       = "/v3/kv/range"
-	PathTxn         = "/v3/kv/txn"
-	PathWatch       = "/v3/watch"
-	PathLeaseGrant  = "/v3/lease/grant"
-	PathLeaseKeep   = "/v3/lease/keepalive"
-	PathLeaseRevoke = "/v3/lease/revoke"
+	PathRange          = "/v3/kv/range"
+	PathTxn            = "/v3/kv/txn"
+	PathWatch          = "/v3/watch"
+	PathLeaseGrant     = "/v3/lease/grant"
+	PathLeaseKeepAlive = "/v3/lease/keepalive"
+	PathLeaseRevoke    = "/v3/lease/revoke"
 )
 
 // WireHeader is the header of each response.
@@ -74,8 +74,8 @@
 	WireSortMod     = "MOD"
 )
 
-// WireRangeAnswer is the response to a range request.
-type WireRangeAnswer struct {
+// WireRangeResponse is the response to a range request.
+type WireRangeResponse struct {
 	Header WireHeader `json:"header"`
 	Pairs  []WirePair `json:"kvs,omitempty"`
 	Count  Int64      `json:"count,omitempty"`
@@ -121,16 +121,16 @@
 	Failure []WireOperation `json:"failure"`
 }
 
-// WireOperationAnswer is the response to one operation of a transaction.
-type WireOperationAnswer struct {
-	Range *WireRangeAnswer `json:"response_range,omitempty"`
+// WireOperationResponse is the response to one operation of a transaction.
+type WireOperationResponse struct {
+	Range *WireRangeResponse `json:"response_range,omitempty"`
 }
 
-// WireTxnAnswer is the response to a transaction.
-type WireTxnAnswer struct {
-	Header    WireHeader            `json:"header"`
-	Succeeded bool                  `json:"succeeded,omitempty"`
-	Responses []WireOperationAnswer `json:"responses,omitempty"`
+// WireTxnResponse is the response to a transaction.
+type WireTxnResponse struct {
+	Header    WireHeader              `json:"header"`
+	Succeeded bool                    `json:"succeeded,omitempty"`
+	Responses []WireOperationResponse `json:"responses,omitempty"`
 }
 
 // WireWatchRequest opens a watch.
@@ -146,8 +146,8 @@
 	ProgressNotify bool   `json:"progress_notify,omitempty"`
 }
 
-// WireWatchAnswer is one message of a watch stream.
-type WireWatchAnswer struct {
+// WireWatchResponse is one message of a watch stream.
+type WireWatchResponse struct {
 	Result *WireWatchResult `json:"result,omitempty"`
 	Error  *WireError       `json:"error,omitempty"`
 }
@@ -189,9 +189,9 @@
 	ID Int64 `json:"ID"`
 }
 
-// WireLeaseKeepAnswer is one message of a keep-alive stream. A TTL of 0 means that the
+// WireLeaseKeepAliveResponse is one message of a keep-alive stream. A TTL of 0 means that the
 // lease does not exist.
-type WireLeaseKeepAnswer struct {
+type WireLeaseKeepAliveResponse struct {
 	Result WireLeaseGrant `json:"result"`
 }
 
--- a/internal/logform/logform.go
+++ b/internal/logform/logform.go
@@ -29,8 +29,8 @@
 	Multipart Level = 2
 )
 
-// Newest is the level that this process announces.
-const Newest = Multipart
+// CurrentLevel is the level that this process announces.
+const CurrentLevel = Multipart
 
 // The first byte of packed data, never that of JSON.
 const (
@@ -41,9 +41,9 @@
 const (
 	// minCompressBytes is the size below which compression saves too little.
 	minCompressBytes = 256
-	// MaximumBytes is the maximum size of the JSON of one entry, sufficient for the largest
+	// MaxBytes is the maximum size of the JSON of one entry, sufficient for the largest
 	// accepted command.
-	MaximumBytes = 64 << 20
+	MaxBytes = 64 << 20
 )
 
 var errInvalidEntry = errors.New("log entry has an unknown encoding or is corrupt")
@@ -87,9 +87,9 @@
 	return len(data) > 0 && (data[0] == prefixStored || data[0] == prefixCompressed)
 }
 
-// Open returns the JSON of data in any encoding; the result may share memory with data. It
+// Unpack returns the JSON of data in any encoding; the result may share memory with data. It
 // returns an error for truncated or corrupt packed data, never a part of the JSON.
-func Open(data []byte) ([]byte, error) {
+func Unpack(data []byte) ([]byte, error) {
 	if !IsPacked(data) {
 		return data, nil
 	}
@@ -97,7 +97,7 @@
 		return data[1:], nil
 	}
 	size, n := binary.Uvarint(data[1:])
-	if n <= 0 || size > MaximumBytes {
+	if n <= 0 || size > MaxBytes {
 		return nil, errInvalidEntry
 	}
 	reader := decompressorPool.Get().(io.ReadCloser)
--- a/internal/logform/logform_test.go
+++ b/internal/logform/logform_test.go
@@ -40,30 +40,30 @@
 		if !IsPacked(packed) || len(packed) > test.max {
 			t.Errorf("%s: %d bytes packed from %d, IsPacked %t", test.name, len(packed), len(test.plain), IsPacked(packed))
 		}
-		if plain, err := Open(packed); err != nil || !bytes.Equal(plain, test.plain) {
+		if plain, err := Unpack(packed); err != nil || !bytes.Equal(plain, test.plain) {
 			t.Errorf("%s: opened as %d bytes, %v", test.name, len(plain), err)
 		}
 	}
 }
 
-func TestOpenReturnsPlainJSONUnchanged(t *testing.T) {
+func TestUnpackReturnsPlainJSONUnchanged(t *testing.T) {
 	for _, plain := range []string{`{"time":"2026-01-02T03:04:05Z"}`, ``, `{}`} {
-		if got, err := Open([]byte(plain)); err != nil || string(got) != plain || IsPacked([]byte(plain)) {
+		if got, err := Unpack([]byte(plain)); err != nil || string(got) != plain || IsPacked([]byte(plain)) {
 			t.Errorf("%q: %q, %v", plain, got, err)
 		}
 	}
 }
 
-// TestOpenRejectsTruncatedAndCorruptData guards against accepting a part of an entry.
-func TestOpenRejectsTruncatedAndCorruptData(t *testing.T) {
+// TestUnpackRejectsTruncatedAndCorruptData guards against accepting a part of an entry.
+func TestUnpackRejectsTruncatedAndCorruptData(t *testing.T) {
 	packed := Pack(command(2_000))
 	for cut := 1; cut < len(packed); cut++ {
-		if plain, err := Open(packed[:cut]); err == nil {
+		if plain, err := Unpack(packed[:cut]); err == nil {
 			t.Fatalf("truncated to %d of %d: opened as %d bytes", cut, len(packed), len(plain))
 		}
 	}
 	for _, broken := range [][]byte{{prefixCompressed}, {prefixCompressed, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f}, append([]byte{prefixCompressed, 3}, packed[3:]...)} {
-		if _, err := Open(broken); err == nil {
+		if _, err := Unpack(broken); err == nil {
 			t.Errorf("%v was accepted", broken[:min(len(broken), 12)])
 		}
 	}
@@ -72,17 +72,17 @@
 func TestPackRoundTripOfAnyBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plain := rapid.SliceOfN(rapid.Byte(), 0, 4000).Draw(t, "plain")
-		if got, err := Open(Pack(plain)); err != nil || !bytes.Equal(got, plain) {
+		if got, err := Unpack(Pack(plain)); err != nil || !bytes.Equal(got, plain) {
 			t.Fatalf("%d bytes were opened as %d, %v", len(plain), len(got), err)
 		}
 	})
 }
 
-func FuzzOpen(f *testing.F) {
+func FuzzUnpack(f *testing.F) {
 	f.Add([]byte(`{}`))
 	f.Add(Pack(command(300)))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if plain, err := Open(data); err == nil && len(plain) > MaximumBytes {
+		if plain, err := Unpack(data); err == nil && len(plain) > MaxBytes {
 			t.Errorf("%d bytes", len(plain))
 		}
 	})
@@ -103,12 +103,12 @@
 	}
 }
 
-// BenchmarkOpen measures the cost per entry at each replica.
-func BenchmarkOpen(b *testing.B) {
+// BenchmarkUnpack measures the cost per entry at each replica.
+func BenchmarkUnpack(b *testing.B) {
 	packed := Pack(command(10 << 10))
 	b.SetBytes(10 << 10)
 	for b.Loop() {
-		if _, err := Open(packed); err != nil {
+		if _, err := Unpack(packed); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/node/edit.go
+++ b/internal/node/edit.go
@@ -81,8 +81,8 @@
 	case table.SwapRow:
 		result, err := n.KeyValue.Swap(ctx, kv.Swap{Key: key, Expected: action.Expected, Value: action.Value})
 		return table.SwapDone{
-			Succeeded: result.Succeeded, Revision: result.Revision, Current: storedPair(result.Standing),
-			Unknown: errors.Is(err, kv.ErrUnknown), Err: err,
+			Succeeded: result.Succeeded, Revision: result.Revision, Current: storedPair(result.Current),
+			Unknown: errors.Is(err, kv.ErrOutcomeUnknown), Err: err,
 		}
 	}
 	return table.Abort{Reason: "unknown action"}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -117,8 +117,8 @@
 	node.Registry.MustRegister(node.panics)
 	node.Traffic = transport.NewTraffic(settings.Node.Zone, node.zoneOf)
 	node.Registry.MustRegister(node.Traffic)
-	node.Traffic.Count(node.Control, transport.KindControl)
-	node.Traffic.Count(node.gossip, transport.KindGossip)
+	node.Traffic.Instrument(node.Control, transport.KindControl)
+	node.Traffic.Instrument(node.gossip, transport.KindGossip)
 	node.Registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	node.tableMetrics, node.membershipMetrics = newTableMetrics(node.Registry), newMembershipMetrics(node.Registry)
 	for _, option := range options {
@@ -146,9 +146,9 @@
 // peer that is short of CPU time might never be reached, and its graceful shutdown would
 // interrupt requests.
 func newGossipClient(interval time.Duration) *http.Client {
-	return transport.NewProbingClient(transport.Options{
-		ConnectionsPerHost: gossipConnections, DialTimeout: gossipKeepAliveIntervals * interval, IdleLifetime: gossipIdleIntervals * interval,
-		SilenceLimit: gossipKeepAliveIntervals * interval,
+	return transport.NewKeepAliveClient(transport.ClientOptions{
+		ConnectionsPerHost: gossipConnections, DialTimeout: gossipKeepAliveIntervals * interval, IdleTimeout: gossipIdleIntervals * interval,
+		KeepAliveTimeout: gossipKeepAliveIntervals * interval,
 	})
 }
 
@@ -246,7 +246,7 @@
 	n.membership = shell.Start(n.System, n.machine, n.executeMembership)
 	n.replica = shell.Start(n.System, table.NewReplica(), n.executeTable)
 	n.server = &http.Server{
-		Handler: transport.Guard(n.Mux, n.reportPanic), ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes,
+		Handler: transport.RecoverPanics(n.Mux, n.reportPanic), ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ConnContext: n.connections.connContext, ConnState: n.connections.connState,
 	}
 	background, stopBackground := context.WithCancel(kill)
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -166,7 +166,7 @@
 	if open := n.connections.count(); n.Role == api.RoleRouter && open > 0 {
 		n.Logger("node").Warnf("Leaving: %d client connections are still open.", open)
 	}
-	last := n.LastWork()
+	last := n.LastRequest()
 	if last.Before(began) {
 		n.Logger("node").Info("Leaving: no requests arrived after the announcement.")
 		return
@@ -174,5 +174,5 @@
 	n.Logger("node").Infof("Leaving: the last request arrived %v after the announcement.", last.Sub(began).Round(time.Millisecond))
 }
 
-// LastWork returns the arrival time of the latest data path request.
-func (n *Node) LastWork() time.Time { return time.Unix(0, n.lastRequest.Load()) }
+// LastRequest returns the arrival time of the latest data path request.
+func (n *Node) LastRequest() time.Time { return time.Unix(0, n.lastRequest.Load()) }
--- a/internal/node/table_watch.go
+++ b/internal/node/table_watch.go
@@ -199,7 +199,7 @@
 			cancel(errWatchStalled)
 			return
 		}
-		missed = latest.Modified
+		missed = latest.ModRevision
 		s.warnIfBehind(latest)
 	}
 }
--- a/internal/node/traffic.go
+++ b/internal/node/traffic.go
@@ -41,7 +41,7 @@
 // logTraffic logs the cross-zone traffic since the totals in logged, if any, and returns
 // the new totals.
 func (n *Node) logTraffic(logged map[transport.Kind]int64) map[transport.Kind]int64 {
-	crossed := n.Traffic.Crossed()
+	crossed := n.Traffic.CrossZoneBytes()
 	fields := logrus.Fields{"event": "traffic"}
 	total := int64(0)
 	for kind, bytes := range crossed {
--- a/internal/relay/peer.go
+++ b/internal/relay/peer.go
@@ -62,7 +62,7 @@
 	if len(query) > 0 {
 		path += "?" + query.Encode()
 	}
-	err := transport.GetSteadily(ctx, r.client, "ask for changes", peer.Address, path, header, stallTimeout, into)
+	err := transport.GetWithIdleTimeout(ctx, r.client, "ask for changes", peer.Address, path, header, stallTimeout, into)
 	var failure *api.Error
 	if errors.As(err, &failure) && failure.Code == api.CodeKeyValueUnavailable {
 		return fmt.Errorf("%w: %w", errNoContact, err)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -96,8 +96,8 @@
 func New(service Service, settings feed.Settings, members func() []feed.Member, log *logrus.Entry) *Relay {
 	return &Relay{
 		Service: service, settings: settings, log: log, members: members, mirror: newMirror(), chooser: feed.New(settings),
-		client: transport.NewProbingClient(transport.Options{
-			ConnectionsPerHost: peerConnections, DialTimeout: peerDialTimeout, IdleLifetime: peerIdleLifetime, SilenceLimit: settings.MaxStaleness, Compressed: true,
+		client: transport.NewKeepAliveClient(transport.ClientOptions{
+			ConnectionsPerHost: peerConnections, DialTimeout: peerDialTimeout, IdleTimeout: peerIdleLifetime, KeepAliveTimeout: settings.MaxStaleness, AcceptGzip: true,
 		}),
 		queries: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "dykewing_feed_questions_total", Help: "Questions for changes of the key-value service, by whom they went to and how they ended.",
--- a/internal/relayed/relayed.go
+++ b/internal/relayed/relayed.go
@@ -82,8 +82,8 @@
 func New(settings Settings) *Client {
 	return &Client{
 		settings: settings, metrics: newMetrics(settings.Registry), slots: make(chan struct{}, maxForwarded), paths: detour.New(),
-		client: transport.NewProbingClient(transport.Options{
-			ConnectionsPerHost: connections, DialTimeout: cmp.Or(settings.DialTimeout, dialTimeout), IdleLifetime: connectionLifetime, SilenceLimit: silenceLimit,
+		client: transport.NewKeepAliveClient(transport.ClientOptions{
+			ConnectionsPerHost: connections, DialTimeout: cmp.Or(settings.DialTimeout, dialTimeout), IdleTimeout: connectionLifetime, KeepAliveTimeout: silenceLimit,
 		}),
 	}
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -122,7 +122,7 @@
 
 // recordFailure reports to admission that a worker did not respond.
 func (r *Router) recordFailure(worker api.WorkerID, err error) {
-	if transport.NeverConnected(err) {
+	if transport.IsDialError(err) {
 		r.admission.Tell(admission.Unreachable{Worker: worker})
 		return
 	}
--- a/internal/router/resume.go
+++ b/internal/router/resume.go
@@ -45,5 +45,5 @@
 }
 
 func newBodyBudget(each int64) *transport.BodyBudget {
-	return &transport.BodyBudget{Total: maxHeldBytes, Each: each, Timeout: bodyTimeout}
+	return &transport.BodyBudget{MaxTotal: maxHeldBytes, MaxBody: each, Timeout: bodyTimeout}
 }
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -63,7 +63,7 @@
 		rows[row.Key()] = api.VersionedRow{Row: row, Revision: 1}
 	}
 	f.sidecar.table.Store(table.NewSnapshot(1, rows))
-	f.url = f.serve(transport.Guard(f.sidecar.routes(), f.sidecar.reportPanic)).URL
+	f.url = f.serve(transport.RecoverPanics(f.sidecar.routes(), f.sidecar.reportPanic)).URL
 	return f
 }
 
--- a/internal/sidecar/online_test.go
+++ b/internal/sidecar/online_test.go
@@ -206,7 +206,7 @@
 	if f.sent.Load() != 0 {
 		t.Errorf("%d refused requests were sent", f.sent.Load())
 	}
-	if f.sidecar.bodies.Held() != 0 || f.sidecar.bufferedBytes.Load() != 0 {
+	if f.sidecar.bodies.InUse() != 0 || f.sidecar.bufferedBytes.Load() != 0 {
 		t.Error("buffers are still reserved after all requests ended")
 	}
 	if reply := f.postModel(); reply.status != http.StatusOK {
--- a/internal/sidecar/record.go
+++ b/internal/sidecar/record.go
@@ -78,7 +78,7 @@
 func unknownRecord(failure *api.Error) jobs.RecordAnswer {
 	recorded := *failure
 	recorded.Outcome = api.OutcomeUnknown
-	body, _ := json.Marshal(transport.BodyOf(&recorded))
+	body, _ := json.Marshal(transport.NewErrorBody(&recorded))
 	return jobs.RecordAnswer{Outcome: api.OutcomeUnknown, Status: recorded.Code.HTTPStatus(), ContentType: "application/json", Body: body}
 }
 
--- a/internal/sidecar/relay.go
+++ b/internal/sidecar/relay.go
@@ -105,7 +105,7 @@
 
 // writeErrorEvent ends the stream with an event that holds the error.
 func writeErrorEvent(w *callerWriter, err error) {
-	body, _ := json.Marshal(transport.BodyOf(api.AsError("relay stream", err)))
+	body, _ := json.Marshal(transport.NewErrorBody(api.AsError("relay stream", err)))
 	_, _ = fmt.Fprintf(w, "data: %s\n\n", body)
 	_ = w.controller.Flush()
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -81,7 +81,7 @@
 		online:      transport.NewClient(requestConnections),
 		stores:      &storeclient.Client{HTTP: transport.NewClient(storeConnections), Nodes: common.Nodes},
 		metrics:     newMetrics(common.Registry),
-		bodies:      &transport.BodyBudget{Total: maxHeldBytes, Each: common.Settings.Sidecar.MaximumBodyBytes, Timeout: bodyTimeout},
+		bodies:      &transport.BodyBudget{MaxTotal: maxHeldBytes, MaxBody: common.Settings.Sidecar.MaximumBodyBytes, Timeout: bodyTimeout},
 		random:      random,
 		policy:      retry.NewPolicy(retry.DefaultSettings(), random),
 		unavailable: &unavailableHomes{},
@@ -101,7 +101,7 @@
 // Run serves callers until ctx ends, then lets their requests finish.
 func (s *Sidecar) Run(ctx context.Context) error {
 	server := &http.Server{
-		Handler:           transport.Guard(s.closeConnections(s.routes()), s.reportPanic),
+		Handler:           transport.RecoverPanics(s.closeConnections(s.routes()), s.reportPanic),
 		ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 	failed := make(chan error, 1)
--- a/internal/slopes/memory_test.go
+++ b/internal/slopes/memory_test.go
@@ -106,7 +106,7 @@
 				if err := json.Unmarshal(raw, &decoded); err != nil {
 					b.Fatal(err)
 				}
-				if _, err := discovery.WorkersOf(decoded); err != nil {
+				if _, err := discovery.ParseWorkers(decoded); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/standin/keyvalue/keyvalue.go
+++ b/internal/standin/keyvalue/keyvalue.go
@@ -45,7 +45,7 @@
 	server.handle(kv.PathTxn, server.serveTxn)
 	server.handle(kv.PathWatch, server.serveWatch)
 	server.handle(kv.PathLeaseGrant, server.serveLeaseGrant)
-	server.handle(kv.PathLeaseKeep, server.serveLeaseKeepAlive)
+	server.handle(kv.PathLeaseKeepAlive, server.serveLeaseKeepAlive)
 	server.handle(kv.PathLeaseRevoke, server.serveLeaseRevoke)
 	return server
 }
@@ -88,9 +88,9 @@
 	writeJSON(w, answer)
 }
 
-func (s *Server) readRange(request kv.WireRangeRequest) kv.WireRangeAnswer {
+func (s *Server) readRange(request kv.WireRangeRequest) kv.WireRangeResponse {
 	s.expireLeases()
-	answer := kv.WireRangeAnswer{Header: kv.WireHeader{Revision: kv.Int64(s.revision)}}
+	answer := kv.WireRangeResponse{Header: kv.WireHeader{Revision: kv.Int64(s.revision)}}
 	for key, pair := range s.pairs {
 		if inRange(key, string(request.Key), string(request.RangeEnd)) {
 			answer.Pairs = append(answer.Pairs, pair)
@@ -134,11 +134,11 @@
 	writeJSON(w, answer)
 }
 
-func (s *Server) applyTxn(txn kv.WireTxn) kv.WireTxnAnswer {
+func (s *Server) applyTxn(txn kv.WireTxn) kv.WireTxnResponse {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.expireLeases()
-	answer := kv.WireTxnAnswer{Succeeded: s.compare(txn.Compare)}
+	answer := kv.WireTxnResponse{Succeeded: s.compare(txn.Compare)}
 	operations := txn.Failure
 	if answer.Succeeded {
 		operations = txn.Success
@@ -157,12 +157,12 @@
 	return true
 }
 
-func (s *Server) applyOperations(operations []kv.WireOperation) []kv.WireOperationAnswer {
-	var answers []kv.WireOperationAnswer
+func (s *Server) applyOperations(operations []kv.WireOperation) []kv.WireOperationResponse {
+	var answers []kv.WireOperationResponse
 	next := s.revision + 1
 	before := len(s.history)
 	for _, operation := range operations {
-		var answer kv.WireOperationAnswer
+		var answer kv.WireOperationResponse
 		switch {
 		case operation.Range != nil:
 			found := s.readRange(*operation.Range)
--- a/internal/standin/keyvalue/lease.go
+++ b/internal/standin/keyvalue/lease.go
@@ -45,7 +45,7 @@
 	}
 	s.mutex.Lock()
 	s.expireLeases()
-	answer := kv.WireLeaseKeepAnswer{Result: kv.WireLeaseGrant{ID: request.ID}}
+	answer := kv.WireLeaseKeepAliveResponse{Result: kv.WireLeaseGrant{ID: request.ID}}
 	if held, ok := s.leases[int64(request.ID)]; ok {
 		held.expires = time.Now().Add(held.ttl)
 		answer.Result.TTL = kv.Int64(held.ttl / time.Second)
--- a/internal/standin/keyvalue/watch.go
+++ b/internal/standin/keyvalue/watch.go
@@ -71,7 +71,7 @@
 }
 
 func (s *watch) send(result kv.WireWatchResult) error {
-	if err := s.encoder.Encode(kv.WireWatchAnswer{Result: &result}); err != nil {
+	if err := s.encoder.Encode(kv.WireWatchResponse{Result: &result}); err != nil {
 		return err
 	}
 	return s.controller.Flush()
--- a/internal/standin/machinelist/faults.go
+++ b/internal/standin/machinelist/faults.go
@@ -79,7 +79,7 @@
 		if !decode(w, r, &groups) {
 			return
 		}
-		workers, err := discovery.WorkersOf(groups)
+		workers, err := discovery.ParseWorkers(groups)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
--- a/internal/store/bootstrap.go
+++ b/internal/store/bootstrap.go
@@ -106,13 +106,13 @@
 	}
 	key := s.key(prefixStores + string(s.shared.database.identity))
 	result, err := s.node.KeyValue.Swap(ctx, kv.Swap{Key: key, Value: value})
-	if err == nil && !result.Succeeded && result.Standing != nil && string(result.Standing.Value) != string(value) {
-		result, err = s.node.KeyValue.Swap(ctx, kv.Swap{Key: key, Value: value, Expected: result.Standing.Revision})
+	if err == nil && !result.Succeeded && result.Current != nil && string(result.Current.Value) != string(value) {
+		result, err = s.node.KeyValue.Swap(ctx, kv.Swap{Key: key, Value: value, Expected: result.Current.Revision})
 	}
 	if err != nil {
 		return fmt.Errorf("register store: %w", err)
 	}
-	s.registered = result.Succeeded || result.Standing != nil && string(result.Standing.Value) == string(value)
+	s.registered = result.Succeeded || result.Current != nil && string(result.Current.Value) == string(value)
 	return nil
 }
 
@@ -174,8 +174,8 @@
 	switch {
 	case result.Succeeded:
 		s.records.Observe(kv.Pair{Key: key, Value: value, Revision: result.Revision})
-	case result.Standing != nil:
-		s.records.Observe(*result.Standing)
+	case result.Current != nil:
+		s.records.Observe(*result.Current)
 	}
 	return result, nil
 }
--- a/internal/store/decommission.go
+++ b/internal/store/decommission.go
@@ -177,9 +177,9 @@
 // overwrite puts a key regardless of its current value.
 func (s *Store) overwrite(ctx context.Context, key string, value []byte) error {
 	result, err := s.node.KeyValue.Swap(ctx, kv.Swap{Key: key, Value: value})
-	if err != nil || result.Succeeded || result.Standing == nil {
+	if err != nil || result.Succeeded || result.Current == nil {
 		return err
 	}
-	_, err = s.node.KeyValue.Swap(ctx, kv.Swap{Key: key, Value: value, Expected: result.Standing.Revision})
+	_, err = s.node.KeyValue.Swap(ctx, kv.Swap{Key: key, Value: value, Expected: result.Current.Revision})
 	return err
 }
--- a/internal/store/form.go
+++ b/internal/store/form.go
@@ -206,7 +206,7 @@
 }
 
 func decodeCommand(data []byte) (command jobs.Command, err error) {
-	plain, err := logform.Open(data)
+	plain, err := logform.Unpack(data)
 	if err != nil {
 		return command, err
 	}
--- a/internal/store/form_test.go
+++ b/internal/store/form_test.go
@@ -33,7 +33,7 @@
 	}
 	keep, _ := encodeCommand(jobs.Command{CheckpointInline: &jobs.CheckpointInline{Parts: []jobs.InlinePart{{Job: "j", Text: string(text)}}}}, true)
 	return messageBatch{
-		From: "one", Address: "10.0.0.1:1", Level: logform.Newest, Members: map[replication.ReplicaID]string{"three": "10.0.0.3:1"},
+		From: "one", Address: "10.0.0.1:1", Level: logform.CurrentLevel, Members: map[replication.ReplicaID]string{"three": "10.0.0.3:1"},
 		Messages: []replication.WireMessage{
 			{Type: replication.MessageAppend, Group: 1, From: "one", To: "two", Term: 3, Index: 6, Entries: []replication.Entry{
 				{Index: 7, Term: 3, Data: keep}, {Index: 8, Term: 3, Kind: replication.EntryNoop}, {Index: 9, Term: 3, Data: []byte(`{"end_inline":{"job":"j"}}`)},
@@ -132,7 +132,7 @@
 	request := func(body []byte) (messageBatch, error) {
 		r := httptest.NewRequest(http.MethodPost, pathMessages, bytes.NewReader(body))
 		r.Header.Set("Content-Type", contentLegacyFrame)
-		got, failure := readBatch(httptest.NewRecorder(), r, logform.Newest)
+		got, failure := readBatch(httptest.NewRecorder(), r, logform.CurrentLevel)
 		if failure != nil {
 			return got, failure
 		}
@@ -168,7 +168,7 @@
 	defer peer.Close()
 	p := newPeers(time.Minute)
 	p.recordContact(time.Now(), "two", peer.Listener.Addr().String())
-	s := newSender("one", "10.0.0.1:1", p, newMetrics(prometheus.NewRegistry()), nil, logform.Newest)
+	s := newSender("one", "10.0.0.1:1", p, newMetrics(prometheus.NewRegistry()), nil, logform.CurrentLevel)
 	defer s.close()
 	for _, step := range []struct {
 		name      string
--- a/internal/store/hooks.go
+++ b/internal/store/hooks.go
@@ -28,5 +28,5 @@
 	if h.legacyFormat {
 		return logform.Plain
 	}
-	return logform.Newest
+	return logform.CurrentLevel
 }
--- a/internal/store/http.go
+++ b/internal/store/http.go
@@ -170,5 +170,5 @@
 		transport.WriteError(w, api.AsError(step, err))
 		return
 	}
-	transport.WriteCompactJSON(w, r, http.StatusOK, value)
+	transport.WriteCompressedJSON(w, r, http.StatusOK, value)
 }
--- a/internal/store/sender.go
+++ b/internal/store/sender.go
@@ -67,7 +67,7 @@
 	const connections = 2
 	ctx, cancel := context.WithCancel(context.Background())
 	return &sender{
-		self: self, address: address, client: traffic.Count(transport.NewClient(connections), transport.KindLog), peers: peers, metrics: metrics, level: reads,
+		self: self, address: address, client: traffic.Instrument(transport.NewClient(connections), transport.KindLog), peers: peers, metrics: metrics, level: reads,
 		queues: map[replication.ReplicaID]*sendQueue{}, ctx: ctx, cancel: cancel,
 	}
 }
--- a/internal/transport/body.go
+++ b/internal/transport/body.go
@@ -23,14 +23,14 @@
 // the time to receive it. It is safe for concurrent use; the exported fields must be set
 // before first use.
 type BodyBudget struct {
-	Total   int64         // maximum bytes in use by all requests
-	Each    int64         // maximum bytes of one body
-	Timeout time.Duration // for receiving a whole body
-	inUse   atomic.Int64
+	MaxTotal int64         // maximum bytes in use by all requests
+	MaxBody  int64         // maximum bytes of one body
+	Timeout  time.Duration // for receiving a whole body
+	inUse    atomic.Int64
 }
 
-// Held returns the number of bytes in use.
-func (b *BodyBudget) Held() int64 { return b.inUse.Load() }
+// InUse returns the number of bytes in use.
+func (b *BodyBudget) InUse() int64 { return b.inUse.Load() }
 
 // Read reads a whole body. The caller must call release once the body is no longer used,
 // also after a failure. Memory is reserved as data arrives, so that a caller cannot
@@ -42,8 +42,8 @@
 		reserved = 0
 		return nil, release, b.exhausted(step)
 	}
-	if r.ContentLength > b.Each {
-		return nil, release, api.NewError(step, "", api.CodeTooLarge, api.OutcomeNotRun, "body of %d bytes is over %d", r.ContentLength, b.Each)
+	if r.ContentLength > b.MaxBody {
+		return nil, release, api.NewError(step, "", api.CodeTooLarge, api.OutcomeNotRun, "body of %d bytes is over %d", r.ContentLength, b.MaxBody)
 	}
 	controller := http.NewResponseController(w)
 	_ = controller.SetReadDeadline(time.Now().Add(b.Timeout))
@@ -56,7 +56,7 @@
 		}
 		_ = controller.SetReadDeadline(time.Time{})
 	}()
-	reader := http.MaxBytesReader(w, r.Body, b.Each)
+	reader := http.MaxBytesReader(w, r.Body, b.MaxBody)
 	for {
 		if len(body) == cap(body) {
 			next := max(2*int64(cap(body)), min(max(r.ContentLength+1, 1), initialBodyBytes))
@@ -83,7 +83,7 @@
 }
 
 func (b *BodyBudget) reserve(bytes int64) bool {
-	if b.inUse.Add(bytes) <= b.Total {
+	if b.inUse.Add(bytes) <= b.MaxTotal {
 		return true
 	}
 	b.inUse.Add(-bytes)
@@ -91,7 +91,7 @@
 }
 
 func (b *BodyBudget) exhausted(step string) *api.Error {
-	failure := api.NewError(step, "", api.CodeOverloaded, api.OutcomeNotRun, "bodies of %d bytes are held already", b.Held())
+	failure := api.NewError(step, "", api.CodeOverloaded, api.OutcomeNotRun, "bodies of %d bytes are held already", b.InUse())
 	failure.RetryAfter = budgetRetryAfter
 	return failure
 }
--- a/internal/transport/body_test.go
+++ b/internal/transport/body_test.go
@@ -21,13 +21,13 @@
 		length int64 // Content-Length; -1 if chunked
 		code   api.ErrorCode
 	}{
-		{"fits", &BodyBudget{Total: 1 << 20, Each: 1 << 10}, "body", 4, ""},
-		{"fits, chunked", &BodyBudget{Total: 1 << 20, Each: 1 << 14}, strings.Repeat("b", 1<<14), -1, ""},
-		{"empty", &BodyBudget{Total: 1 << 20, Each: 1 << 10}, "", 0, ""},
-		{"Content-Length too large", &BodyBudget{Total: 1 << 20, Each: 10}, strings.Repeat("b", 11), 11, api.CodeTooLarge},
-		{"too large, chunked", &BodyBudget{Total: 1 << 20, Each: 10}, strings.Repeat("b", 11), -1, api.CodeTooLarge},
-		{"no budget for the request", &BodyBudget{Total: 10, Each: 10}, "b", 1, api.CodeOverloaded},
-		{"no budget for the body", &BodyBudget{Total: requestOverheadBytes + 1000, Each: 1 << 20}, strings.Repeat("b", 5000), -1, api.CodeOverloaded},
+		{"fits", &BodyBudget{MaxTotal: 1 << 20, MaxBody: 1 << 10}, "body", 4, ""},
+		{"fits, chunked", &BodyBudget{MaxTotal: 1 << 20, MaxBody: 1 << 14}, strings.Repeat("b", 1<<14), -1, ""},
+		{"empty", &BodyBudget{MaxTotal: 1 << 20, MaxBody: 1 << 10}, "", 0, ""},
+		{"Content-Length too large", &BodyBudget{MaxTotal: 1 << 20, MaxBody: 10}, strings.Repeat("b", 11), 11, api.CodeTooLarge},
+		{"too large, chunked", &BodyBudget{MaxTotal: 1 << 20, MaxBody: 10}, strings.Repeat("b", 11), -1, api.CodeTooLarge},
+		{"no budget for the request", &BodyBudget{MaxTotal: 10, MaxBody: 10}, "b", 1, api.CodeOverloaded},
+		{"no budget for the body", &BodyBudget{MaxTotal: requestOverheadBytes + 1000, MaxBody: 1 << 20}, strings.Repeat("b", 5000), -1, api.CodeOverloaded},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -48,7 +48,7 @@
 				t.Fatal("no Retry-After")
 			}
 			release()
-			if held := c.budget.Held(); held != 0 {
+			if held := c.budget.InUse(); held != 0 {
 				t.Fatalf("%d bytes are in use after release", held)
 			}
 		})
@@ -56,7 +56,7 @@
 }
 
 func TestSlowBodyTimesOut(t *testing.T) {
-	budget := &BodyBudget{Total: 1 << 20, Each: 1 << 10, Timeout: 50 * time.Millisecond}
+	budget := &BodyBudget{MaxTotal: 1 << 20, MaxBody: 1 << 10, Timeout: 50 * time.Millisecond}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, release, failure := budget.Read(w, r, "read")
 		defer release()
@@ -79,9 +79,9 @@
 	}
 }
 
-func TestGuardRecoversFromPanics(t *testing.T) {
+func TestRecoverPanics(t *testing.T) {
 	reports := make(chan any, 2)
-	server := httptest.NewServer(Guard(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := httptest.NewServer(RecoverPanics(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/begun" {
 			w.WriteHeader(http.StatusOK)
 			_ = http.NewResponseController(w).Flush()
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -36,33 +36,33 @@
 	}
 }
 
-// Options configure a client that detects dead peers.
-type Options struct {
+// ClientOptions configure a client that detects dead peers.
+type ClientOptions struct {
 	ConnectionsPerHost int           // maximum idle connections
 	DialTimeout        time.Duration // for opening a connection
-	IdleLifetime       time.Duration // after which an idle connection is closed
-	// SilenceLimit is the approximate time without replies to TCP keep-alive probes after
+	IdleTimeout        time.Duration // after which an idle connection is closed
+	// KeepAliveTimeout is the approximate time without replies to TCP keep-alive probes after
 	// which a connection is closed.
-	SilenceLimit time.Duration
-	// Compressed accepts responses with gzip encoding and decodes them transparently.
-	Compressed bool
+	KeepAliveTimeout time.Duration
+	// AcceptGzip accepts responses with gzip encoding and decodes them transparently.
+	AcceptGzip bool
 }
 
 // keepAliveProbes is the number of unanswered TCP keep-alive probes before a connection is
 // closed.
 const keepAliveProbes = 3
 
-// NewProbingClient returns a client that detects dead peers by TCP keep-alive probes.
-func NewProbingClient(options Options) *http.Client {
+// NewKeepAliveClient returns a client that detects dead peers by TCP keep-alive probes.
+func NewKeepAliveClient(options ClientOptions) *http.Client {
 	client := NewClient(options.ConnectionsPerHost)
-	interval := options.SilenceLimit / (keepAliveProbes + 1)
+	interval := options.KeepAliveTimeout / (keepAliveProbes + 1)
 	dialer := &net.Dialer{Timeout: options.DialTimeout, KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: interval, Interval: interval, Count: keepAliveProbes,
 	}}
 	pool := client.Transport.(*http.Transport)
 	pool.DialContext = countingDial(dialer)
-	pool.IdleConnTimeout = options.IdleLifetime
-	pool.DisableCompression = !options.Compressed
+	pool.IdleConnTimeout = options.IdleTimeout
+	pool.DisableCompression = !options.AcceptGzip
 	return client
 }
 
--- a/internal/transport/compressed.go
+++ b/internal/transport/compressed.go
@@ -20,9 +20,9 @@
 	return writer
 }}
 
-// WriteCompactJSON is like WriteJSON for responses that may be large: it compresses them
+// WriteCompressedJSON is like WriteJSON for responses that may be large: it compresses them
 // if the request accepts gzip.
-func WriteCompactJSON(w http.ResponseWriter, r *http.Request, status int, value any) {
+func WriteCompressedJSON(w http.ResponseWriter, r *http.Request, status int, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
 		// As in WriteJSON, the caller fails to decode the empty body.
--- a/internal/transport/compressed_test.go
+++ b/internal/transport/compressed_test.go
@@ -22,11 +22,11 @@
 		text := strings.Repeat("monthly payments rise ", test.bytes/22+1)[:test.bytes]
 		encoding := ""
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			WriteCompactJSON(w, r, http.StatusOK, text)
+			WriteCompressedJSON(w, r, http.StatusOK, text)
 			encoding = w.Header().Get("Content-Encoding")
 		}))
 		traffic := NewTraffic("a", func(string) (string, bool) { return "b", true })
-		client := traffic.Count(NewProbingClient(Options{ConnectionsPerHost: 1, DialTimeout: time.Second, SilenceLimit: time.Minute, Compressed: test.compressed}), KindJobs)
+		client := traffic.Instrument(NewKeepAliveClient(ClientOptions{ConnectionsPerHost: 1, DialTimeout: time.Second, KeepAliveTimeout: time.Minute, AcceptGzip: test.compressed}), KindJobs)
 		var got string
 		if err := Get(t.Context(), client, "read", server.Listener.Addr().String(), "/", &got); err != nil || got != text {
 			t.Errorf("%s: %d bytes read of %d, %v", test.name, len(got), len(text), err)
@@ -36,7 +36,7 @@
 		if (encoding == "gzip") != test.want {
 			t.Errorf("%s: encoding %q", test.name, encoding)
 		}
-		if crossed := traffic.Crossed()[KindJobs]; test.want && crossed > int64(test.bytes)/2 {
+		if crossed := traffic.CrossZoneBytes()[KindJobs]; test.want && crossed > int64(test.bytes)/2 {
 			t.Errorf("%s: %d bytes crossed for %d", test.name, crossed, test.bytes)
 		}
 	}
--- a/internal/transport/guard.go
+++ b/internal/transport/guard.go
@@ -8,11 +8,11 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// Guard recovers from panics of the handler. It responds with status 500 and outcome
+// RecoverPanics recovers from panics of the handler. It responds with status 500 and outcome
 // unknown, or aborts the connection if the response has started. report is called with the
 // panic and its stack. It passes on http.ErrAbortHandler, which aborts the connection
 // deliberately.
-func Guard(handler http.Handler, report func(cause any, stack []byte)) http.Handler {
+func RecoverPanics(handler http.Handler, report func(cause any, stack []byte)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		guarded := &guardedWriter{ResponseWriter: w}
 		defer func() {
--- a/internal/transport/steady_test.go
+++ b/internal/transport/steady_test.go
@@ -12,7 +12,7 @@
 
 // Guards against a limit on the total time of a response: slow processes never received the
 // state of a large fleet and kept serving an old configuration.
-func TestGetSteadilyLimitsPausesOnly(t *testing.T) {
+func TestGetWithIdleTimeoutLimitsPausesOnly(t *testing.T) {
 	// Every pause is a sixth of the limit, and all together exceed it.
 	const pause, limit, pieces = 250 * time.Millisecond, 1500 * time.Millisecond, 8
 	tests := []struct {
@@ -43,7 +43,7 @@
 			server := httptest.NewServer(http.HandlerFunc(test.serve))
 			defer server.Close()
 			var answer string
-			err := GetSteadily(context.Background(), NewClient(1), "ask", strings.TrimPrefix(server.URL, "http://"), "/", limit, limit, &answer)
+			err := GetWithIdleTimeout(context.Background(), NewClient(1), "ask", strings.TrimPrefix(server.URL, "http://"), "/", limit, limit, &answer)
 			if (err != nil) != test.fails || err == nil && strings.Trim(answer, "x") != "" {
 				t.Errorf("%q, %v", answer, err)
 			}
--- a/internal/transport/traffic.go
+++ b/internal/transport/traffic.go
@@ -15,12 +15,12 @@
 
 // Kinds of traffic.
 const (
-	KindLog     Kind = "log"     // between replicas of a group
-	KindJobs    Kind = "jobs"    // commands to and reads from leaders of groups
-	KindWorkers Kind = "workers" // requests and batch items to workers
-	KindPlaces  Kind = "places"  // requests for slot reservations at workers
-	KindControl Kind = "control" // configuration, origins, identities
-	KindGossip  Kind = "gossip"  // heartbeats
+	KindLog          Kind = "log"     // between replicas of a group
+	KindJobs         Kind = "jobs"    // commands to and reads from leaders of groups
+	KindWorkers      Kind = "workers" // requests and batch items to workers
+	KindReservations Kind = "places"  // requests for slot reservations at workers
+	KindControl      Kind = "control" // configuration, origins, identities
+	KindGossip       Kind = "gossip"  // heartbeats
 )
 
 // Crossing says whether a connection crosses the boundary of this process's zone.
@@ -41,8 +41,8 @@
 
 // Names of the metrics.
 const (
-	TrafficName     = "dykewing_traffic_bytes_total"
-	ConnectionsName = "dykewing_traffic_connections_total"
+	TrafficMetric     = "dykewing_traffic_bytes_total"
+	ConnectionsMetric = "dykewing_traffic_connections_total"
 )
 
 // Traffic counts the bytes, including headers, of the connections that a process opens, by
@@ -69,8 +69,8 @@
 func NewTraffic(zone string, zoneOf func(address string) (zone string, known bool)) *Traffic {
 	return &Traffic{
 		zone: zone, zoneOf: zoneOf, counts: map[Kind]map[Crossing]*byteCounters{}, dials: map[Kind]*atomic.Int64{},
-		opened: prometheus.NewDesc(ConnectionsName, "Connections that this process opened, by kind.", []string{"kind"}, nil),
-		bytes: prometheus.NewDesc(TrafficName, "Bytes of connections that this process opened, by kind, direction and crossing of zones.",
+		opened: prometheus.NewDesc(ConnectionsMetric, "Connections that this process opened, by kind.", []string{"kind"}, nil),
+		bytes: prometheus.NewDesc(TrafficMetric, "Bytes of connections that this process opened, by kind, direction and crossing of zones.",
 			[]string{"kind", "direction", "crossing"}, nil),
 	}
 }
@@ -94,8 +94,8 @@
 	}
 }
 
-// Crossed returns the total cross-zone bytes in both directions by kind.
-func (t *Traffic) Crossed() map[Kind]int64 {
+// CrossZoneBytes returns the total cross-zone bytes in both directions by kind.
+func (t *Traffic) CrossZoneBytes() map[Kind]int64 {
 	crossed := map[Kind]int64{}
 	t.each(func(kind Kind, crossing Crossing, sent, received int64) {
 		if crossing == CrossingZones {
@@ -163,10 +163,10 @@
 	return context.WithValue(ctx, peerZoneKey{}, zone)
 }
 
-// Count instruments connections that the client opens from now on and returns the client.
+// Instrument instruments connections that the client opens from now on and returns the client.
 // It does nothing if t is nil or if the client's transport is not an *http.Transport. It
 // must be called before the client is used.
-func (t *Traffic) Count(client *http.Client, kind Kind) *http.Client {
+func (t *Traffic) Instrument(client *http.Client, kind Kind) *http.Client {
 	pool, ok := client.Transport.(*http.Transport)
 	if t == nil || !ok {
 		return client
--- a/internal/transport/traffic_test.go
+++ b/internal/transport/traffic_test.go
@@ -30,7 +30,7 @@
 		{"process without a zone", "", "b", "", CrossingUnknown},
 	} {
 		traffic := NewTraffic(test.own, func(string) (string, bool) { return test.view, test.view != "" })
-		client := traffic.Count(NewClient(1), KindJobs)
+		client := traffic.Instrument(NewClient(1), KindJobs)
 		request, err := http.NewRequestWithContext(WithPeerZone(t.Context(), test.told), http.MethodPost, server.URL, strings.NewReader(strings.Repeat("x", 20_000)))
 		if err != nil {
 			t.Fatal(err)
@@ -50,7 +50,7 @@
 				t.Errorf("%s: %d sent, %d received", test.name, sent, received)
 			}
 		})
-		if crossed := traffic.Crossed()[KindJobs]; (crossed > 0) != (test.want == CrossingZones) {
+		if crossed := traffic.CrossZoneBytes()[KindJobs]; (crossed > 0) != (test.want == CrossingZones) {
 			t.Errorf("%s: %d crossed", test.name, crossed)
 		}
 	}
@@ -65,7 +65,7 @@
 	m.sent(100)
 	zone = ""
 	m.received(1000)
-	if crossed := traffic.Crossed()[KindLog]; crossed != 1100 {
+	if crossed := traffic.CrossZoneBytes()[KindLog]; crossed != 1100 {
 		t.Errorf("%d crossed, want 1100", crossed)
 	}
 }
@@ -88,8 +88,8 @@
 
 func TestNilTrafficCountsNothing(t *testing.T) {
 	var traffic *Traffic
-	client := NewProbingClient(Options{ConnectionsPerHost: 1, DialTimeout: time.Second, SilenceLimit: time.Second})
-	if traffic.Count(client, KindLog) != client {
+	client := NewKeepAliveClient(ClientOptions{ConnectionsPerHost: 1, DialTimeout: time.Second, KeepAliveTimeout: time.Second})
+	if traffic.Instrument(client, KindLog) != client {
 		t.Error("another client")
 	}
 	var m *connMeter
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -20,8 +20,8 @@
 	"github.com/dykewing/dykewing/api"
 )
 
-// MaximumControlBytes is the maximum size of the body of a control message.
-const MaximumControlBytes = 64 << 20
+// MaxControlBytes is the maximum size of the body of a control message.
+const MaxControlBytes = 64 << 20
 
 // maxErrorBytes is the number of bytes that are read of an error body.
 const maxErrorBytes = 64 << 10
@@ -65,10 +65,10 @@
 	return exchange(ctx, client, step, http.MethodGet, address, path, nil, answer)
 }
 
-// GetSteadily is like Get for large responses: the header must arrive within headerTimeout,
+// GetWithIdleTimeout is like Get for large responses: the header must arrive within headerTimeout,
 // and the body must not pause for longer than idleTimeout, but its total time is not
 // limited.
-func GetSteadily(ctx context.Context, client *http.Client, step, address, path string, headerTimeout, idleTimeout time.Duration, answer any) error {
+func GetWithIdleTimeout(ctx context.Context, client *http.Client, step, address, path string, headerTimeout, idleTimeout time.Duration, answer any) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	timer := time.AfterFunc(headerTimeout, func() { cancel(context.DeadlineExceeded) })
@@ -86,7 +86,7 @@
 	if response.StatusCode >= http.StatusMultipleChoices {
 		return ReadError(step, address, response)
 	}
-	body := &idleTimeoutReader{reader: io.LimitReader(response.Body, MaximumControlBytes), timer: timer, timeout: idleTimeout}
+	body := &idleTimeoutReader{reader: io.LimitReader(response.Body, MaxControlBytes), timer: timer, timeout: idleTimeout}
 	raw, err := io.ReadAll(body)
 	timer.Stop()
 	if err == nil {
@@ -130,7 +130,7 @@
 	if answer == nil {
 		_, err = io.Copy(io.Discard, response.Body)
 	} else {
-		err = json.NewDecoder(io.LimitReader(response.Body, MaximumControlBytes)).Decode(answer)
+		err = json.NewDecoder(io.LimitReader(response.Body, MaxControlBytes)).Decode(answer)
 	}
 	if err != nil {
 		return api.NewError(step, address, api.CodeUpstream, api.OutcomeUnknown, "read answer: %w", err)
@@ -142,14 +142,14 @@
 // no connection was made, so that no byte of the request was sent.
 func SendError(step, peer string, err error) *api.Error {
 	outcome := api.OutcomeUnknown
-	if NeverConnected(err) {
+	if IsDialError(err) {
 		outcome = api.OutcomeNotRun
 	}
 	return &api.Error{Step: step, Peer: peer, Code: errorCode(err), Outcome: outcome, Err: err}
 }
 
-// NeverConnected reports whether the error occurred while dialing.
-func NeverConnected(err error) bool {
+// IsDialError reports whether the error occurred while dialing.
+func IsDialError(err error) bool {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
 		return true
@@ -168,11 +168,11 @@
 	}
 	status := err.Code.HTTPStatus()
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(BodyOf(err))
+	_ = json.NewEncoder(w).Encode(NewErrorBody(err))
 }
 
-// BodyOf returns the JSON body of an error response.
-func BodyOf(err *api.Error) api.ErrorBody {
+// NewErrorBody returns the JSON body of an error response.
+func NewErrorBody(err *api.Error) api.ErrorBody {
 	message := err.Error()
 	return api.ErrorBody{
 		Error: api.ErrorDetail{
