--- a/cmd/dykewing/main.go
+++ b/cmd/dykewing/main.go
@@ -146,11 +146,11 @@
 	store := platform.NewKeyValue(settings.Platform.StoreAddress, settings.Platform.Timeout, settings.Platform.LongPollTimeout())
 	store.Admit = pace.Wait
 	return &daemon.Platform{
-		KeyValue: store,
-		Pace:     pace,
-		Observe:  func(call func(path string, err error)) { store.Observe = call },
-		Protocol: platform.Protocol{},
-		Source:   platform.Source(),
+		KeyValue:     store,
+		Limiter:      pace,
+		ObserveCalls: func(call func(path string, err error)) { store.Observe = call },
+		Protocol:     platform.Protocol{},
+		Source:       platform.Source(),
 
 		Decommissions: platform.Decommissions(),
 	}
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -15,7 +15,7 @@
 // Request holds what a client's headers say about its request.
 type Request struct {
 	ID           string
-	Left         time.Duration // remaining time before the client's deadline; 0 if not given
+	Remaining    time.Duration // remaining time before the client's deadline; 0 if not given
 	LastEvent    string        // ID of the last event received, after which a stream resumes
 	Parts        []worker.Part // of the prompt, in order
 	PromptTokens int
@@ -27,28 +27,28 @@
 // Call holds what a worker is told about a request.
 type Call struct {
 	ID        string        // if empty, the client's header is kept
-	Left      time.Duration // remaining time, after which the worker may stop
+	Remaining time.Duration // remaining time, after which the worker may stop
 	Worker    string        // the only worker that may run the request
 	LastEvent string        // event after which to resume; if empty, the client's header is kept
-	// Tenants reports whether the configuration has tenants. If so, keys and tenants
+	// HasTenants reports whether the configuration has tenants. If so, keys and tenants
 	// named by the client are not passed to the worker.
-	Tenants bool
-	Tenant  string // owner of the request; empty if unknown
+	HasTenants bool
+	Tenant     string // owner of the request; empty if unknown
 }
 
-// Answer holds what the header of a worker's response says.
-type Answer struct {
+// ResponseInfo holds what the header of a worker's response says.
+type ResponseInfo struct {
 	RequestID string
 	Stamped   bool // the response carries the worker protocol's stamp header
 	NotRun    bool // the worker reports that it did not run the request
 	Moved     bool // the address now belongs to another worker
 	Load      worker.Load
-	Loaded    bool // Load is present
+	HasLoad   bool // Load is present
 }
 
 // Report is a worker's state, as returned by its report endpoint.
 type Report struct {
-	Born        time.Time // start time; zero if not given
+	StartedAt   time.Time // start time; zero if not given
 	Running     int
 	Waiting     int
 	UsedTokens  int
@@ -73,17 +73,17 @@
 	From   int // index of the first result, from 0
 }
 
-// Resolve is a client's query for the addresses of a host.
-type Resolve struct {
+// ResolveRequest is a client's query for the addresses of a host.
+type ResolveRequest struct {
 	Host   string
 	Region string
 	Zone   string
 }
 
-// Addresses is the response to a Resolve query. Clients may cache it for Lifetime.
-type Addresses struct {
+// ResolveResponse is the response to a Resolve query. Clients may cache it for Lifetime.
+type ResolveResponse struct {
 	Addresses []string
-	Lifetime  time.Duration
+	TTL       time.Duration
 }
 
 // Protocol maps the values of this package to a platform's HTTP headers and body
@@ -91,8 +91,8 @@
 type Protocol interface {
 	ReadRequest(header http.Header) Request
 	WriteCall(header http.Header, call Call)
-	ReadAnswer(status int, header http.Header) Answer
-	StripAnswer(header http.Header)
+	ReadResponse(status int, header http.Header) ResponseInfo
+	StripResponse(header http.Header)
 	WriteRetryAfter(header http.Header, pause time.Duration)
 
 	ReportPath() string
@@ -102,7 +102,7 @@
 	ReadJobCall(r *http.Request) (JobCall, bool)
 	EncodePage(page jobs.InlinePage) ([]byte, error)
 
-	ReadResolve(r *http.Request) (Resolve, bool)
-	EncodeAddresses(answer Addresses) ([]byte, error)
+	ReadResolve(r *http.Request) (ResolveRequest, bool)
+	EncodeAddresses(answer ResolveResponse) ([]byte, error)
 	ReadyPath() string
 }
--- a/internal/backend/caller.go
+++ b/internal/backend/caller.go
@@ -29,28 +29,28 @@
 	maxReportBytes     = 64 << 10
 )
 
-// Caller sends requests to workers and fetches their reports. It is safe for
+// Client sends requests to workers and fetches their reports. It is safe for
 // concurrent use.
-type Caller struct {
+type Client struct {
 	Protocol Protocol
 	client   *http.Client
 }
 
-// NewCaller returns a Caller with its own connection pool.
-func NewCaller(protocol Protocol) *Caller {
-	return &Caller{Protocol: protocol, client: transport.NewKeepAliveClient(transport.ClientOptions{
+// NewClient returns a Caller with its own connection pool.
+func NewClient(protocol Protocol) *Client {
+	return &Client{Protocol: protocol, client: transport.NewKeepAliveClient(transport.ClientOptions{
 		ConnectionsPerHost: maxIdleConnections, DialTimeout: dialTimeout, IdleTimeout: idleTimeout, KeepAliveTimeout: silenceLimit,
 	})}
 }
 
-// Count adds the bytes sent to and received from workers to traffic and returns c.
-func (c *Caller) Count(traffic *transport.Traffic) *Caller {
+// Instrument adds the bytes sent to and received from workers to traffic and returns c.
+func (c *Client) Instrument(traffic *transport.Traffic) *Client {
 	traffic.Instrument(c.client, transport.KindWorkers)
 	return c
 }
 
-// Outgoing is a request to be sent to a worker.
-type Outgoing struct {
+// WorkerRequest is a request to be sent to a worker.
+type WorkerRequest struct {
 	Method string
 	Path   string // escaped, as sent by the client
 	Query  string
@@ -62,9 +62,9 @@
 	Worker worker.Worker
 }
 
-// Incoming is a worker's response with its body unread. The receiver closes it.
-type Incoming struct {
-	Answer
+// WorkerResponse is a worker's response with its body unread. The receiver closes it.
+type WorkerResponse struct {
+	ResponseInfo
 	Response *http.Response
 }
 
@@ -72,7 +72,7 @@
 
 // Send sends a request once, without retries. The outcome of an error tells whether the
 // request may have run.
-func (c *Caller) Send(ctx context.Context, out Outgoing) (*Incoming, *api.Error) {
+func (c *Client) Send(ctx context.Context, out WorkerRequest) (*WorkerResponse, *api.Error) {
 	ctx = transport.WithPeerZone(ctx, out.Worker.Zone)
 	request, err := http.NewRequestWithContext(ctx, out.Method, "http://"+out.Worker.Address, bytes.NewReader(out.Body))
 	if err != nil {
@@ -91,7 +91,7 @@
 	if failure != nil {
 		return nil, failure
 	}
-	incoming := &Incoming{Answer: c.Protocol.ReadAnswer(response.StatusCode, response.Header), Response: response}
+	incoming := &WorkerResponse{ResponseInfo: c.Protocol.ReadResponse(response.StatusCode, response.Header), Response: response}
 	if failure := incoming.checkRequestID(out); failure != nil {
 		response.Body.Close()
 		return nil, failure
@@ -100,7 +100,7 @@
 }
 
 // checkRequestID rejects a response that belongs to another request. A refusal may lack the ID.
-func (i *Incoming) checkRequestID(out Outgoing) *api.Error {
+func (i *WorkerResponse) checkRequestID(out WorkerRequest) *api.Error {
 	if i.RequestID == out.ID || i.RequestID == "" && i.NotRun {
 		return nil
 	}
@@ -121,8 +121,8 @@
 	}
 }
 
-// Report fetches a worker's state.
-func (c *Caller) Report(ctx context.Context, w worker.Worker) (Report, error) {
+// FetchReport fetches a worker's state.
+func (c *Client) FetchReport(ctx context.Context, w worker.Worker) (Report, error) {
 	ctx = transport.WithPeerZone(ctx, w.Zone)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+w.Address+c.Protocol.ReportPath(), nil)
 	if err != nil {
@@ -144,9 +144,9 @@
 	if err != nil {
 		return Report{}, fmt.Errorf("ask worker %s: %w", w.ID, err)
 	}
-	report.Pace = c.Protocol.ReadAnswer(response.StatusCode, response.Header).Load.Pace
+	report.Pace = c.Protocol.ReadResponse(response.StatusCode, response.Header).Load.Pace
 	return report, nil
 }
 
 // Close closes idle connections.
-func (c *Caller) Close() { c.client.CloseIdleConnections() }
+func (c *Client) Close() { c.client.CloseIdleConnections() }
--- a/internal/backend/evacuation.go
+++ b/internal/backend/evacuation.go
@@ -22,9 +22,9 @@
 	zones map[string]bool
 }
 
-// Evacuations returns a view that excludes the workers of the zones named by the keys
+// EvacuationView returns a view that excludes the workers of the zones named by the keys
 // under prefix. Requests that already run there are not affected.
-func (p *Pool) Evacuations(prefix string, log *logrus.Entry) catalog.View {
+func (p *Pool) EvacuationView(prefix string, log *logrus.Entry) catalog.View {
 	return &evacuations{prefix: prefix, pool: p, log: log, zones: map[string]bool{}}
 }
 
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -27,9 +27,9 @@
 	return &Pool{pool: worker.NewPool(settings), random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), changed: changed}
 }
 
-// Ticket is a request's assignment to a worker, from Take until End. It is not safe for
+// Assignment is a request's assignment to a worker, from Take until End. It is not safe for
 // concurrent use.
-type Ticket struct {
+type Assignment struct {
 	worker.Choice
 	pool           *Pool
 	uncachedTokens int
@@ -39,11 +39,11 @@
 }
 
 // OnEnd sets a function that End calls once, without the pool's lock held.
-func (t *Ticket) OnEnd(call func()) { t.onEnd = call }
+func (t *Assignment) OnEnd(call func()) { t.onEnd = call }
 
-// Take chooses a worker and counts the request there. It returns false if no worker
+// Assign chooses a worker and counts the request there. It returns false if no worker
 // fits the query.
-func (p *Pool) Take(query worker.Query) (*Ticket, bool) {
+func (p *Pool) Assign(query worker.Query) (*Assignment, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	choice, ok := p.pool.Choose(time.Now(), query, p.random)
@@ -52,11 +52,11 @@
 	}
 	p.pool.Begin(choice.Worker.ID, choice.UncachedTokens)
 	p.pool.RecordSent(choice.Worker.ID, query.Parts)
-	return &Ticket{Choice: choice, pool: p, uncachedTokens: choice.UncachedTokens}, true
+	return &Assignment{Choice: choice, pool: p, uncachedTokens: choice.UncachedTokens}, true
 }
 
-// Started records that the worker has processed the prompt. Later calls have no effect.
-func (t *Ticket) Started() {
+// RecordPromptRead records that the worker has processed the prompt. Later calls have no effect.
+func (t *Assignment) RecordPromptRead() {
 	if t.started {
 		return
 	}
@@ -65,12 +65,12 @@
 }
 
 // End records that the request has left the worker. Later calls have no effect.
-func (t *Ticket) End() {
+func (t *Assignment) End() {
 	if t.ended {
 		return
 	}
 	t.ended = true
-	t.Started()
+	t.RecordPromptRead()
 	t.updateWorker(func(pool *worker.Pool) {
 		pool.End(t.Worker.ID)
 		pool.RecordUsed(time.Now(), t.Worker.ID)
@@ -80,14 +80,14 @@
 	}
 }
 
-// Report records a load that the worker reported.
-func (t *Ticket) Report(load worker.Load) {
+// RecordLoad records a load that the worker reported.
+func (t *Assignment) RecordLoad(load worker.Load) {
 	t.updateWorker(func(pool *worker.Pool) { pool.RecordLoad(time.Now(), t.Worker.ID, load) })
 }
 
 // do applies change unless the worker has restarted since the ticket was taken, since
 // the ticket then belongs to the previous incarnation.
-func (t *Ticket) updateWorker(change func(*worker.Pool)) {
+func (t *Assignment) updateWorker(change func(*worker.Pool)) {
 	t.pool.withLock(func(pool *worker.Pool) {
 		if current, ok := pool.CurrentIncarnation(t.Worker.ID); ok && current != t.Worker.Incarnation() {
 			return
@@ -96,23 +96,23 @@
 	})
 }
 
-// Refused records that no connection could be made.
-func (t *Ticket) Refused() {
+// RecordRefused records that no connection could be made.
+func (t *Assignment) RecordRefused() {
 	t.updateWorker(func(pool *worker.Pool) { pool.RecordRefused(time.Now(), t.Worker.ID) })
 }
 
-// Broke records that the worker's response was interrupted.
-func (t *Ticket) Broke() {
+// RecordInterrupted records that the worker's response was interrupted.
+func (t *Assignment) RecordInterrupted() {
 	t.updateWorker(func(pool *worker.Pool) { pool.RecordInterrupted(time.Now(), t.Worker.ID) })
 }
 
-// Full records that the worker rejected the request for lack of capacity.
-func (t *Ticket) Full() {
+// RecordFull records that the worker rejected the request for lack of capacity.
+func (t *Assignment) RecordFull() {
 	t.updateWorker(func(pool *worker.Pool) { pool.RecordFull(time.Now(), t.Worker.ID) })
 }
 
-// Moved removes the worker, whose address now belongs to another one.
-func (t *Ticket) Moved() {
+// RecordMoved removes the worker, whose address now belongs to another one.
+func (t *Assignment) RecordMoved() {
 	t.updateWorker(func(pool *worker.Pool) { pool.Remove(t.Worker.ID) })
 }
 
@@ -122,19 +122,19 @@
 	p.generation.Add(1)
 }
 
-// Current returns the incarnation of a listed worker.
-func (p *Pool) Current(id string) (current worker.Incarnation, ok bool) {
+// CurrentIncarnation returns the incarnation of a listed worker.
+func (p *Pool) CurrentIncarnation(id string) (current worker.Incarnation, ok bool) {
 	p.withLock(func(pool *worker.Pool) { current, ok = pool.CurrentIncarnation(id) })
 	return current, ok
 }
 
-// TellPace records a pace that a worker reported to another process at the given time.
-func (p *Pool) TellPace(at time.Time, id string, pace float64) {
+// RecordPace records a pace that a worker reported to another process at the given time.
+func (p *Pool) RecordPace(at time.Time, id string, pace float64) {
 	p.withLock(func(pool *worker.Pool) { pool.RecordPace(at, id, pace) })
 }
 
-// LearnPaces sets the stable paces, by worker ID, that another process computed.
-func (p *Pool) LearnPaces(slow map[string]float64) {
+// SetStablePaces sets the stable paces, by worker ID, that another process computed.
+func (p *Pool) SetStablePaces(slow map[string]float64) {
 	now := time.Now()
 	p.withLock(func(pool *worker.Pool) {
 		for id, pace := range slow {
@@ -143,8 +143,8 @@
 	})
 }
 
-// Paced reports whether the pace of any of a service's workers is known.
-func (p *Pool) Paced(service string) (paced bool) {
+// PaceKnown reports whether the pace of any of a service's workers is known.
+func (p *Pool) PaceKnown(service string) (paced bool) {
 	p.withLock(func(pool *worker.Pool) { paced = pool.PaceKnown(time.Now(), service) })
 	return paced
 }
@@ -155,8 +155,8 @@
 	return pace, known
 }
 
-// ObserveStep records the mean time between two events of a worker's stream.
-func (p *Pool) ObserveStep(id string, step time.Duration) {
+// RecordEventInterval records the mean time between two events of a worker's stream.
+func (p *Pool) RecordEventInterval(id string, step time.Duration) {
 	p.withLock(func(pool *worker.Pool) { pool.RecordEventInterval(time.Now(), id, step) })
 }
 
@@ -167,9 +167,9 @@
 	return slowness
 }
 
-// TakeOutcomes records how requests ended at a worker. It returns true if that ejects
+// RecordOutcomes records how requests ended at a worker. It returns true if that ejects
 // or readmits the worker.
-func (p *Pool) TakeOutcomes(id string, outcomes worker.Outcomes) (judgement worker.EjectionChange, changed bool) {
+func (p *Pool) RecordOutcomes(id string, outcomes worker.Outcomes) (judgement worker.EjectionChange, changed bool) {
 	p.withLock(func(pool *worker.Pool) { judgement, changed = pool.RecordOutcomes(time.Now(), id, outcomes) })
 	return judgement, changed
 }
@@ -186,9 +186,9 @@
 	return list
 }
 
-// SetHeld sets the exact number of requests that all other processes have at workers,
+// SetExactOtherLoads sets the exact number of requests that all other processes have at workers,
 // by worker ID.
-func (p *Pool) SetHeld(held map[string]int) {
+func (p *Pool) SetExactOtherLoads(held map[string]int) {
 	now := time.Now()
 	p.withLock(func(pool *worker.Pool) {
 		for id, n := range held {
@@ -197,9 +197,11 @@
 	})
 }
 
-// ForgetHeld drops the counts of SetHeld, so that other processes' load is estimated
+// ClearExactOtherLoads drops the counts of SetExactOtherLoads, so that other processes' load is estimated
 // again.
-func (p *Pool) ForgetHeld() { p.withLock(func(pool *worker.Pool) { pool.ClearExactOtherLoads() }) }
+func (p *Pool) ClearExactOtherLoads() {
+	p.withLock(func(pool *worker.Pool) { pool.ClearExactOtherLoads() })
+}
 
 // EachOccupancy calls visit with the estimated occupancy of each of a service's workers;
 // nil groups means all. visit runs with the lock held and must not use the pool.
@@ -228,20 +230,20 @@
 	p.withLock(func(pool *worker.Pool) { pool.SetGroups(groupOf) })
 }
 
-// Read records that a worker will have the parts of a prompt in its cache.
-func (p *Pool) Read(id string, parts []worker.Part) {
+// RecordSent records that a worker will have the parts of a prompt in its cache.
+func (p *Pool) RecordSent(id string, parts []worker.Part) {
 	p.withLock(func(pool *worker.Pool) { pool.RecordSent(id, parts) })
 }
 
-// Prefer chooses a worker without counting a request there.
-func (p *Pool) Prefer(query worker.Query) (choice worker.Choice, ok bool) {
+// Choose chooses a worker without counting a request there.
+func (p *Pool) Choose(query worker.Query) (choice worker.Choice, ok bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.pool.Choose(time.Now(), query, p.random)
 }
 
-// Held returns the number of this process's requests in flight at a worker.
-func (p *Pool) Held(id string) (n int) {
+// InFlight returns the number of this process's requests in flight at a worker.
+func (p *Pool) InFlight(id string) (n int) {
 	p.withLock(func(pool *worker.Pool) { n = pool.InFlight(id) })
 	return n
 }
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -9,26 +9,26 @@
 
 // A ticket that ends after its worker has restarted must not change the state of the new
 // incarnation, whose own request stays counted.
-func TestTicketOfPreviousIncarnationChangesNothing(t *testing.T) {
+func TestAssignmentToPreviousIncarnationChangesNothing(t *testing.T) {
 	tests := []struct {
 		name string
-		end  func(ticket *Ticket)
+		end  func(ticket *Assignment)
 	}{
-		{"ends", func(ticket *Ticket) { ticket.End() }},
-		{"connection refused", func(ticket *Ticket) { ticket.Refused(); ticket.End() }},
-		{"rejected", func(ticket *Ticket) { ticket.Full(); ticket.End() }},
-		{"address moved", func(ticket *Ticket) { ticket.Moved() }},
-		{"stale load", func(ticket *Ticket) { ticket.Report(worker.Load{Running: 8, Slots: 8}); ticket.End() }},
+		{"ends", func(ticket *Assignment) { ticket.End() }},
+		{"connection refused", func(ticket *Assignment) { ticket.RecordRefused(); ticket.End() }},
+		{"rejected", func(ticket *Assignment) { ticket.RecordFull(); ticket.End() }},
+		{"address moved", func(ticket *Assignment) { ticket.RecordMoved() }},
+		{"stale load", func(ticket *Assignment) { ticket.RecordLoad(worker.Load{Running: 8, Slots: 8}); ticket.End() }},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			p := NewPool(worker.DefaultSettings("a"), nil)
 			listed := worker.Worker{ID: "w", Service: "s", Slots: 8, StartedAt: time.UnixMilli(1_000)}
 			p.Put(listed)
-			old, _ := p.Take(worker.Query{Service: "s"})
+			old, _ := p.Assign(worker.Query{Service: "s"})
 			listed.StartedAt = time.UnixMilli(2_000)
 			p.Put(listed)
-			if _, ok := p.Take(worker.Query{Service: "s"}); !ok {
+			if _, ok := p.Assign(worker.Query{Service: "s"}); !ok {
 				t.Fatal("no slot at the new incarnation")
 			}
 			test.end(old)
--- a/internal/batchrun/dispatch.go
+++ b/internal/batchrun/dispatch.go
@@ -29,7 +29,7 @@
 		workers := l.service.pool.Workers(service, int(l.group))
 		if len(workers) > maxPolls {
 			workers = slices.DeleteFunc(workers, func(w worker.Worker) bool {
-				return l.service.pool.Held(w.ID) == 0 && l.service.unreported.at(w.ID) == 0
+				return l.service.pool.InFlight(w.ID) == 0 && l.service.unreported.at(w.ID) == 0
 			})
 			workers = l.nextPolls(workers)
 		}
--- a/internal/batchrun/growth_test.go
+++ b/internal/batchrun/growth_test.go
@@ -82,12 +82,12 @@
 		return seen.OtherInFlight
 	}
 	report(1, map[string]int{"w0": 5})
-	ticket, ok := l.service.pool.Take(worker.Query{Service: "lm", WorkerID: "w0"})
+	ticket, ok := l.service.pool.Assign(worker.Query{Service: "lm", WorkerID: "w0"})
 	if !ok {
 		t.Fatal("no worker available")
 	}
-	ticket.Report(worker.Load{Running: 1, Slots: 12})
-	ticket.Full()
+	ticket.RecordLoad(worker.Load{Running: 1, Slots: 12})
+	ticket.RecordFull()
 	ticket.End()
 	if got := others("w0"); got != 5 {
 		t.Errorf("%d requests of others after the worker's reports, want 5", got)
@@ -126,11 +126,11 @@
 		}
 		const running = 150
 		for i := range running {
-			if _, ok := l.service.pool.Take(worker.Query{Service: "lm", WorkerID: fmt.Sprint("w", i)}); !ok {
+			if _, ok := l.service.pool.Assign(worker.Query{Service: "lm", WorkerID: fmt.Sprint("w", i)}); !ok {
 				t.Fatal("no worker available")
 			}
 		}
-		unreported, _ := l.service.pool.Current("w900")
+		unreported, _ := l.service.pool.CurrentIncarnation("w900")
 		for range 2 {
 			l.service.applyLoadReport(worker.Worker{ID: unreported.ID, Service: "lm"}, backend.Report{Running: 3})
 		}
--- a/internal/batchrun/heard.go
+++ b/internal/batchrun/heard.go
@@ -42,13 +42,13 @@
 // another incarnation than the listed one are ignored. The caller holds the mutex.
 func (b *slotBroker) applyObservations(now time.Time, leaders []*Leader, report reservation.Report) {
 	for _, observation := range report.Observations[:min(len(report.Observations), reservation.MaxObservations)] {
-		current, listed := b.service.pool.Current(observation.Worker)
+		current, listed := b.service.pool.CurrentIncarnation(observation.Worker)
 		if !listed || !ownedByAny(leaders, observation.Worker) || !observation.StartedAt.IsZero() && !current.StartedAt.IsZero() && !observation.StartedAt.Equal(current.StartedAt) {
 			continue
 		}
 		b.service.metrics.workers.observations.Inc()
 		if observation.PaceAge >= 0 && observation.PaceAge <= maxPaceAge {
-			b.service.pool.TellPace(now.Add(-observation.PaceAge), observation.Worker, observation.Pace)
+			b.service.pool.RecordPace(now.Add(-observation.PaceAge), observation.Worker, observation.Pace)
 		}
 		if observation.Streams > 0 {
 			b.observeStreams(observation, report.Node)
@@ -64,7 +64,7 @@
 // observeStreams records the step time of streams and logs when a worker becomes slow or recovers.
 func (b *slotBroker) observeStreams(observation reservation.Observation, by api.NodeID) {
 	for range min(observation.Streams, maxStreams) {
-		b.service.pool.ObserveStep(observation.Worker, observation.EventInterval)
+		b.service.pool.RecordEventInterval(observation.Worker, observation.EventInterval)
 	}
 	slowness := b.service.pool.Slowness(observation.Worker)
 	if slowness > 1 == b.observationLog.slow[observation.Worker] {
@@ -85,7 +85,7 @@
 // recordOutcomes records outcomes of requests at a worker and logs when it is ejected as an
 // outlier or readmitted.
 func (s *Service) recordOutcomes(id string, by api.NodeID, outcomes worker.Outcomes) {
-	judgement, changed := s.pool.TakeOutcomes(id, outcomes)
+	judgement, changed := s.pool.RecordOutcomes(id, outcomes)
 	if !changed {
 		return
 	}
@@ -110,7 +110,7 @@
 // nextPaces returns the paces of the next workers of a service, in rotation, for a frontend to
 // choose by. The caller holds the mutex.
 func (b *slotBroker) nextPaces(now time.Time, leaders []*Leader, service string) map[string]float64 {
-	if !b.service.pool.Paced(service) {
+	if !b.service.pool.PaceKnown(service) {
 		return nil
 	}
 	paces := map[string]float64{}
--- a/internal/batchrun/heard_test.go
+++ b/internal/batchrun/heard_test.go
@@ -161,7 +161,7 @@
 			logger, hook := test.NewNullLogger()
 			l.service.log = logrus.NewEntry(logger)
 			for _, id := range []string{"w0", "w2"} {
-				l.service.pool.TakeOutcomes(id, worker.Outcomes{Succeeded: 9})
+				l.service.pool.RecordOutcomes(id, worker.Outcomes{Succeeded: 9})
 			}
 			for _, report := range each.reports {
 				l.service.slots.handle(time.Now(), l.service.currentLeaders(), reservation.Message{Report: report})
@@ -253,10 +253,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			l := testLeader(t, 0, 3)
 			for _, id := range []string{"w1", "w2"} {
-				l.service.pool.TakeOutcomes(id, worker.Outcomes{Succeeded: 9})
+				l.service.pool.RecordOutcomes(id, worker.Outcomes{Succeeded: 9})
 			}
 			for range 3 {
-				ticket, _ := l.service.pool.Take(worker.Query{Service: "lm", Excluded: []string{"w1", "w2"}})
+				ticket, _ := l.service.pool.Assign(worker.Query{Service: "lm", Excluded: []string{"w1", "w2"}})
 				l.recordRun(&item{}, ticket, test.verdict, test.err)
 				ticket.End()
 			}
@@ -270,16 +270,16 @@
 // paceProtocol reads a worker's pace from the response header "Pace".
 type paceProtocol struct{ platform.Protocol }
 
-func (paceProtocol) ReadAnswer(_ int, header http.Header) backend.Answer {
+func (paceProtocol) ReadResponse(_ int, header http.Header) backend.ResponseInfo {
 	pace, err := strconv.ParseFloat(header.Get("Pace"), 64)
-	return backend.Answer{Load: worker.Load{Pace: pace}, Loaded: err == nil}
+	return backend.ResponseInfo{Load: worker.Load{Pace: pace}, HasLoad: err == nil}
 }
 
 func TestPolledPaceIsRecorded(t *testing.T) {
 	const reporting, silent = "w0", "w1"
 	l := testLeader(t, 0, 0)
 	s := l.service
-	s.caller = backend.NewCaller(paceProtocol{})
+	s.caller = backend.NewClient(paceProtocol{})
 	for id, header := range map[string]string{reporting: "4.25", silent: ""} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			if header != "" {
--- a/internal/batchrun/hidden.go
+++ b/internal/batchrun/hidden.go
@@ -39,7 +39,7 @@
 // applyLoadReport processes a worker's own load report. A report of a later incarnation than the
 // listed one replaces it; a report of an earlier one is ignored.
 func (s *Service) applyLoadReport(w worker.Worker, report backend.Report) {
-	reported := worker.Incarnation{ID: w.ID, StartedAt: report.Born}
+	reported := worker.Incarnation{ID: w.ID, StartedAt: report.StartedAt}
 	if reported.Before(w.Incarnation()) {
 		return
 	}
@@ -49,8 +49,8 @@
 		s.log.WithFields(logrus.Fields{"event": "worker_restarted", "worker": w.ID, "service": w.Service, "born": reported.StartedAt}).
 			Info("Worker restarted under the same ID; its recorded state was discarded.")
 	}
-	s.pool.TellPace(time.Now(), w.ID, report.Pace)
-	s.unreported.observe(time.Now(), w.Incarnation(), report.Running+report.Waiting, s.pool.Held(w.ID)+s.slots.onlineAt(w.ID))
+	s.pool.RecordPace(time.Now(), w.ID, report.Pace)
+	s.unreported.observe(time.Now(), w.Incarnation(), report.Running+report.Waiting, s.pool.InFlight(w.ID)+s.slots.onlineAt(w.ID))
 }
 
 // reportLag bounds the staleness of a worker's load report: it may still count requests that ended
--- a/internal/batchrun/hidden_test.go
+++ b/internal/batchrun/hidden_test.go
@@ -18,9 +18,9 @@
 		born    time.Time
 		want    int // unreported load
 	}{
-		{"same incarnation", []backend.Report{{Born: first, Running: 5}, {Born: first, Running: 5}}, first, 5},
-		{"restart between reports", []backend.Report{{Born: first, Running: 5}, {Born: first, Running: 5}, {Born: second, Running: 3}}, second, 0},
-		{"late report of an earlier incarnation", []backend.Report{{Born: second}, {Born: second}, {Born: first, Running: 5}, {Born: first, Running: 5}}, second, 0},
+		{"same incarnation", []backend.Report{{StartedAt: first, Running: 5}, {StartedAt: first, Running: 5}}, first, 5},
+		{"restart between reports", []backend.Report{{StartedAt: first, Running: 5}, {StartedAt: first, Running: 5}, {StartedAt: second, Running: 3}}, second, 0},
+		{"late report of an earlier incarnation", []backend.Report{{StartedAt: second}, {StartedAt: second}, {StartedAt: first, Running: 5}, {StartedAt: first, Running: 5}}, second, 0},
 		{"reports without start time", []backend.Report{{Running: 5}, {Running: 5}}, first, 5},
 	}
 	for _, test := range tests {
@@ -35,7 +35,7 @@
 			if got := s.unreported.at(listed.ID); got != test.want {
 				t.Errorf("unreported load %d, want %d", got, test.want)
 			}
-			if current, _ := s.pool.Current(listed.ID); current != (worker.Incarnation{ID: listed.ID, StartedAt: test.born}) {
+			if current, _ := s.pool.CurrentIncarnation(listed.ID); current != (worker.Incarnation{ID: listed.ID, StartedAt: test.born}) {
 				t.Errorf("current incarnation: %v", current)
 			}
 		})
--- a/internal/batchrun/leader_test.go
+++ b/internal/batchrun/leader_test.go
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	s := &Service{
-		settings: config.Default().Batch, groups: 1, log: log, caller: backend.NewCaller(platform.Protocol{}),
+		settings: config.Default().Batch, groups: 1, log: log, caller: backend.NewClient(platform.Protocol{}),
 		metrics: newMetrics(prometheus.NewRegistry()), leaders: map[*Leader]bool{},
 		pool: backend.NewPool(worker.DefaultSettings("a"), nil), nodes: func() []api.Node { return nil },
 	}
--- a/internal/batchrun/near.go
+++ b/internal/batchrun/near.go
@@ -54,16 +54,16 @@
 // takeWorker reserves a worker for an item. It prefers this process's zone, so that prompts and
 // output do not cross zones, except for items that must start now to meet their deadline: they get
 // the best worker of any zone.
-func (l *Leader) takeWorker(now time.Time, standing fill.Urgency, query worker.Query) (*backend.Ticket, bool) {
+func (l *Leader) takeWorker(now time.Time, standing fill.Urgency, query worker.Query) (*backend.Assignment, bool) {
 	query.Groups = []int{int(l.group)}
 	local := l.service.zoneWorkers.ids(now, query.Service, func(service string) []worker.Worker { return l.service.pool.Workers(service) })
 	if standing != fill.Urgent && len(local) > 0 {
 		all := query.Filter
 		query.Filter = func(id string) bool { return local[id] && all(id) }
-		if ticket, ok := l.service.pool.Take(query); ok {
+		if ticket, ok := l.service.pool.Assign(query); ok {
 			return ticket, true
 		}
 		query.Filter = all
 	}
-	return l.service.pool.Take(query)
+	return l.service.pool.Assign(query)
 }
--- a/internal/batchrun/places.go
+++ b/internal/batchrun/places.go
@@ -250,7 +250,7 @@
 	held := map[string]int{}
 	if !slices.Equal(groups, b.syncedGroups) || generation != b.syncedGeneration {
 		if !slices.Equal(groups, b.syncedGroups) {
-			b.service.pool.ForgetHeld()
+			b.service.pool.ClearExactOtherLoads()
 		}
 		b.syncedGroups, b.syncedGeneration = groups, generation
 		b.book.TakeChanged()
@@ -272,7 +272,7 @@
 		}
 	}
 	if len(held) > 0 {
-		b.service.pool.SetHeld(held)
+		b.service.pool.SetExactOtherLoads(held)
 	}
 }
 
@@ -302,8 +302,8 @@
 	}
 	grant := b.book.Grant(now, waiter.Node, id)
 	b.queue(waiter.Request.Service).RecordPlacement(now, waiter)
-	b.service.pool.Read(id, waiter.Request.Parts)
-	b.service.pool.SetHeld(map[string]int{id: b.heldAt(id)})
+	b.service.pool.RecordSent(id, waiter.Request.Parts)
+	b.service.pool.SetExactOtherLoads(map[string]int{id: b.heldAt(id)})
 	return reservation.Response{Worker: id, Grant: grant}, true
 }
 
@@ -313,10 +313,10 @@
 func (b *slotBroker) chooseWorker(leaders []*Leader, ask reservation.Request, fits func(worker.Occupancy) bool) (string, bool) {
 	pool := b.service.pool
 	if wanted, listed := pool.OccupancyOf(ask.Worker); listed && wanted.Service == ask.Service && ownedByAny(leaders, ask.Worker) &&
-		!slices.Contains(ask.Excluded, ask.Worker) && fits(wanted) && !pool.Paced(ask.Service) && pool.Slowness(ask.Worker) == 1 {
+		!slices.Contains(ask.Excluded, ask.Worker) && fits(wanted) && !pool.PaceKnown(ask.Service) && pool.Slowness(ask.Worker) == 1 {
 		return ask.Worker, true
 	}
-	choice, ok := pool.Prefer(worker.Query{
+	choice, ok := pool.Choose(worker.Query{
 		Service: ask.Service, Parts: ask.Parts, Tokens: ask.Tokens, Zone: ask.Zone, Excluded: ask.Excluded,
 		Groups: groupsOf(leaders), FilterOccupancy: fits,
 	})
--- a/internal/batchrun/places_test.go
+++ b/internal/batchrun/places_test.go
@@ -76,7 +76,7 @@
 	for _, i := range l.waiting {
 		i.worker, i.cancel, i.standing = "w0", func() {}, fill.Normal
 		l.running[i] = true
-		if _, ok := l.service.pool.Take(l.queryOnly("w0")); !ok {
+		if _, ok := l.service.pool.Assign(l.queryOnly("w0")); !ok {
 			t.Fatal("no worker available")
 		}
 	}
--- a/internal/batchrun/run.go
+++ b/internal/batchrun/run.go
@@ -40,7 +40,7 @@
 }
 
 // run sends an item to the ticket's worker and handles the outcome.
-func (l *Leader) run(ctx context.Context, i *item, maximumFailures int, ticket *backend.Ticket) {
+func (l *Leader) run(ctx context.Context, i *item, maximumFailures int, ticket *backend.Assignment) {
 	began, sent := time.Now(), len(i.text)
 	verdict, err := l.send(ctx, i, ticket)
 	ticket.End()
@@ -118,7 +118,7 @@
 
 // recordRun reports the end of a run to the quarantine guard and to outlier ejection. Runs
 // that this process cancelled do not count against the worker.
-func (l *Leader) recordRun(i *item, ticket *backend.Ticket, verdict verdict, err error) {
+func (l *Leader) recordRun(i *item, ticket *backend.Assignment, verdict verdict, err error) {
 	guard := l.service.guard
 	switch {
 	case verdict == verdictDone:
@@ -140,7 +140,7 @@
 
 // send makes one attempt to run an item and collects its events. Complete events stay in the item
 // if the attempt fails.
-func (l *Leader) send(ctx context.Context, i *item, ticket *backend.Ticket) (verdict, error) {
+func (l *Leader) send(ctx context.Context, i *item, ticket *backend.Assignment) (verdict, error) {
 	stored, found, err := l.state.InlineItem(i.job.ID, i.index)
 	if err != nil || !found {
 		return verdictInterrupted, fmt.Errorf("read item: found %t: %w", found, err)
@@ -152,25 +152,25 @@
 	i.attempts++
 	idle := newIdleTimeout(ctx, l.service.settings.Silence)
 	defer idle.stop()
-	incoming, failure := l.service.caller.Send(idle.ctx, backend.Outgoing{
+	incoming, failure := l.service.caller.Send(idle.ctx, backend.WorkerRequest{
 		Method: http.MethodPost, Path: path, Query: query, Host: i.host, Header: requestHeader(stored), Body: stored.Body,
-		Call: backend.Call{ID: stored.ID, LastEvent: i.lastEventID, Tenants: l.service.hasTenants(), Tenant: string(i.job.Tenant)}, ID: stored.ID, Worker: ticket.Worker,
+		Call: backend.Call{ID: stored.ID, LastEvent: i.lastEventID, HasTenants: l.service.hasTenants(), Tenant: string(i.job.Tenant)}, ID: stored.ID, Worker: ticket.Worker,
 	})
 	if failure != nil {
 		if failure.Outcome == api.OutcomeNotRun {
 			if failure.Code == api.CodeUpstream {
-				ticket.Refused()
+				ticket.RecordRefused()
 			}
 			return verdictNotRun, failure
 		}
 		if failure.Code == api.CodeUpstream {
-			ticket.Broke()
+			ticket.RecordInterrupted()
 		}
 		return verdictInterrupted, failure
 	}
 	defer incoming.Response.Body.Close()
-	if incoming.Loaded {
-		ticket.Report(incoming.Load)
+	if incoming.HasLoad {
+		ticket.RecordLoad(incoming.Load)
 	}
 	switch status := incoming.Response.StatusCode; {
 	case incoming.NotRun:
@@ -186,27 +186,27 @@
 	return l.read(idle.ctx, i, ticket, incoming, idle)
 }
 
-func handleRejection(ticket *backend.Ticket, incoming *backend.Incoming) {
+func handleRejection(ticket *backend.Assignment, incoming *backend.WorkerResponse) {
 	if incoming.Moved {
-		ticket.Moved()
+		ticket.RecordMoved()
 		return
 	}
-	ticket.Full()
-	_, _ = io.Copy(io.Discard, io.LimitReader(incoming.Response.Body, engine.MaximumEventBytes))
+	ticket.RecordFull()
+	_, _ = io.Copy(io.Discard, io.LimitReader(incoming.Response.Body, engine.MaxEventBytes))
 }
 
-func (l *Leader) read(ctx context.Context, i *item, ticket *backend.Ticket, incoming *backend.Incoming, idle *idleTimeout) (verdict, error) {
+func (l *Leader) read(ctx context.Context, i *item, ticket *backend.Assignment, incoming *backend.WorkerResponse, idle *idleTimeout) (verdict, error) {
 	events := engine.NewEventReader(&pacedReader{ctx: ctx, source: incoming.Response.Body, interval: readInterval})
 	for {
 		event, err := events.Next()
-		if err == io.EOF && !events.Cut() {
+		if err == io.EOF && !events.Truncated() {
 			return verdictDone, nil
 		}
 		if err != nil {
 			return verdictInterrupted, err
 		}
 		idle.reset()
-		ticket.Started()
+		ticket.RecordPromptRead()
 		i.appendEvent(event)
 	}
 }
--- a/internal/batchrun/service.go
+++ b/internal/batchrun/service.go
@@ -40,7 +40,7 @@
 	stores   *storeclient.Client // client of other groups' leaders
 	members  *storeclient.Registrations
 	pool     *backend.Pool
-	caller   *backend.Caller
+	caller   *backend.Client
 	metrics  *metrics
 	guard    *guard.Guard
 
@@ -56,7 +56,7 @@
 // and HTTP handlers with common.
 func New(common *node.Node, protocol backend.Protocol, source catalog.Source) *Service {
 	s := &Service{
-		settings: common.Settings.Batch, groups: common.Settings.Store.Groups, cpuShare: common.Settings.Node.ProcessorShare, log: common.Logger("batch"), caller: backend.NewCaller(protocol).Count(common.Traffic),
+		settings: common.Settings.Batch, groups: common.Settings.Store.Groups, cpuShare: common.Settings.Node.ProcessorShare, log: common.Logger("batch"), caller: backend.NewClient(protocol).Instrument(common.Traffic),
 		metrics: newMetrics(common.Registry), leaders: map[*Leader]bool{}, members: &storeclient.Registrations{}, nodes: common.Nodes,
 	}
 	s.slots, s.zoneWorkers = newSlotBroker(s), newZoneWorkers(common.Settings.Node.Zone)
@@ -67,11 +67,11 @@
 	s.catalog.SetMaxStaleness(common.Settings.Platform.Freshness)
 	s.guard = guard.New(guard.Settings{
 		Self: common.ID(), Owners: func() []api.Node { return storeclient.OwnerCandidates(common.Nodes(), s.members.Extend) },
-		Accepts: s.pool.Accepts, CurrentIncarnation: s.pool.Current, WatchDown: s.catalog.OutOfContact, OnTrialGranted: s.wakeAll, KeyValue: common.KeyValue,
+		Accepts: s.pool.Accepts, CurrentIncarnation: s.pool.CurrentIncarnation, WatchDown: s.catalog.OutOfContact, OnTrialGranted: s.wakeAll, KeyValue: common.KeyValue,
 		Prefix: common.Settings.KeyValueService.Prefix, Log: common.Logger("guard"), Registry: common.Registry,
 	})
 	if source.EvacuationPrefix != "" {
-		s.catalog.AddView(source.EvacuationPrefix, s.pool.Evacuations(source.EvacuationPrefix, common.Logger("catalog")))
+		s.catalog.AddView(source.EvacuationPrefix, s.pool.EvacuationView(source.EvacuationPrefix, common.Logger("catalog")))
 	}
 	s.catalog.AddView(common.Settings.KeyValueService.Prefix+guard.Prefix, s.guard.View())
 	s.guard.RegisterOwner(common.Mux)
@@ -151,7 +151,7 @@
 func (s *Service) pollLoad(ctx context.Context, w worker.Worker) {
 	ctx, cancel := context.WithTimeout(ctx, s.settings.ReportInterval)
 	defer cancel()
-	report, err := s.caller.Report(ctx, w)
+	report, err := s.caller.FetchReport(ctx, w)
 	if err != nil {
 		s.log.WithFields(logrus.Fields{"event": "report_missing", "worker": w.ID}).WithError(err).Debug("Polling a worker's load failed.")
 		return
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -39,11 +39,11 @@
 	KeyValue relay.Service
 	Protocol backend.Protocol
 	Source   catalog.Source
-	// Pace limits KeyValue to this process's share of the store's rate limits. May be nil.
-	Pace *kv.Limiter
-	// Observe registers a function that is called after each call of KeyValue. It is
+	// Limiter limits KeyValue to this process's share of the store's rate limits. May be nil.
+	Limiter *kv.Limiter
+	// ObserveCalls registers a function that is called after each call of KeyValue. It is
 	// called before the first use of KeyValue. May be nil.
-	Observe func(call func(path string, err error))
+	ObserveCalls func(call func(path string, err error))
 	// Decommissions holds operators' requests to drain machines. May be nil.
 	Decommissions *store.Decommissions
 }
@@ -55,8 +55,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if platform != nil && platform.Pace != nil {
-		platform.Pace.SetProcesses(func() int { return len(common.Nodes()) })
+	if platform != nil && platform.Limiter != nil {
+		platform.Limiter.SetProcesses(func() int { return len(common.Nodes()) })
 	}
 	daemon := &Daemon{Node: common}
 	switch role {
@@ -103,8 +103,8 @@
 	}
 	changes.ZoneKnown, changes.RevisionKey = common.Settled, platform.Source.ConfigurationPrefix
 	changes.RemoteMembers = func() [][]feed.Member { return remoteStores(common.Nodes(), settings.Node.Location()) }
-	if platform.Observe != nil {
-		platform.Observe(common.ObserveCall)
+	if platform.ObserveCalls != nil {
+		platform.ObserveCalls(common.ObserveCall)
 	}
 	common.Registry.MustRegister(changes.Metrics())
 	common.Mux.HandleFunc("GET "+relay.PathChanges, changes.ServeChanges)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -90,7 +90,7 @@
 			t.Errorf("%q: %q, %v", c.stream, got, err)
 		}
 	}
-	if _, err := readEvents(strings.NewReader(strings.Repeat("x", MaximumEventBytes+1))); err == nil {
+	if _, err := readEvents(strings.NewReader(strings.Repeat("x", MaxEventBytes+1))); err == nil {
 		t.Error("an event over MaximumEventBytes was read")
 	}
 }
@@ -177,7 +177,7 @@
 		{"data: 1\n\n", "text/event-stream", true}, // the reader of events checks for [DONE]
 	} {
 		response := &http.Response{ContentLength: -1, Header: http.Header{"Content-Type": {c.contentType}}, Body: io.NopCloser(strings.NewReader(c.body))}
-		read, err := io.ReadAll(Framed(response))
+		read, err := io.ReadAll(CheckedBody(response))
 		if (err == nil) != c.whole || c.whole && string(read) != c.body {
 			t.Errorf("%q: %q, %v", c.body, read, err)
 		}
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -7,8 +7,8 @@
 	"io"
 )
 
-// MaximumEventBytes bounds one event of a stream.
-const MaximumEventBytes = 1 << 20
+// MaxEventBytes bounds one event of a stream.
+const MaxEventBytes = 1 << 20
 
 // doneLine is the last event of a complete stream of the OpenAI API.
 const doneLine = "data: [DONE]"
@@ -19,10 +19,10 @@
 	truncated bool
 }
 
-// NewEventReader returns a reader of events of at most MaximumEventBytes.
+// NewEventReader returns a reader of events of at most MaxEventBytes.
 func NewEventReader(stream io.Reader) *EventReader {
 	scanner := bufio.NewScanner(stream)
-	scanner.Buffer(make([]byte, 0, 4<<10), MaximumEventBytes)
+	scanner.Buffer(make([]byte, 0, 4<<10), MaxEventBytes)
 	reader := &EventReader{scanner: scanner}
 	scanner.Split(reader.split)
 	return reader
@@ -34,8 +34,8 @@
 	return advance, event, err
 }
 
-// Cut reports, after io.EOF, whether the stream ended within an event.
-func (r *EventReader) Cut() bool { return r.truncated }
+// Truncated reports, after io.EOF, whether the stream ended within an event.
+func (r *EventReader) Truncated() bool { return r.truncated }
 
 // Next returns the next complete event with its blank line. The slice is valid until the
 // next call. At the end of the stream it returns io.EOF and drops an incomplete event.
--- a/internal/engine/framed.go
+++ b/internal/engine/framed.go
@@ -15,12 +15,12 @@
 // ErrTruncated is the error of a response that may be truncated.
 var ErrTruncated = errors.New("response may be truncated")
 
-// Framed returns a reader of the response body that detects truncation. With a
+// CheckedBody returns a reader of the response body that detects truncation. With a
 // Content-Length or chunked encoding, net/http reports a truncated body. A body that is
 // delimited by the end of the connection may be truncated without an error: event streams
 // have a last event that their reader checks for, JSON is read completely and validated,
 // and anything else fails with ErrTruncated.
-func Framed(response *http.Response) io.Reader {
+func CheckedBody(response *http.Response) io.Reader {
 	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 	if framed || IsEventStream(response.Header) {
 		return response.Body
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -58,7 +58,7 @@
 	protocol    backend.Protocol
 	catalog     *catalog.Catalog
 	pool        *backend.Pool
-	caller      *backend.Caller
+	caller      *backend.Client
 	stores      *storeclient.Client
 	relayClient *relayed.Client
 	limiter     *limiter.Limiter
@@ -108,7 +108,7 @@
 	}
 	f := &Frontend{
 		node: common, settings: settings, log: common.Logger("frontend"), protocol: protocol, port: port,
-		caller: backend.NewCaller(protocol).Count(common.Traffic), metrics: newMetrics(common.Registry),
+		caller: backend.NewClient(protocol).Instrument(common.Traffic), metrics: newMetrics(common.Registry),
 		random:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		successLogs: rate.NewLimiter(maxSuccessLogsPerSecond, maxSuccessLogsPerSecond),
 	}
@@ -132,11 +132,11 @@
 	common.Registry.MustRegister(f.catalog.Metrics()...)
 	f.guard = guard.New(guard.Settings{
 		Self: common.ID(), Owners: func() []api.Node { return storeclient.OwnerCandidates(common.Nodes(), registered.Extend) },
-		Accepts: f.pool.Accepts, CurrentIncarnation: f.pool.Current, WatchDown: f.catalog.OutOfContact, KeyValue: common.KeyValue,
+		Accepts: f.pool.Accepts, CurrentIncarnation: f.pool.CurrentIncarnation, WatchDown: f.catalog.OutOfContact, KeyValue: common.KeyValue,
 		Prefix: common.Settings.KeyValueService.Prefix, Log: common.Logger("guard"), Registry: common.Registry,
 	})
 	if source.EvacuationPrefix != "" {
-		f.catalog.AddView(source.EvacuationPrefix, f.pool.Evacuations(source.EvacuationPrefix, common.Logger("catalog")))
+		f.catalog.AddView(source.EvacuationPrefix, f.pool.EvacuationView(source.EvacuationPrefix, common.Logger("catalog")))
 	}
 	f.catalog.AddView(common.Settings.KeyValueService.Prefix+guard.Prefix, f.guard.View())
 	f.guard.RegisterAdmin(common.Mux)
--- a/internal/frontend/guard.go
+++ b/internal/frontend/guard.go
@@ -41,7 +41,7 @@
 
 // reportRun tells the guard whether the response broke off or the worker survived the
 // run.
-func (x *exchange) reportRun(ticket *backend.Ticket, last attemptResult) {
+func (x *exchange) reportRun(ticket *backend.Assignment, last attemptResult) {
 	guard := x.frontend.guard
 	switch {
 	case last.status == attemptNotRun:
--- a/internal/frontend/heard.go
+++ b/internal/frontend/heard.go
@@ -170,7 +170,7 @@
 // recordOutcome records the outcome of an attempt for the worker's leader, which
 // combines the observations of all frontends. Requests cancelled by their caller are
 // ignored.
-func (x *exchange) recordOutcome(ticket *backend.Ticket, last attemptResult) {
+func (x *exchange) recordOutcome(ticket *backend.Assignment, last attemptResult) {
 	if !x.frontend.usesReservations(x.service) || x.callerCancelled() {
 		return
 	}
@@ -180,7 +180,7 @@
 }
 
 // recordStream records the pace of a completed stream for the worker's leader.
-func (x *exchange) recordStream(ticket *backend.Ticket, pace streamPace) {
+func (x *exchange) recordStream(ticket *backend.Assignment, pace streamPace) {
 	if x.frontend.usesReservations(x.service) {
 		x.frontend.reservations.observations.recordStream(time.Now(), ticket.Worker.Incarnation(), pace)
 	}
@@ -188,7 +188,7 @@
 
 // paceFields returns log fields with the expected pace of the chosen worker and its
 // source; nil if the pace is unknown.
-func paceFields(ticket *backend.Ticket) logrus.Fields {
+func paceFields(ticket *backend.Assignment) logrus.Fields {
 	if ticket.Pace.Source == worker.PaceUnknown {
 		return nil
 	}
--- a/internal/frontend/heard_test.go
+++ b/internal/frontend/heard_test.go
@@ -42,8 +42,8 @@
 }
 
 func TestWorkerOutcomeOfAttempt(t *testing.T) {
-	response := func(status int) *backend.Incoming {
-		return &backend.Incoming{Response: &http.Response{StatusCode: status}}
+	response := func(status int) *backend.WorkerResponse {
+		return &backend.WorkerResponse{Response: &http.Response{StatusCode: status}}
 	}
 	failure := func(code api.ErrorCode) *api.Error {
 		return api.NewError("send to worker", "w", code, api.OutcomeUnknown, "broken")
@@ -157,13 +157,13 @@
 			rule := answersWith(reservation.Response{Worker: "wa", Grant: 1, Paces: test.paces})
 			r := newTestReservations(t, &fakeLeader{rule: rule}, &fakeLeader{rule: rule})
 			r.reserve(context.Background(), worker.Query{Service: "s"}, startWithin(time.Second), attemptInfo{}, nil)
-			if got := r.pool.Paced("s"); got != test.known {
+			if got := r.pool.PaceKnown("s"); got != test.known {
 				t.Fatalf("pace known: %t", got)
 			}
 			if !test.known {
 				return
 			}
-			ticket, _ := r.pool.Take(worker.Query{Service: "s"})
+			ticket, _ := r.pool.Assign(worker.Query{Service: "s"})
 			if ticket.Worker.ID != "wb" || ticket.Pace.Source != worker.PaceFromLeader {
 				t.Errorf("%+v", ticket.Choice)
 			}
--- a/internal/frontend/held.go
+++ b/internal/frontend/held.go
@@ -24,7 +24,7 @@
 		if other, ok := r.leaderOf(w.ID); !ok || other.ID != peer.ID {
 			continue
 		}
-		if current, ok := r.pool.Current(w.ID); ok && current != w {
+		if current, ok := r.pool.CurrentIncarnation(w.ID); ok && current != w {
 			continue // the worker has restarted
 		}
 		report.Add(w, n)
--- a/internal/frontend/memory_test.go
+++ b/internal/frontend/memory_test.go
@@ -65,7 +65,7 @@
 			http.Error(w, err.Error(), http.StatusBadGateway)
 			return
 		}
-		x.writeResponse(&backend.Incoming{Response: &http.Response{StatusCode: http.StatusOK, Header: http.Header{}}}, chunks)
+		x.writeResponse(&backend.WorkerResponse{Response: &http.Response{StatusCode: http.StatusOK, Header: http.Header{}}}, chunks)
 	}))
 	server.Config.ErrorLog = discardLog()
 	tb.Cleanup(server.Close)
@@ -74,7 +74,7 @@
 
 type noopProtocol struct{ backend.Protocol }
 
-func (noopProtocol) StripAnswer(http.Header) {}
+func (noopProtocol) StripResponse(http.Header) {}
 
 func (noopProtocol) WriteRetryAfter(http.Header, time.Duration) {}
 
--- a/internal/frontend/online.go
+++ b/internal/frontend/online.go
@@ -43,9 +43,9 @@
 // attemptResult is the result of sending a request to a worker once.
 type attemptResult struct {
 	status   attemptStatus
-	failure  *api.Error        // with attemptNotRun and attemptMaybeRun
-	incoming *backend.Incoming // with attemptWorkerError
-	body     net.Buffers       // with attemptWorkerError
+	failure  *api.Error              // with attemptNotRun and attemptMaybeRun
+	incoming *backend.WorkerResponse // with attemptWorkerError
+	body     net.Buffers             // with attemptWorkerError
 }
 
 // serveOnline sends the request to workers until one answers, or until the request must
@@ -133,7 +133,7 @@
 
 // takeWorker chooses a worker that was not tried yet. If there is none and the route
 // allows repeats, it may choose one that was tried.
-func (x *exchange) takeWorker(ctx context.Context) (*backend.Ticket, bool) {
+func (x *exchange) takeWorker(ctx context.Context) (*backend.Assignment, bool) {
 	start := time.Now()
 	ticket, refusal := x.reserveWorker(ctx)
 	if ticket == nil && refusal == nil && ctx.Err() == nil && len(x.tried) > 0 && x.route.Repeatable() {
@@ -147,15 +147,15 @@
 
 // reserveWorker chooses a worker. If the service also runs batch items, the slot is
 // reserved at the worker's leader.
-func (x *exchange) reserveWorker(ctx context.Context) (*backend.Ticket, *api.Error) {
+func (x *exchange) reserveWorker(ctx context.Context) (*backend.Assignment, *api.Error) {
 	if x.frontend.usesReservations(x.service) {
 		return x.frontend.reservations.reserve(ctx, x.workerQuery(), x.queueEntry(), attemptInfo{callerRetry: x.isRetry(), requeued: x.sends > 0}, x.logDropped)
 	}
-	ticket, _ := x.frontend.pool.Take(x.workerQuery())
+	ticket, _ := x.frontend.pool.Assign(x.workerQuery())
 	return ticket, nil
 }
 
-func (x *exchange) logDropped(ticket *backend.Ticket) {
+func (x *exchange) logDropped(ticket *backend.Assignment) {
 	x.logEntry("place_dropped", nil).WithField("worker", ticket.Worker.ID).Info("The worker left during the reservation of a slot; another one is chosen.")
 }
 
@@ -176,15 +176,15 @@
 }
 
 // attempt sends the request to the ticket's worker and relays the response.
-func (x *exchange) attempt(ctx context.Context, ticket *backend.Ticket) attemptResult {
+func (x *exchange) attempt(ctx context.Context, ticket *backend.Assignment) attemptResult {
 	defer ticket.End()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	call := backend.Call{Left: time.Until(x.deadline), Tenants: x.identity.hasTenants, Tenant: x.identity.tenant.Name}
+	call := backend.Call{Remaining: time.Until(x.deadline), HasTenants: x.identity.hasTenants, Tenant: x.identity.tenant.Name}
 	if x.events > 0 {
 		call.LastEvent = x.lastEventID
 	}
-	incoming, failure := x.frontend.caller.Send(ctx, backend.Outgoing{
+	incoming, failure := x.frontend.caller.Send(ctx, backend.WorkerRequest{
 		Method: x.r.Method, Path: x.r.URL.EscapedPath(), Query: x.r.URL.RawQuery, Host: x.r.Host,
 		Header: x.r.Header.Clone(), Body: x.body, Call: call, ID: x.request.ID, Worker: ticket.Worker,
 	})
@@ -192,8 +192,8 @@
 		return x.handleSendError(ticket, failure)
 	}
 	defer incoming.Response.Body.Close()
-	if incoming.Loaded {
-		ticket.Report(incoming.Load)
+	if incoming.HasLoad {
+		ticket.RecordLoad(incoming.Load)
 		if x.frontend.usesReservations(x.service) {
 			x.frontend.reservations.observations.recordLoad(time.Now(), ticket.Worker.Incarnation(), incoming.Load)
 		}
@@ -215,35 +215,35 @@
 	return strings.HasPrefix(header.Get("Content-Type"), "text/event-stream")
 }
 
-func (x *exchange) handleSendError(ticket *backend.Ticket, failure *api.Error) attemptResult {
+func (x *exchange) handleSendError(ticket *backend.Assignment, failure *api.Error) attemptResult {
 	if failure.Outcome == api.OutcomeNotRun {
 		if failure.Code == api.CodeUpstream {
-			ticket.Refused()
+			ticket.RecordRefused()
 		}
 		return attemptResult{status: attemptNotRun, failure: failure}
 	}
 	x.runs++
 	if failure.Code == api.CodeUpstream {
-		ticket.Broke()
+		ticket.RecordInterrupted()
 	}
 	return attemptResult{status: attemptMaybeRun, failure: failure}
 }
 
-func (x *exchange) handleRejection(ticket *backend.Ticket, incoming *backend.Incoming) attemptResult {
+func (x *exchange) handleRejection(ticket *backend.Assignment, incoming *backend.WorkerResponse) attemptResult {
 	if incoming.Moved {
-		ticket.Moved()
+		ticket.RecordMoved()
 	} else {
-		ticket.Full()
+		ticket.RecordFull()
 	}
 	x.rejectedBy = append(x.rejectedBy, ticket.Worker.ID)
-	_, _ = io.Copy(io.Discard, io.LimitReader(incoming.Response.Body, engine.MaximumEventBytes))
+	_, _ = io.Copy(io.Discard, io.LimitReader(incoming.Response.Body, engine.MaxEventBytes))
 	failure := api.NewError("send to worker", ticket.Worker.ID, api.CodeNoCapacity, api.OutcomeNotRun, "rejected with status %d", incoming.Response.StatusCode)
 	return attemptResult{status: attemptNotRun, failure: failure}
 }
 
 // readErrorResponse buffers a worker's error response, which is passed on unless
 // another worker may be tried.
-func (x *exchange) readErrorResponse(ctx context.Context, ticket *backend.Ticket, incoming *backend.Incoming) attemptResult {
+func (x *exchange) readErrorResponse(ctx context.Context, ticket *backend.Assignment, incoming *backend.WorkerResponse) attemptResult {
 	chunks, err := x.allocateResponse().readResponse(ctx, incoming.Response.Body, maxResponseBytes)
 	failure := api.NewError("read answer", ticket.Worker.ID, api.CodeUpstream, api.OutcomeUnknown, "status %d", incoming.Response.StatusCode)
 	if err != nil {
@@ -263,7 +263,7 @@
 }
 
 // relayResponse buffers the whole response before it writes to the caller.
-func (x *exchange) relayResponse(ctx context.Context, ticket *backend.Ticket, incoming *backend.Incoming) attemptResult {
+func (x *exchange) relayResponse(ctx context.Context, ticket *backend.Assignment, incoming *backend.WorkerResponse) attemptResult {
 	chunks, err := x.allocateResponse().readResponse(ctx, incoming.Response.Body, maxResponseBytes)
 	if err != nil {
 		failure := api.NewError("read answer", ticket.Worker.ID, readErrorCode(err), api.OutcomeUnknown, "%w", err)
@@ -284,7 +284,7 @@
 
 // writeResponse passes on a worker's status, header and body, and releases memory as
 // the caller reads.
-func (x *exchange) writeResponse(incoming *backend.Incoming, chunks net.Buffers) {
+func (x *exchange) writeResponse(incoming *backend.WorkerResponse, chunks net.Buffers) {
 	x.copyHeader(incoming.Response.Header)
 	length := 0
 	for _, chunk := range chunks {
@@ -304,7 +304,7 @@
 
 func (x *exchange) copyHeader(from http.Header) {
 	backend.DropConnectionHeaders(from)
-	x.frontend.protocol.StripAnswer(from)
+	x.frontend.protocol.StripResponse(from)
 	header := x.w.Header()
 	for name, values := range from {
 		if name != "Content-Length" {
@@ -354,7 +354,7 @@
 	}, status)
 }
 
-func (x *exchange) recordServed(ticket *backend.Ticket) {
+func (x *exchange) recordServed(ticket *backend.Assignment) {
 	kind := string(x.route.Kind)
 	x.frontend.metrics.requests.WithLabelValues(kind, "served").Inc()
 	x.frontend.metrics.duration.WithLabelValues(kind).Observe(time.Since(x.arrived).Seconds())
--- a/internal/frontend/order.go
+++ b/internal/frontend/order.go
@@ -36,10 +36,10 @@
 // waitedBefore estimates how long the caller waited before this attempt: the longest
 // timeout seen on the route minus the time left.
 func (x *exchange) waitedBefore() time.Duration {
-	if x.request.Left <= 0 {
+	if x.request.Remaining <= 0 {
 		return 0
 	}
-	left := x.request.Left
+	left := x.request.Remaining
 	if x.route.Timeout > 0 { // ignore timeouts longer than the route allows
 		left = min(left, x.route.Timeout)
 	}
--- a/internal/frontend/places.go
+++ b/internal/frontend/places.go
@@ -156,7 +156,7 @@
 //
 // A worker may leave during the wait. In that case dropped is called with its ticket
 // and another worker is chosen.
-func (r *reservations) reserve(ctx context.Context, query worker.Query, entry hold.Request, attempt attemptInfo, dropped func(*backend.Ticket)) (*backend.Ticket, *api.Error) {
+func (r *reservations) reserve(ctx context.Context, query worker.Query, entry hold.Request, attempt attemptInfo, dropped func(*backend.Assignment)) (*backend.Assignment, *api.Error) {
 	for {
 		ticket, refusal := r.reserveOnce(ctx, query, entry, attempt)
 		if ticket == nil || r.pool.Accepts(ticket.Worker.ID) {
@@ -168,7 +168,7 @@
 }
 
 // reserveOnce is reserve without the check that the worker is still there.
-func (r *reservations) reserveOnce(ctx context.Context, query worker.Query, entry hold.Request, attempt attemptInfo) (*backend.Ticket, *api.Error) {
+func (r *reservations) reserveOnce(ctx context.Context, query worker.Query, entry hold.Request, attempt attemptInfo) (*backend.Assignment, *api.Error) {
 	requeued := attempt.requeued
 	var refusedBy api.NodeID // leader without a slot in time; one other leader is asked
 	full := map[api.NodeID]bool{}
@@ -253,7 +253,7 @@
 
 // chooseWorker chooses a worker among those of leaders that are not known to be full,
 // and adds these leaders to full.
-func (r *reservations) chooseWorker(query worker.Query, full map[api.NodeID]bool) (*backend.Ticket, bool) {
+func (r *reservations) chooseWorker(query worker.Query, full map[api.NodeID]bool) (*backend.Assignment, bool) {
 	now := time.Now()
 	r.mutex.Lock()
 	for id, state := range r.leaders {
@@ -265,14 +265,14 @@
 	if len(full) > 0 {
 		query.Groups = r.groups(func(leader api.NodeID) bool { return !full[leader] }, true)
 	}
-	return r.pool.Take(query)
+	return r.pool.Assign(query)
 }
 
 // chooseQueue chooses the leader with the shortest expected wait and returns a ticket
 // for one of its workers and how long to wait there. It returns false if the request
 // can't wait any longer. The queue length alone is no criterion: it is 0 at a leader
 // that has lost its workers and refuses all requests.
-func (r *reservations) chooseQueue(query worker.Query, full map[api.NodeID]bool, entry hold.Request, refusedBy api.NodeID) (*backend.Ticket, time.Duration, bool) {
+func (r *reservations) chooseQueue(query worker.Query, full map[api.NodeID]bool, entry hold.Request, refusedBy api.NodeID) (*backend.Assignment, time.Duration, bool) {
 	wait := min(time.Until(entry.Deadline), maxReservationWait)
 	if wait <= 0 {
 		return nil, 0, false
@@ -293,10 +293,10 @@
 	state.expectedWait += state.expectedWait / time.Duration(state.queued)
 	r.mutex.Unlock()
 	query.Groups = r.groups(func(leader api.NodeID) bool { return leader == best }, false)
-	ticket, ok := r.pool.Take(query)
+	ticket, ok := r.pool.Assign(query)
 	if !ok {
 		query.Groups = nil
-		ticket, ok = r.pool.Take(query)
+		ticket, ok = r.pool.Assign(query)
 	}
 	return ticket, wait, ok
 }
@@ -308,7 +308,7 @@
 }
 
 // requestSlot asks a leader to reserve a slot, and updates what is known of the leader.
-func (r *reservations) requestSlot(ctx context.Context, peer api.Node, ticket *backend.Ticket, query worker.Query, entry hold.Request, ask reservation.Request) (reservation.Response, error) {
+func (r *reservations) requestSlot(ctx context.Context, peer api.Node, ticket *backend.Assignment, query worker.Query, entry hold.Request, ask reservation.Request) (reservation.Response, error) {
 	wait := ask.Wait
 	ask.Service, ask.Worker, ask.Parts, ask.Tokens, ask.Excluded = query.Service, ticket.Worker.ID, query.Parts, query.Tokens, query.Excluded
 	ask.Zone, ask.Rank, ask.TimeToTarget, ask.TimeToDeadline = r.zone, entry.Rank, time.Until(entry.Target), time.Until(entry.Deadline)
@@ -319,7 +319,7 @@
 	ctx, cancel := context.WithTimeout(ctx, wait+reservationTimeout)
 	defer cancel()
 	answer, err := r.send(ctx, peer, &ask)
-	r.pool.LearnPaces(answer.Paces)
+	r.pool.SetStablePaces(answer.Paces)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	state := r.leader(peer.ID)
@@ -359,10 +359,10 @@
 
 // acceptGrant uses a slot that a leader has reserved. If the granted worker is unknown
 // here or not usable, the frontend's own choice is kept.
-func (r *reservations) acceptGrant(peer api.Node, ticket *backend.Ticket, query worker.Query, answer reservation.Response) *backend.Ticket {
+func (r *reservations) acceptGrant(peer api.Node, ticket *backend.Assignment, query worker.Query, answer reservation.Response) *backend.Assignment {
 	if answer.Worker != ticket.Worker.ID {
 		query.WorkerID = answer.Worker
-		if other, ok := r.pool.Take(query); ok {
+		if other, ok := r.pool.Assign(query); ok {
 			ticket.End()
 			ticket = other
 		}
@@ -377,14 +377,14 @@
 
 // trackUnreserved counts a request that is sent without a reservation as in flight
 // until it ends.
-func (r *reservations) trackUnreserved(ticket *backend.Ticket) *backend.Ticket {
+func (r *reservations) trackUnreserved(ticket *backend.Assignment) *backend.Assignment {
 	r.mutex.Lock()
 	r.inFlight[ticket.Worker.Incarnation()]++
 	r.mutex.Unlock()
 	return r.releaseOnEnd(ticket)
 }
 
-func (r *reservations) releaseOnEnd(ticket *backend.Ticket) *backend.Ticket {
+func (r *reservations) releaseOnEnd(ticket *backend.Assignment) *backend.Assignment {
 	w := ticket.Worker.Incarnation()
 	ticket.OnEnd(func() { r.requestEnded(w) })
 	return ticket
--- a/internal/frontend/places_test.go
+++ b/internal/frontend/places_test.go
@@ -157,7 +157,7 @@
 			case ticket == nil || test.want != "any" && ticket.Worker.ID != test.want:
 				t.Errorf("%+v, %v, want %s", ticket, refusal, test.want)
 			}
-			counted := r.pool.Held("wa") + r.pool.Held("wb")
+			counted := r.pool.InFlight("wa") + r.pool.InFlight("wb")
 			if ticket != nil && counted != 1 || ticket == nil && counted != 0 {
 				t.Errorf("%d requests counted at workers", counted)
 			}
@@ -186,7 +186,7 @@
 	})
 }
 
-func ignoreDropped(*backend.Ticket) {}
+func ignoreDropped(*backend.Assignment) {}
 
 // Guards against sending a request to a worker that left while the request waited for
 // its leader, for up to a second.
@@ -211,7 +211,7 @@
 			}
 			r.pool.WorkersChanged([]catalog.Change{{ID: "wb", Removed: true}}) // added again when wa is dropped
 			var dropped []string
-			ticket, refusal := r.reserve(t.Context(), worker.Query{Service: "s"}, startWithin(time.Minute), attemptInfo{}, func(ticket *backend.Ticket) {
+			ticket, refusal := r.reserve(t.Context(), worker.Query{Service: "s"}, startWithin(time.Minute), attemptInfo{}, func(ticket *backend.Assignment) {
 				dropped = append(dropped, ticket.Worker.ID)
 				r.pool.WorkersChanged([]catalog.Change{{ID: "wb", Worker: worker.Worker{ID: "wb", Service: "s", Zone: "z", Slots: 4}}})
 			})
@@ -288,7 +288,7 @@
 	if ticket, refusal := r.reserve(ctx, worker.Query{Service: "s"}, startWithin(time.Minute), attemptInfo{}, ignoreDropped); ticket != nil || refusal != nil {
 		t.Errorf("%v, %v", ticket, refusal)
 	}
-	if counted := r.pool.Held("wa") + r.pool.Held("wb"); counted != 0 {
+	if counted := r.pool.InFlight("wa") + r.pool.InFlight("wb"); counted != 0 {
 		t.Errorf("%d requests counted at workers", counted)
 	}
 }
--- a/internal/frontend/registry.go
+++ b/internal/frontend/registry.go
@@ -43,7 +43,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	answer, err := f.protocol.EncodeAddresses(backend.Addresses{Addresses: addresses, Lifetime: f.settings.AddressLifetime})
+	answer, err := f.protocol.EncodeAddresses(backend.ResolveResponse{Addresses: addresses, TTL: f.settings.AddressLifetime})
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
--- a/internal/frontend/serve.go
+++ b/internal/frontend/serve.go
@@ -115,8 +115,8 @@
 	if x.route.Timeout > 0 {
 		left = x.route.Timeout
 	}
-	if x.request.Left > 0 {
-		left = min(left, x.request.Left)
+	if x.request.Remaining > 0 {
+		left = min(left, x.request.Remaining)
 	}
 	return left
 }
--- a/internal/frontend/serve_test.go
+++ b/internal/frontend/serve_test.go
@@ -66,7 +66,7 @@
 func TestLongCallerTimeoutDoesNotMarkOthersAsRetries(t *testing.T) {
 	f := &Frontend{}
 	newExchange := func(left time.Duration) *exchange {
-		x := &exchange{frontend: f, request: backend.Request{Left: left}}
+		x := &exchange{frontend: f, request: backend.Request{Remaining: left}}
 		x.route.Name, x.route.Timeout = "r", 5*time.Second
 		return x
 	}
--- a/internal/frontend/stream.go
+++ b/internal/frontend/stream.go
@@ -14,7 +14,7 @@
 
 // relayStream passes on complete events as they arrive. The response header is written
 // with the first event, so that a stream that breaks before it can be retried.
-func (x *exchange) relayStream(ctx context.Context, ticket *backend.Ticket, incoming *backend.Incoming) attemptResult {
+func (x *exchange) relayStream(ctx context.Context, ticket *backend.Assignment, incoming *backend.WorkerResponse) attemptResult {
 	memory, controller := x.allocateResponse(), http.NewResponseController(x.w)
 	if err := memory.grow(ctx, streamBufferBytes); err != nil {
 		failure := api.NewError("relay stream", ticket.Worker.ID, readErrorCode(err), api.OutcomeUnknown, "%w", err)
@@ -25,7 +25,7 @@
 	var pace streamPace
 	for {
 		event, err := events.Next()
-		if err == io.EOF && !events.Cut() {
+		if err == io.EOF && !events.Truncated() {
 			if !x.headerWritten {
 				x.writeResponse(incoming, nil)
 			}
@@ -36,7 +36,7 @@
 			failure := api.NewError("relay stream", ticket.Worker.ID, api.CodeUpstream, api.OutcomeUnknown, "after event %q: %w", x.lastEventID, err)
 			return attemptResult{status: attemptMaybeRun, failure: failure}
 		}
-		ticket.Started()
+		ticket.RecordPromptRead()
 		pace.received(time.Now())
 		if !x.headerWritten {
 			x.copyHeader(incoming.Response.Header)
--- a/internal/router/forward.go
+++ b/internal/router/forward.go
@@ -165,7 +165,7 @@
 		}
 	}
 	w.WriteHeader(response.StatusCode)
-	if err := engine.CopyStream(w, engine.Framed(response)); err != nil {
+	if err := engine.CopyStream(w, engine.CheckedBody(response)); err != nil {
 		f.router.metrics.interrupted.Inc()
 		f.router.log.WithError(err).Debug("A forwarded response was interrupted.")
 		panic(http.ErrAbortHandler)
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -180,7 +180,7 @@
 	header.Set(api.HeaderRequestID, string(id))
 	header.Set(api.HeaderWorker, string(worker))
 	w.WriteHeader(response.StatusCode)
-	if err := engine.CopyStream(w, engine.Framed(response)); err != nil {
+	if err := engine.CopyStream(w, engine.CheckedBody(response)); err != nil {
 		r.metrics.interrupted.Inc()
 		r.log.WithError(err).WithField("worker", worker).Debug("A worker's response was interrupted.")
 		panic(http.ErrAbortHandler)
