--- a/cmd/dykewing/main.go
+++ b/cmd/dykewing/main.go
@@ -150,7 +150,7 @@
 		Limiter:      pace,
 		ObserveCalls: func(call func(path string, err error)) { store.Observe = call },
 		Protocol:     platform.Protocol{},
-		Source:       platform.Source(),
+		Source:       platform.CatalogSource(),
 
 		Decommissions: platform.Decommissions(),
 	}
@@ -177,7 +177,7 @@
 	}
 	ctx, _ := stopSignals()
 	options := dev.DefaultOptions(logger)
-	options.CallersAddress = *flags.address
+	options.ClientAddress = *flags.address
 	fleet, err := dev.Start(ctx, options)
 	if err != nil {
 		return err
@@ -187,7 +187,7 @@
 		return dev.Exercise(ctx, fleet, os.Stdout)
 	}
 	fmt.Printf("Base URL for callers: %s\n", fleet.URL())
-	fmt.Printf("For operators: dykewingctl --node %s --sidecar %s\n", fleet.NodeAddress(), fleet.CallersAddress())
+	fmt.Printf("For operators: dykewingctl --node %s --sidecar %s\n", fleet.NodeAddress(), fleet.ClientAddress())
 	fmt.Println("Stop with Ctrl-C.")
 	<-ctx.Done()
 	return nil
--- a/cmd/dykewing/process_test.go
+++ b/cmd/dykewing/process_test.go
@@ -149,8 +149,8 @@
 	callers := ""
 	for _, daemon := range running.Daemons {
 		processes = append(processes, start(t, string(daemon.Role), "--settings", daemon.File))
-		if daemon.CallersAddress != "" {
-			callers = daemon.CallersAddress
+		if daemon.ClientAddress != "" {
+			callers = daemon.ClientAddress
 		}
 	}
 	for _, daemon := range running.Daemons {
--- a/cmd/dykewingsim/platform.go
+++ b/cmd/dykewingsim/platform.go
@@ -43,8 +43,8 @@
 		fmt.Printf("  dykewing %s --settings %s\n", daemon.Role, daemon.File)
 	}
 	for _, daemon := range running.Daemons {
-		if daemon.CallersAddress != "" {
-			fmt.Printf("\nBase URL for callers at %s: http://%s/v1\n", daemon.ID, daemon.CallersAddress)
+		if daemon.ClientAddress != "" {
+			fmt.Printf("\nBase URL for callers at %s: http://%s/v1\n", daemon.ID, daemon.ClientAddress)
 		}
 	}
 	fmt.Println("Stop with Ctrl-C.")
--- a/internal/batchrun/leader_test.go
+++ b/internal/batchrun/leader_test.go
@@ -45,7 +45,7 @@
 		metrics: newMetrics(prometheus.NewRegistry()), leaders: map[*Leader]bool{},
 		pool: backend.NewPool(worker.DefaultSettings("a"), nil), nodes: func() []api.Node { return nil },
 	}
-	s.catalog = catalog.New(platform.Source(), nil, log, s.pool)
+	s.catalog = catalog.New(platform.CatalogSource(), nil, log, s.pool)
 	if err := s.catalog.Adopt([]byte(testConfiguration), "test"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -203,7 +203,7 @@
 			t.Fatalf("request %d: %v", i, err)
 		}
 	}
-	if served := engines[0].Served() + engines[1].Served(); served != 30 {
+	if served := engines[0].Completed() + engines[1].Completed(); served != 30 {
 		t.Errorf("engines served %d requests, want 30", served)
 	}
 	for _, router := range all[:3] {
@@ -226,7 +226,7 @@
 	eventually(t, "a home", func() bool { return caller.Node.Table() != nil && homeRouters(caller) == 1 })
 	platform.list.Set([]api.Worker{leavingWorker(platform.workers[0]), platform.workers[1], platform.workers[2]})
 	eventually(t, "two workers offered", func() bool { return workersOffered(caller) == 2 })
-	before := engines[0].Served()
+	before := engines[0].Completed()
 	platform.servers[1].CloseClientConnections()
 	platform.servers[1].Close()
 	client := &http.Client{}
@@ -236,7 +236,7 @@
 			t.Fatalf("request %d: %v", i, err)
 		}
 	}
-	if served := engines[0].Served() - before; served > 0 {
+	if served := engines[0].Completed() - before; served > 0 {
 		t.Errorf("the leaving worker got %d new requests", served)
 	}
 }
--- a/internal/dev/ceiling_test.go
+++ b/internal/dev/ceiling_test.go
@@ -24,7 +24,7 @@
 	const ceiling = 3
 	var running, most atomic.Int64
 	options := DefaultOptions(logger)
-	options.Engine.Running = func(change int64) { storeMax(&most, running.Add(change)) }
+	options.Engine.OnRunningChange = func(change int64) { storeMax(&most, running.Add(change)) }
 	fleet, err := Start(t.Context(), options)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/dev/fleet.go
+++ b/internal/dev/fleet.go
@@ -40,7 +40,7 @@
 
 // Options configure a Fleet.
 type Options struct {
-	CallersAddress string // address for clients; port 0 selects a free one
+	ClientAddress string // address for clients; port 0 selects a free one
 	// Engine configures the fake workers.
 	Engine        engine.Settings
 	Routers       int
@@ -51,7 +51,7 @@
 
 // DefaultOptions returns the options of a minimal fleet with every role.
 func DefaultOptions(log *logrus.Logger) Options {
-	return Options{CallersAddress: loopback, Routers: 2, Stores: 3, WorkersPerRow: 2, Engine: engine.DefaultSettings(), Log: log}
+	return Options{ClientAddress: loopback, Routers: 2, Stores: 3, WorkersPerRow: 2, Engine: engine.DefaultSettings(), Log: log}
 }
 
 // Fleet is a running development fleet.
@@ -203,7 +203,7 @@
 	settings.Membership = config.Membership{Interval: heartbeatInterval, SuspectTimeout: suspectTimeout}
 	settings.KeyValueService.Endpoints = []string{f.keyValueURL}
 	settings.MachineList = config.MachineList{URL: f.listURL, Interval: heartbeatInterval}
-	settings.Sidecar.Address = f.options.CallersAddress
+	settings.Sidecar.Address = f.options.ClientAddress
 	settings.Store.DataFolder = fmt.Sprintf("%s/store-%d", f.folder, number)
 	settings.Store.Replicas = f.options.Stores
 	for _, peer := range f.daemons {
@@ -263,8 +263,8 @@
 // NodeAddress returns the internal address of a router, for operator tools.
 func (f *Fleet) NodeAddress() string { return f.daemons[0].Node.Address() }
 
-// CallersAddress returns the address for clients.
-func (f *Fleet) CallersAddress() string { return f.sidecar.Sidecar.Address() }
+// ClientAddress returns the address for clients.
+func (f *Fleet) ClientAddress() string { return f.sidecar.Sidecar.Address() }
 
 // URL returns the base URL for clients.
 func (f *Fleet) URL() string { return "http://" + f.sidecar.Sidecar.Address() + "/v1" }
--- a/internal/experiment/engineprocess.go
+++ b/internal/experiment/engineprocess.go
@@ -129,7 +129,7 @@
 			execution.onBreak()
 		}
 	}
-	p.busyEarlier += p.engine.Statistics().Busy
+	p.busyEarlier += p.engine.Statistics().BusyTime
 }
 
 func (p *engineProcess) restart() {
@@ -137,12 +137,12 @@
 	p.engine = model.New(p.fleet.engineSettings(p.worker.Service), p.fleet.random)
 }
 
-func (p *engineProcess) leave() { p.step(model.Leave{Leaving: true}) }
+func (p *engineProcess) leave() { p.step(model.SetDraining{Draining: true}) }
 
 // busy returns the time spent in steps over all incarnations.
 func (p *engineProcess) busy() time.Duration {
 	if p.dead {
 		return p.busyEarlier
 	}
-	return p.busyEarlier + p.engine.Statistics().Busy
+	return p.busyEarlier + p.engine.Statistics().BusyTime
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -141,7 +141,7 @@
 	healthy.Events = nil
 	healthy.Services[0].Slots = 64 // above the engine's concurrency limit
 	healthy.Services[0].Places[0].BatchAllowance = 100
-	healthy.Engine.MaximumSequences = 8
+	healthy.Engine.MaxSequences = 8
 	ignored := healthy
 	ignored.Engine.IgnorePriority = true
 	cases := map[string]struct {
--- a/internal/experiment/router.go
+++ b/internal/experiment/router.go
@@ -93,7 +93,7 @@
 		}
 		load := process.engine.Load(now)
 		r.step(admission.Load{
-			Worker: worker.ID, Running: load.Running, Waiting: load.Waiting, Leaving: load.Leaving, Asked: now,
+			Worker: worker.ID, Running: load.Running, Waiting: load.Waiting, Leaving: load.Draining, Asked: now,
 		})
 		r.readCacheEvents(process)
 	}
--- a/internal/frontend/serve_test.go
+++ b/internal/frontend/serve_test.go
@@ -35,7 +35,7 @@
 			pool := backend.NewPool(worker.DefaultSettings("z"), nil)
 			f := &Frontend{
 				node: &node.Node{Settings: config.Default()}, log: log, protocol: platform.Protocol{}, metrics: newMetrics(prometheus.NewRegistry()),
-				pool: pool, catalog: catalog.New(platform.Source(), nil, log, pool),
+				pool: pool, catalog: catalog.New(platform.CatalogSource(), nil, log, pool),
 			}
 			if tt.configuration != "" {
 				if err := f.catalog.Adopt([]byte(tt.configuration), "test"); err != nil {
--- a/internal/kv/etcd_test.go
+++ b/internal/kv/etcd_test.go
@@ -29,7 +29,7 @@
 
 func TestSwapIsNotRetriedAfterUnknownOutcome(t *testing.T) {
 	first, second := keyvalue.NewServer(), keyvalue.NewServer()
-	first.SetFaults(keyvalue.Faults{LoseAnswers: 1})
+	first.SetFaults(keyvalue.Faults{DropResponses: 1})
 	client := kv.NewEtcd([]string{start(t, first), start(t, second)}, testTimeout, testRate)
 	_, err := client.Swap(context.Background(), kv.Swap{Key: "/a", Value: []byte("x")})
 	if !errors.Is(err, kv.ErrOutcomeUnknown) {
--- a/internal/node/edit_test.go
+++ b/internal/node/edit_test.go
@@ -125,7 +125,7 @@
 func TestConcurrentEditsAreLinearizable(t *testing.T) {
 	service := keyvalue.NewServer()
 	service.Seed(7)
-	service.SetFaults(keyvalue.Faults{LoseAnswers: 0.15, LoseRequests: 0.1, LateEffects: 0.1, LateMilliseconds: 60})
+	service.SetFaults(keyvalue.Faults{DropResponses: 0.15, DropRequests: 0.1, DelayTxns: 0.1, TxnDelayMilliseconds: 60})
 	nodes := startRouters(t, service, 3)
 	key := api.RowKey{Service: "model", Place: "east"}
 	var mutex sync.Mutex
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -428,7 +428,7 @@
 	before := store.Calls("/-/kv-range")
 	for i := range compactions {
 		store.Put("gone", []byte("x"))
-		store.Forget()
+		store.Compact()
 		value := fmt.Sprint(i + 2)
 		store.Put("op/config", []byte(value))
 		for _, z := range zones {
@@ -460,7 +460,7 @@
 		before := fullReads()
 		for i := range compactions {
 			z.store.Put("gone", []byte("x"))
-			z.store.Forget()
+			z.store.Compact()
 			value := fmt.Sprint(i + 2)
 			z.store.Put("op/config", []byte(value))
 			z.awaitValue("op/config", value)
@@ -486,7 +486,7 @@
 		}
 		reads, watches := z.store.Calls("/-/kv-range"), z.store.Calls("/-/kv-watch")
 		z.store.Put("gone", []byte("x"))
-		z.store.Forget()
+		z.store.Compact()
 		z.store.Put("op/config", []byte("2"))
 		z.await("polls of followers", func() bool { return z.store.Calls("/-/kv-watch") >= watches+count/2 })
 		for _, n := range servers {
@@ -516,7 +516,7 @@
 		const changes = 4
 		for i := range changes {
 			z.store.Put("gone", []byte("x"))
-			z.store.Forget()
+			z.store.Compact()
 			value := fmt.Sprint(i + 2)
 			z.store.Put("op/config", []byte(value))
 			z.awaitValue("op/config", value)
--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/answer.go
@@ -34,7 +34,7 @@
 		w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
 		_, _ = w.Write(raw[:len(raw)/2])
 		panic(http.ErrAbortHandler)
-	case faults.LieAboutLength:
+	case faults.WrongContentLength:
 		w.Header().Set("Content-Length", strconv.Itoa(2*len(raw)))
 		_, _ = w.Write(raw)
 		panic(http.ErrAbortHandler)
--- a/internal/standin/engine/control.go
+++ b/internal/standin/engine/control.go
@@ -11,13 +11,13 @@
 
 // Faults are injected into an engine; a POST to PathControl replaces them. The zero value injects none.
 type Faults struct {
-	Die            bool    `json:"die,omitempty"`              // breaks all open and new connections
-	Hang           bool    `json:"hang,omitempty"`             // accepts requests without generating tokens
-	Slow           float64 `json:"slow,omitempty"`             // factor of the step time; 0 means 1
-	Leave          bool    `json:"leave,omitempty"`            // drains: rejects new requests, finishes running ones
-	TruncateAfter  int     `json:"truncate_after,omitempty"`   // breaks streams after this many tokens, other responses halfway
-	LieAboutLength bool    `json:"lie_about_length,omitempty"` // doubles the Content-Length of responses that are not streamed
-	DropReports    bool    `json:"drop_reports,omitempty"`     // makes load reports and cache events fail
+	Crash              bool    `json:"die,omitempty"`              // breaks all open and new connections
+	Hang               bool    `json:"hang,omitempty"`             // accepts requests without generating tokens
+	Slow               float64 `json:"slow,omitempty"`             // factor of the step time; 0 means 1
+	Drain              bool    `json:"leave,omitempty"`            // drains: rejects new requests, finishes running ones
+	TruncateAfter      int     `json:"truncate_after,omitempty"`   // breaks streams after this many tokens, other responses halfway
+	WrongContentLength bool    `json:"lie_about_length,omitempty"` // doubles the Content-Length of responses that are not streamed
+	DropReports        bool    `json:"drop_reports,omitempty"`     // makes load reports and cache events fail
 }
 
 // scale applies the Slow factor to a duration.
@@ -57,12 +57,12 @@
 	apps := int(e.applicationRequests.Load())
 	writeJSON(w, map[string]any{
 		"running": load.Running + min(apps, e.settings.Slots), "waiting": load.Waiting + max(apps-e.settings.Slots, 0),
-		"slots": e.settings.Slots, "leaving": load.Leaving, "free_share": load.FreeShare, "version": load.Version,
+		"slots": e.settings.Slots, "leaving": load.Draining, "free_share": load.FreeFraction, "version": load.Version,
 	})
 }
 
-// CacheEventsAnswer is the body at PathCacheEvents.
-type CacheEventsAnswer struct {
+// CacheEventsResponse is the body at PathCacheEvents.
+type CacheEventsResponse struct {
 	Events []model.CacheEvent `json:"events"`
 }
 
@@ -74,7 +74,7 @@
 	case err != nil:
 		writeEngineError(w, http.StatusBadRequest, err.Error())
 	default:
-		writeJSON(w, CacheEventsAnswer{Events: e.driver.cacheEvents(after)})
+		writeJSON(w, CacheEventsResponse{Events: e.driver.cacheEvents(after)})
 	}
 }
 
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -31,9 +31,9 @@
 	ApplicationTime time.Duration // duration of an application request
 	DefaultTokens   int
 	Model           model.Settings
-	// Running is called with 1 when a streamed request starts and with -1 before its last event
+	// OnRunningChange is called with 1 when a streamed request starts and with -1 before its last event
 	// is written; may be nil.
-	Running func(change int64)
+	OnRunningChange func(change int64)
 }
 
 // DefaultSettings returns the settings of a small, fast engine with steps of 1 ms.
@@ -59,7 +59,7 @@
 
 // New returns an engine. Settings.Slots overrides Settings.Model.MaximumSequences.
 func New(settings Settings) *Engine {
-	settings.Model.MaximumSequences = settings.Slots
+	settings.Model.MaxSequences = settings.Slots
 	engine := &Engine{settings: settings, mux: http.NewServeMux(), log: newRequestLog()}
 	engine.faults.Store(&Faults{})
 	engine.driver = newDriver(settings.Model, &engine.faults)
@@ -76,12 +76,12 @@
 	return engine
 }
 
-// Served returns the number of completed requests.
-func (e *Engine) Served() int64 { return e.served.Load() }
+// Completed returns the number of completed requests.
+func (e *Engine) Completed() int64 { return e.served.Load() }
 
 // ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if e.faults.Load().Die && r.URL.Path != PathControl {
+	if e.faults.Load().Crash && r.URL.Path != PathControl {
 		panic(http.ErrAbortHandler)
 	}
 	e.record(w, r)
@@ -188,17 +188,17 @@
 
 // trackRunning counts a request as running until the returned function is called.
 func (e *Engine) trackRunning() (ended func()) {
-	if e.settings.Running == nil {
+	if e.settings.OnRunningChange == nil {
 		return func() {}
 	}
-	e.settings.Running(1)
-	return sync.OnceFunc(func() { e.settings.Running(-1) })
+	e.settings.OnRunningChange(1)
+	return sync.OnceFunc(func() { e.settings.OnRunningChange(-1) })
 }
 
 func (e *Engine) serveApplication(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	if e.driver.leaving() {
-		e.reject(w, r.Header.Get(api.HeaderRequestID), model.ReasonLeaving)
+		e.reject(w, r.Header.Get(api.HeaderRequestID), model.ReasonDraining)
 		return
 	}
 	e.applicationRequests.Add(1)
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -135,11 +135,11 @@
 		faults Faults
 		stream bool
 	}{
-		"die":                 {Faults{Die: true}, false},
+		"die":                 {Faults{Crash: true}, false},
 		"truncated stream":    {Faults{TruncateAfter: 2}, true},
 		"truncated answer":    {Faults{TruncateAfter: 2}, false},
-		"lie about length":    {Faults{LieAboutLength: true}, false},
-		"dying with a stream": {Faults{Die: true}, true},
+		"lie about length":    {Faults{WrongContentLength: true}, false},
+		"dying with a stream": {Faults{Crash: true}, true},
 	}
 	for name, test := range cases {
 		_, url := testServer(t)
@@ -158,7 +158,7 @@
 
 func TestDrainingEngineRejectsAsNotRun(t *testing.T) {
 	engine, url := testServer(t)
-	setFaults(t, url, Faults{Leave: true})
+	setFaults(t, url, Faults{Drain: true})
 	response, err := send(t, url, "r", false, 3, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/standin/engine/model/model.go
+++ b/internal/standin/engine/model/model.go
@@ -40,8 +40,8 @@
 // StepDone signals the end of the current step.
 type StepDone struct{}
 
-// Leave starts or stops draining, in which the engine rejects new requests and finishes others.
-type Leave struct{ Leaving bool }
+// SetDraining starts or stops draining, in which the engine rejects new requests and finishes others.
+type SetDraining struct{ Draining bool }
 
 // Order loads a version. It is rejected unless its epoch is newer than the last one, so that a
 // delayed order cannot undo a newer one.
@@ -50,11 +50,11 @@
 	Version string
 }
 
-func (Submit) engineMessage()   {}
-func (Cancel) engineMessage()   {}
-func (StepDone) engineMessage() {}
-func (Leave) engineMessage()    {}
-func (Order) engineMessage()    {}
+func (Submit) engineMessage()      {}
+func (Cancel) engineMessage()      {}
+func (StepDone) engineMessage()    {}
+func (SetDraining) engineMessage() {}
+func (Order) engineMessage()       {}
 
 // Action is an output of Engine.Step.
 type Action interface{ engineAction() }
@@ -78,16 +78,16 @@
 	Reason string
 }
 
-// Answered is the response to an Order.
-type Answered struct {
+// OrderResponse is the response to an Order.
+type OrderResponse struct {
 	Accepted bool
 	Epoch    uint64 // newest accepted epoch
 }
 
-func (StartStep) engineAction() {}
-func (Emit) engineAction()      {}
-func (Reject) engineAction()    {}
-func (Answered) engineAction()  {}
+func (StartStep) engineAction()     {}
+func (Emit) engineAction()          {}
+func (Reject) engineAction()        {}
+func (OrderResponse) engineAction() {}
 
 // Engine is the state machine of an engine. It is not safe for concurrent use.
 type Engine struct {
@@ -110,7 +110,7 @@
 
 // Statistics are cumulative since the start.
 type Statistics struct {
-	Busy         time.Duration // time in steps
+	BusyTime     time.Duration // time in steps
 	Steps        int64
 	Prefilled    int64 // prompt tokens that were not in the cache
 	Generated    int64
@@ -139,8 +139,8 @@
 		e.cancel(now, message.Handle)
 	case StepDone:
 		actions = e.finishStep(now)
-	case Leave:
-		e.leaving = message.Leaving
+	case SetDraining:
+		e.leaving = message.Draining
 	case Order:
 		actions = e.order(now, message)
 	}
@@ -171,8 +171,8 @@
 func (e *Engine) rejectReason(request Request) string {
 	switch {
 	case e.leaving:
-		return ReasonLeaving
-	case len(e.waiting) >= e.settings.MaximumWaiting:
+		return ReasonDraining
+	case len(e.waiting) >= e.settings.MaxWaiting:
 		return ReasonQueueFull
 	case e.blocksFor(request.PromptTokens+request.OutputTokens) > e.settings.CacheBlocks:
 		return ReasonTooLong
@@ -182,7 +182,7 @@
 
 // Reasons of a Reject.
 const (
-	ReasonLeaving   = "leaving"
+	ReasonDraining  = "leaving"
 	ReasonQueueFull = "queue full"
 	ReasonTooLong   = "context too long"
 )
@@ -210,10 +210,10 @@
 
 func (e *Engine) order(_ time.Time, order Order) []Action {
 	if order.Epoch <= e.epoch {
-		return []Action{Answered{Epoch: e.epoch}}
+		return []Action{OrderResponse{Epoch: e.epoch}}
 	}
 	e.epoch, e.version = order.Epoch, order.Version
-	return []Action{Answered{Accepted: true, Epoch: e.epoch}}
+	return []Action{OrderResponse{Accepted: true, Epoch: e.epoch}}
 }
 
 // Statistics returns a snapshot of the statistics.
--- a/internal/standin/engine/model/model_test.go
+++ b/internal/standin/engine/model/model_test.go
@@ -29,7 +29,7 @@
 
 func smallSettings() Settings {
 	settings := DefaultSettings()
-	settings.MaximumSequences, settings.CacheBlocks, settings.StepTokens = 4, 40, 64
+	settings.MaxSequences, settings.CacheBlocks, settings.StepTokens = 4, 40, 64
 	return settings
 }
 
@@ -75,7 +75,7 @@
 
 func (d *driver) check() {
 	e := d.engine
-	if len(e.running) > e.settings.MaximumSequences {
+	if len(e.running) > e.settings.MaxSequences {
 		d.problem("%d sequences run", len(e.running))
 	}
 	if e.cache.used+e.cache.private > e.cache.capacity {
@@ -237,7 +237,7 @@
 func TestStaleOrderIsRejected(t *testing.T) {
 	d := newDriver(DefaultSettings())
 	send := func(epoch uint64, version string) bool {
-		return d.engine.Step(d.now, Order{Epoch: epoch, Version: version})[0].(Answered).Accepted
+		return d.engine.Step(d.now, Order{Epoch: epoch, Version: version})[0].(OrderResponse).Accepted
 	}
 	if !send(2, "b") || send(2, "c") || send(1, "a") {
 		t.Fatal("orders were not fenced by their epoch")
@@ -250,7 +250,7 @@
 func TestDrainingEngineFinishesAndRejects(t *testing.T) {
 	d := newDriver(DefaultSettings())
 	d.submit(0, 32, 5, 1)
-	d.step(Leave{Leaving: true})
+	d.step(SetDraining{Draining: true})
 	d.submit(0, 32, 5, 1)
 	d.drain()
 	statistics := d.engine.Statistics()
--- a/internal/standin/engine/model/report.go
+++ b/internal/standin/engine/model/report.go
@@ -4,19 +4,19 @@
 
 // Load is a load report.
 type Load struct {
-	At        time.Time `json:"at"` // time of the report
-	Running   int       `json:"running"`
-	Waiting   int       `json:"waiting"`
-	FreeShare float64   `json:"free_share"` // free fraction of the cache's blocks, 0 to 1
-	Leaving   bool      `json:"leaving"`
-	Version   string    `json:"version,omitempty"`
+	At           time.Time `json:"at"` // time of the report
+	Running      int       `json:"running"`
+	Waiting      int       `json:"waiting"`
+	FreeFraction float64   `json:"free_share"` // free fraction of the cache's blocks, 0 to 1
+	Draining     bool      `json:"leaving"`
+	Version      string    `json:"version,omitempty"`
 }
 
 func (e *Engine) load() Load {
 	free := e.settings.CacheBlocks - e.cache.used - e.cache.private
 	return Load{
-		Running: len(e.running), Waiting: len(e.waiting), Leaving: e.leaving, Version: e.version,
-		FreeShare: float64(free) / float64(e.settings.CacheBlocks),
+		Running: len(e.running), Waiting: len(e.waiting), Draining: e.leaving, Version: e.version,
+		FreeFraction: float64(free) / float64(e.settings.CacheBlocks),
 	}
 }
 
@@ -32,7 +32,7 @@
 	if last >= 0 && now.Sub(r.loads[last].At) < lag/reportsPerLag {
 		r.loads[last] = Load{
 			At: r.loads[last].At, Running: load.Running, Waiting: load.Waiting,
-			FreeShare: load.FreeShare, Leaving: load.Leaving, Version: load.Version,
+			FreeFraction: load.FreeFraction, Draining: load.Draining, Version: load.Version,
 		}
 		return
 	}
--- a/internal/standin/engine/model/schedule.go
+++ b/internal/standin/engine/model/schedule.go
@@ -104,7 +104,7 @@
 
 // makeRoom preempts sequences of lower priority until next fits. It returns false if it does not.
 func (e *Engine) makeRoom(next *sequence) bool {
-	for len(e.running) >= e.settings.MaximumSequences || !e.cache.canAllocate(e.requiredBlocks(next)) {
+	for len(e.running) >= e.settings.MaxSequences || !e.cache.canAllocate(e.requiredBlocks(next)) {
 		if len(e.running) == 0 {
 			return false
 		}
@@ -183,7 +183,7 @@
 	}
 	e.stepping = false
 	e.statistics.Steps++
-	e.statistics.Busy += now.Sub(e.stepStart)
+	e.statistics.BusyTime += now.Sub(e.stepStart)
 	e.tokens = e.tokens[:0]
 	for _, sequence := range slices.Clone(e.running) {
 		if sequence.active {
--- a/internal/standin/engine/model/settings.go
+++ b/internal/standin/engine/model/settings.go
@@ -4,11 +4,11 @@
 
 // Settings of an Engine.
 type Settings struct {
-	MaximumSequences int `koanf:"maximum_sequences" validate:"min=1,max=4096"` // running concurrently
-	MaximumWaiting   int `koanf:"maximum_waiting" validate:"min=1"`
-	StepTokens       int `koanf:"step_tokens" validate:"min=16"` // tokens per step: one per decoding sequence, the rest for prefill
-	BlockTokens      int `koanf:"block_tokens" validate:"min=1"`
-	CacheBlocks      int `koanf:"cache_blocks" validate:"min=16"` // shared by running sequences and cached prefixes
+	MaxSequences int `koanf:"maximum_sequences" validate:"min=1,max=4096"` // running concurrently
+	MaxWaiting   int `koanf:"maximum_waiting" validate:"min=1"`
+	StepTokens   int `koanf:"step_tokens" validate:"min=16"` // tokens per step: one per decoding sequence, the rest for prefill
+	BlockTokens  int `koanf:"block_tokens" validate:"min=1"`
+	CacheBlocks  int `koanf:"cache_blocks" validate:"min=16"` // shared by running sequences and cached prefixes
 
 	StepBase     time.Duration `koanf:"step_base" validate:"min=1us"` // fixed cost, for reading the weights
 	StepSequence time.Duration `koanf:"step_sequence"`                // per decoding sequence
@@ -28,7 +28,7 @@
 // 20,000 prompt tokens per second.
 func DefaultSettings() Settings {
 	return Settings{
-		MaximumSequences: 48, MaximumWaiting: 4096, StepTokens: 512,
+		MaxSequences: 48, MaxWaiting: 4096, StepTokens: 512,
 		BlockTokens: 16, CacheBlocks: 8192,
 		StepBase: 10 * time.Millisecond, StepSequence: 60 * time.Microsecond,
 		StepContext: 40 * time.Microsecond, StepPrefill: 50 * time.Millisecond,
--- a/internal/standin/engine/shell.go
+++ b/internal/standin/engine/shell.go
@@ -117,8 +117,8 @@
 func (s *driver) applyFaults(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.step(model.Leave{Leaving: faults.Leave})
-	if faults.Die {
+	s.step(model.SetDraining{Draining: faults.Drain})
+	if faults.Crash {
 		for handle, lost := range s.runs {
 			delete(s.runs, handle)
 			lost.dead = true
@@ -170,7 +170,7 @@
 	return s.engine.Load(time.Now())
 }
 
-func (s *driver) leaving() bool { return s.faults.Load().Leave }
+func (s *driver) leaving() bool { return s.faults.Load().Drain }
 
 func (s *driver) cacheEvents(after uint64) []model.CacheEvent {
 	s.mutex.Lock()
@@ -178,13 +178,13 @@
 	return s.engine.CacheEvents(time.Now(), after)
 }
 
-func (s *driver) order(order model.Order) model.Answered {
+func (s *driver) order(order model.Order) model.OrderResponse {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, action := range s.step(order) {
-		if answer, ok := action.(model.Answered); ok {
+		if answer, ok := action.(model.OrderResponse); ok {
 			return answer
 		}
 	}
-	return model.Answered{}
+	return model.OrderResponse{}
 }
--- a/internal/standin/keyvalue/faults.go
+++ b/internal/standin/keyvalue/faults.go
@@ -25,16 +25,16 @@
 	Hang bool `json:"hang"`
 	// DelayMilliseconds delays each call before it takes effect.
 	DelayMilliseconds int `json:"delay_ms"`
-	// LoseAnswers is the probability (0 to 1) that a txn takes effect and its connection
+	// DropResponses is the probability (0 to 1) that a txn takes effect and its connection
 	// breaks before the response.
-	LoseAnswers float64 `json:"lose_answers"`
-	// LoseRequests is the probability (0 to 1) that a txn's connection breaks and it has no
+	DropResponses float64 `json:"lose_answers"`
+	// DropRequests is the probability (0 to 1) that a txn's connection breaks and it has no
 	// effect.
-	LoseRequests float64 `json:"lose_requests"`
-	// LateEffects is the probability (0 to 1) that a txn's connection breaks immediately and
-	// it takes effect LateMilliseconds later.
-	LateEffects      float64 `json:"late_effects"`
-	LateMilliseconds int     `json:"late_ms"`
+	DropRequests float64 `json:"lose_requests"`
+	// DelayTxns is the probability (0 to 1) that a txn's connection breaks immediately and
+	// it takes effect TxnDelayMilliseconds later.
+	DelayTxns            float64 `json:"late_effects"`
+	TxnDelayMilliseconds int     `json:"late_ms"`
 	// RequestsPerSecond limits the rate of calls; others fail with 429. 0 means no limit.
 	RequestsPerSecond float64 `json:"requests_per_second"`
 	// StuckWatches keeps watches open without delivering anything.
@@ -46,12 +46,12 @@
 	for _, chance := range []struct {
 		name  string
 		value float64
-	}{{"lose_answers", f.LoseAnswers}, {"lose_requests", f.LoseRequests}, {"late_effects", f.LateEffects}} {
+	}{{"lose_answers", f.DropResponses}, {"lose_requests", f.DropRequests}, {"late_effects", f.DelayTxns}} {
 		if chance.value < 0 || chance.value > 1 {
 			return fmt.Errorf("%s is %v, not within 0 to 1", chance.name, chance.value)
 		}
 	}
-	if f.DelayMilliseconds < 0 || f.LateMilliseconds < 0 || f.RequestsPerSecond < 0 {
+	if f.DelayMilliseconds < 0 || f.TxnDelayMilliseconds < 0 || f.RequestsPerSecond < 0 {
 		return fmt.Errorf("a delay or limit is negative")
 	}
 	return nil
@@ -182,9 +182,9 @@
 		fault  txnFault
 		chance float64
 	}{
-		{txnResponseLost, s.faults.LoseAnswers},
-		{txnRequestLost, s.faults.LoseRequests},
-		{txnDelayed, s.faults.LateEffects},
+		{txnResponseLost, s.faults.DropResponses},
+		{txnRequestLost, s.faults.DropRequests},
+		{txnDelayed, s.faults.DelayTxns},
 	} {
 		if draw < candidate.chance {
 			return candidate.fault
--- a/internal/standin/keyvalue/keyvalue.go
+++ b/internal/standin/keyvalue/keyvalue.go
@@ -124,7 +124,7 @@
 	case txnRequestLost:
 		panic(http.ErrAbortHandler)
 	case txnDelayed:
-		time.AfterFunc(time.Duration(s.Faults().LateMilliseconds)*time.Millisecond, func() { s.applyTxn(txn) })
+		time.AfterFunc(time.Duration(s.Faults().TxnDelayMilliseconds)*time.Millisecond, func() { s.applyTxn(txn) })
 		panic(http.ErrAbortHandler)
 	}
 	answer := s.applyTxn(txn)
--- a/internal/standin/machinelist/faults.go
+++ b/internal/standin/machinelist/faults.go
@@ -20,7 +20,7 @@
 	Hang      bool `json:"hang"`      // do not respond
 	Malformed bool `json:"malformed"` // respond with truncated JSON
 	Empty     bool `json:"empty"`     // respond with an empty list
-	Frozen    bool `json:"frozen"`    // show no further changes
+	Stale     bool `json:"frozen"`    // show no further changes
 }
 
 // SetFaults replaces the injected faults.
--- a/internal/standin/machinelist/machinelist.go
+++ b/internal/standin/machinelist/machinelist.go
@@ -69,7 +69,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := time.Now()
-	for !s.faults.Frozen && len(s.versions) > 1 && !s.versions[1].at.After(now) {
+	for !s.faults.Stale && len(s.versions) > 1 && !s.versions[1].at.After(now) {
 		s.versions = s.versions[1:]
 	}
 	return s.versions[0].workers
--- a/internal/standin/platform/settings.go
+++ b/internal/standin/platform/settings.go
@@ -17,11 +17,11 @@
 
 // Daemon describes a process for which a settings file was written.
 type Daemon struct {
-	Role           api.Role
-	ID             api.NodeID
-	File           string
-	Address        string // internal protocol, health and metrics
-	CallersAddress string // sidecars only
+	Role          api.Role
+	ID            api.NodeID
+	File          string
+	Address       string // internal protocol, health and metrics
+	ClientAddress string // sidecars only
 }
 
 // settingsFile holds the settings of package config that the platform sets.
@@ -87,7 +87,7 @@
 		return daemon, err
 	}
 	if role == api.RoleSidecar {
-		daemon.CallersAddress, err = p.freeAddress()
+		daemon.ClientAddress, err = p.freeAddress()
 	}
 	return daemon, err
 }
@@ -106,7 +106,7 @@
 	}
 	switch daemon.Role {
 	case api.RoleSidecar:
-		file.Sidecar = map[string]string{"address": daemon.CallersAddress}
+		file.Sidecar = map[string]string{"address": daemon.ClientAddress}
 	case api.RoleStore:
 		folder := filepath.Join(p.options.Folder, string(daemon.ID)+"-data")
 		file.Store = &storeSettings{DataFolder: folder, Replicas: min(p.options.Stores, 3)}
