--- a/cmd/dykewing/process_test.go
+++ b/cmd/dykewing/process_test.go
@@ -161,13 +161,13 @@
 	options.Rate, options.Duration, options.Timeout = 20, time.Second, waitTimeout
 	awaitCorrectAnswers(t, options)
 	report, err := load.Run(context.Background(), options)
-	if err != nil || report.Right != report.Sent || report.Sent == 0 {
-		t.Errorf("online: right %d of %d, wrong %d, failures %v %v, %v", report.Right, report.Sent, report.Wrong, report.Failures, report.Examples, err)
+	if err != nil || report.Correct != report.Sent || report.Sent == 0 {
+		t.Errorf("online: right %d of %d, wrong %d, failures %v %v, %v", report.Correct, report.Sent, report.Wrong, report.Failures, report.Examples, err)
 	}
 	options.Class, options.Rate = api.ClassBatch, 2
 	report, err = load.Run(context.Background(), options)
-	if err != nil || report.Right != report.Sent || report.Sent == 0 {
-		t.Errorf("batch: right %d of %d, wrong %d, failures %v %v, %v", report.Right, report.Sent, report.Wrong, report.Failures, report.Examples, err)
+	if err != nil || report.Correct != report.Sent || report.Sent == 0 {
+		t.Errorf("batch: right %d of %d, wrong %d, failures %v %v, %v", report.Correct, report.Sent, report.Wrong, report.Failures, report.Examples, err)
 	}
 	for i := len(processes) - 1; i >= 0; i-- {
 		if err := processes[i].command.Process.Signal(syscall.SIGTERM); err != nil {
@@ -188,7 +188,7 @@
 		options.Class = class
 		await(t, "the first right "+string(class)+" answer", func() bool {
 			report, err := load.Run(context.Background(), options)
-			return err == nil && report.Right > 0
+			return err == nil && report.Correct > 0
 		})
 	}
 }
--- a/cmd/dykewingsim/load.go
+++ b/cmd/dykewingsim/load.go
@@ -27,7 +27,7 @@
 	command.Flag("prompt-bytes", "Bytes per prompt.").Default(fmt.Sprint(options.PromptBytes)).IntVar(&options.PromptBytes)
 	command.Flag("items", "Items per batch job.").Default(fmt.Sprint(options.Items)).IntVar(&options.Items)
 	command.Flag("timeout", "Timeout of one request or job.").Default(options.Timeout.String()).DurationVar(&options.Timeout)
-	command.Flag("maximum-open", "Maximum number of requests in flight; further arrivals are dropped and counted.").Default(fmt.Sprint(options.MaximumOpen)).IntVar(&options.MaximumOpen)
+	command.Flag("maximum-open", "Maximum number of requests in flight; further arrivals are dropped and counted.").Default(fmt.Sprint(options.MaxInFlight)).IntVar(&options.MaxInFlight)
 	command.Flag("seed", "Random seed of arrivals and prompts.").Default("1").Uint64Var(&options.Seed)
 	output := command.Flag("output", "table or json.").Default(outputTable).Enum(outputTable, outputJSON)
 	command.Action(action(func() error {
@@ -58,7 +58,7 @@
 	if report.Wrong > 0 {
 		return fmt.Errorf("%d answers were wrong", report.Wrong)
 	}
-	if report.Right == 0 {
+	if report.Correct == 0 {
 		return fmt.Errorf("no request was answered")
 	}
 	return nil
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -69,7 +69,7 @@
 }
 
 func TestReportFolderHasAllFiles(t *testing.T) {
-	report := Run(parseShort(t), 1, admission.Settings{}, []Strategy{StrategyNoBatch, StrategyOurs})
+	report := Run(parseShort(t), 1, admission.Settings{}, []Strategy{StrategyNoBatch, StrategyDykewing})
 	folder := t.TempDir()
 	if err := report.WriteFolder(folder); err != nil {
 		t.Fatal(err)
@@ -129,7 +129,7 @@
 	healthy.Events = nil
 	for seed := range uint64(8) {
 		for name, scenario := range map[string]Scenario{"with faults": parseShort(t), "quiet": healthy} {
-			if violations := runAndDrain(scenario, StrategyOurs, seed, admission.BatchPolicy{}); len(violations) > 0 {
+			if violations := runAndDrain(scenario, StrategyDykewing, seed, admission.BatchPolicy{}); len(violations) > 0 {
 				t.Fatalf("%s, seed %d: %v", name, seed, violations)
 			}
 		}
@@ -159,7 +159,7 @@
 	for name, test := range cases {
 		filling := admission.DefaultBatchPolicy()
 		filling.Fault = test.fault
-		violations := runAndDrain(test.scenario, StrategyOurs, 1, filling)
+		violations := runAndDrain(test.scenario, StrategyDykewing, 1, filling)
 		if !strings.Contains(strings.Join(violations, "\n"), test.want) || len(violations) == 0 {
 			t.Errorf("%s: fault not detected, violations %v", name, violations)
 		}
--- a/internal/experiment/invariants.go
+++ b/internal/experiment/invariants.go
@@ -25,7 +25,7 @@
 	refusal, refused := answer.(admission.Refuse)
 	dispatch, sent := answer.(admission.Dispatch)
 	switch {
-	case sent && f.strategy == StrategyOurs && (dispatch.Priority > 0) != (request.Class == api.ClassOnline):
+	case sent && f.strategy == StrategyDykewing && (dispatch.Priority > 0) != (request.Class == api.ClassOnline):
 		f.recordViolation("%s request %s has priority %d at the engine", request.Class, request.ID, dispatch.Priority)
 	case answer == nil:
 		f.recordViolation("request %s was left waiting at its home", request.ID)
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -58,12 +58,12 @@
 type BatchResult struct {
 	Items          int     `json:"items"`
 	ItemsPerSecond float64 `json:"items_per_second"`
-	// IdleItems is the upper bound, in items per second, of a clairvoyant
+	// IdleItemsPerSecond is the upper bound, in items per second, of a clairvoyant
 	// scheduler that serves the same online trace: the workers' time minus the
 	// engine time of the online requests in a full batch, multiplied by the
 	// throughput of a worker that runs only batch.
-	IdleItems float64 `json:"idle_items_per_second"`
-	IdleShare float64 `json:"idle_share"` // ItemsPerSecond as a share of that bound
+	IdleItemsPerSecond float64 `json:"idle_items_per_second"`
+	IdleShare          float64 `json:"idle_share"` // ItemsPerSecond as a share of that bound
 	// UnusedShare is ItemsPerSecond divided by the throughput of the time in
 	// which the engines ran no step under StrategyNoBatch. It can exceed 1.
 	UnusedShare float64 `json:"unused_share"`
@@ -94,7 +94,7 @@
 
 func batchResult(run *fleet, service Service, capacity capacity) BatchResult {
 	name := run.strategy.batchService(service.Name)
-	result := BatchResult{Items: run.measure.items[name], IdleItems: capacity.idleItems, Preempted: run.measure.preemptions, Suspended: run.measure.suspensions}
+	result := BatchResult{Items: run.measure.items[name], IdleItemsPerSecond: capacity.idleItems, Preempted: run.measure.preemptions, Suspended: run.measure.suspensions}
 	result.ItemsPerSecond = float64(result.Items) / run.measure.window().Seconds()
 	result.IdleShare = ratio(result.ItemsPerSecond, capacity.idleItems)
 	result.UnusedShare = ratio(result.ItemsPerSecond, capacity.unusedItems)
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -101,9 +101,9 @@
 // Length is a log-normal distribution of token counts. An upper bound of 0 means
 // none.
 type Length struct {
-	Median  int     `koanf:"median" validate:"min=0"`
-	Sigma   float64 `koanf:"sigma" validate:"min=0,max=3"`
-	Maximum int     `koanf:"maximum" validate:"min=0"`
+	Median int     `koanf:"median" validate:"min=0"`
+	Sigma  float64 `koanf:"sigma" validate:"min=0,max=3"`
+	Max    int     `koanf:"maximum" validate:"min=0"`
 }
 
 // The kinds of an Event.
--- a/internal/experiment/strategy.go
+++ b/internal/experiment/strategy.go
@@ -18,13 +18,13 @@
 	StrategyNoPriority Strategy = "no priority"
 	// StrategySplit dedicates some workers of each place to batch.
 	StrategySplit Strategy = "fixed split"
-	// StrategyOurs is the policy of the routers in production.
-	StrategyOurs Strategy = "dykewing"
+	// StrategyDykewing is the policy of the routers in production.
+	StrategyDykewing Strategy = "dykewing"
 )
 
 // Strategies returns all strategies in report order.
 func Strategies() []Strategy {
-	return []Strategy{StrategyNoBatch, StrategyNoPriority, StrategySplit, StrategyOurs}
+	return []Strategy{StrategyNoBatch, StrategyNoPriority, StrategySplit, StrategyDykewing}
 }
 
 const splitSuffix = "-split"
--- a/internal/experiment/trace.go
+++ b/internal/experiment/trace.go
@@ -127,8 +127,8 @@
 
 func (l Length) sample(random *rand.Rand) int {
 	tokens := int(float64(l.Median) * math.Exp(l.Sigma*random.NormFloat64()))
-	if l.Maximum > 0 {
-		tokens = min(tokens, l.Maximum)
+	if l.Max > 0 {
+		tokens = min(tokens, l.Max)
 	}
 	return tokens
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -30,7 +30,7 @@
 	PromptBytes int
 	Items       int // per batch job
 	Timeout     time.Duration
-	MaximumOpen int // limit of requests in flight; arrivals above it are dropped and counted
+	MaxInFlight int // limit of requests in flight; arrivals above it are dropped and counted
 	Seed        uint64
 	Progress    func(done, wrong int) // called after each request, one call at a time; must not be nil
 }
@@ -39,7 +39,7 @@
 func DefaultOptions() Options {
 	return Options{
 		Class: api.ClassOnline, Model: "demo-model", Tenant: "load", Rate: 20, Duration: 10 * time.Second,
-		Tokens: 32, PromptBytes: 200, Items: 20, Timeout: time.Minute, MaximumOpen: 5_000, Seed: 1,
+		Tokens: 32, PromptBytes: 200, Items: 20, Timeout: time.Minute, MaxInFlight: 5_000, Seed: 1,
 		Progress: func(int, int) {},
 	}
 }
@@ -47,7 +47,7 @@
 // Report is the result of a run. Latencies are in microseconds.
 type Report struct {
 	Sent     int            `json:"sent"`
-	Right    int            `json:"right"`
+	Correct  int            `json:"right"`
 	Wrong    int            `json:"wrong"`    // complete answers with unexpected content
 	Dropped  int            `json:"dropped"`  // not sent because the limit of requests in flight was reached
 	Failures map[string]int `json:"failures"` // by error code and outcome, or "transport"
@@ -55,7 +55,7 @@
 
 	FirstToken    Latency `json:"first_token"`
 	BetweenTokens Latency `json:"between_tokens"`
-	Whole         Latency `json:"whole"`
+	Total         Latency `json:"whole"`
 
 	mutex                             sync.Mutex
 	firstToken, betweenTokens, totals *hdrhistogram.Histogram
@@ -68,7 +68,7 @@
 	P95   int64 `json:"p95"`
 	P99   int64 `json:"p99"`
 	P999  int64 `json:"p999"`
-	Most  int64 `json:"most"`
+	Max   int64 `json:"most"`
 }
 
 const (
@@ -93,9 +93,9 @@
 	}
 	report := newReport()
 	random := rand.New(rand.NewPCG(options.Seed, options.Seed))
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: options.MaximumOpen, DisableCompression: true}}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: options.MaxInFlight, DisableCompression: true}}
 	defer client.CloseIdleConnections()
-	open := make(chan struct{}, options.MaximumOpen)
+	open := make(chan struct{}, options.MaxInFlight)
 	var running sync.WaitGroup
 	begin := time.Now()
 	for number, due := 0, time.Duration(0); ; number++ {
@@ -169,7 +169,7 @@
 	r.Sent++
 	switch {
 	case err == nil:
-		r.Right++
+		r.Correct++
 	case errors.Is(err, errWrongAnswer):
 		r.Wrong++
 	default:
@@ -192,12 +192,12 @@
 func (r *Report) finish() {
 	r.FirstToken = latencyOf(r.firstToken)
 	r.BetweenTokens = latencyOf(r.betweenTokens)
-	r.Whole = latencyOf(r.totals)
+	r.Total = latencyOf(r.totals)
 }
 
 func latencyOf(histogram *hdrhistogram.Histogram) Latency {
 	return Latency{
 		Count: histogram.TotalCount(), P50: histogram.ValueAtQuantile(50), P95: histogram.ValueAtQuantile(95),
-		P99: histogram.ValueAtQuantile(99), P999: histogram.ValueAtQuantile(99.9), Most: histogram.Max(),
+		P99: histogram.ValueAtQuantile(99), P999: histogram.ValueAtQuantile(99.9), Max: histogram.Max(),
 	}
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -31,7 +31,7 @@
 
 func TestCorrectAnswersAreCounted(t *testing.T) {
 	report := runAgainst(t, engine.New(engine.DefaultSettings()))
-	if report.Right != report.Sent || report.FirstToken.Count != int64(report.Sent) || report.BetweenTokens.Count != 3*int64(report.Sent) {
+	if report.Correct != report.Sent || report.FirstToken.Count != int64(report.Sent) || report.BetweenTokens.Count != 3*int64(report.Sent) {
 		t.Fatalf("report %+v", report)
 	}
 }
@@ -59,8 +59,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			report := runAgainst(t, alteredEngine(c.change))
-			if report.Right != 0 || (report.Wrong == report.Sent) != c.wrong {
-				t.Fatalf("right %d, wrong %d of %d: %v", report.Right, report.Wrong, report.Sent, report.Failures)
+			if report.Correct != 0 || (report.Wrong == report.Sent) != c.wrong {
+				t.Fatalf("right %d, wrong %d of %d: %v", report.Correct, report.Wrong, report.Sent, report.Failures)
 			}
 		})
 	}
@@ -83,13 +83,13 @@
 	defer server.Close()
 	options := DefaultOptions()
 	options.URL, options.Rate, options.Duration = server.URL, 500, 200*time.Millisecond
-	options.MaximumOpen = 10
+	options.MaxInFlight = 10
 	time.AfterFunc(time.Second, func() { close(release) })
 	report, err := Run(context.Background(), options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if report.Sent != options.MaximumOpen || report.Dropped == 0 {
+	if report.Sent != options.MaxInFlight || report.Dropped == 0 {
 		t.Fatalf("sent %d, dropped %d", report.Sent, report.Dropped)
 	}
 }
--- a/internal/prove/workload_test.go
+++ b/internal/prove/workload_test.go
@@ -84,7 +84,7 @@
 		cancel()
 		w.mutex.Lock()
 		w.streams++
-		var wrong *verify.WrongAnswer
+		var wrong *verify.WrongAnswerError
 		switch {
 		case errors.As(err, &wrong):
 			w.wrong = append(w.wrong, err)
--- a/internal/slopes/datapath_test.go
+++ b/internal/slopes/datapath_test.go
@@ -117,7 +117,7 @@
 		}
 	}
 	b.ReportMetric(float64((processorTime(b)-before).Nanoseconds())/float64(b.N), "cpu-ns/exchange")
-	wire, err := MeasureWire(context.Background())
+	wire, err := MeasureWireOverhead(context.Background())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -126,7 +126,7 @@
 }
 
 func TestMeasuredHeaderSizesArePlausible(t *testing.T) {
-	wire, err := MeasureWire(context.Background())
+	wire, err := MeasureWireOverhead(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/slopes/wire_test.go
+++ b/internal/slopes/wire_test.go
@@ -13,19 +13,19 @@
 	"github.com/dykewing/dykewing/internal/transport"
 )
 
-// Wire holds the HTTP overhead of one exchange over a persistent connection, in
+// WireOverhead holds the HTTP overhead of one exchange over a persistent connection, in
 // addition to its JSON bodies. It excludes TCP and IP headers.
-type Wire struct {
+type WireOverhead struct {
 	RequestHeader  int `json:"request_header_bytes"`
 	ResponseHeader int `json:"response_header_bytes"`
 }
 
 // Header returns the overhead of both directions.
-func (w Wire) Header() int { return w.RequestHeader + w.ResponseHeader }
+func (w WireOverhead) Header() int { return w.RequestHeader + w.ResponseHeader }
 
-// PacketBytes is the size of the TCP and IPv4 headers, with timestamps, of an
+// PacketHeaderBytes is the size of the TCP and IPv4 headers, with timestamps, of an
 // exchange of one segment each way: two segments and two acknowledgements.
-const PacketBytes = 4 * 52
+const PacketHeaderBytes = 4 * 52
 
 // countingConnection counts the bytes sent and received.
 type countingConnection struct {
@@ -47,9 +47,9 @@
 
 const sampleBody = 300
 
-// MeasureWire measures the average overhead of transport.Call over one loopback
+// MeasureWireOverhead measures the average overhead of transport.Call over one loopback
 // connection.
-func MeasureWire(ctx context.Context) (Wire, error) {
+func MeasureWireOverhead(ctx context.Context) (WireOverhead, error) {
 	body := strings.Repeat("x", sampleBody)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var request string
@@ -73,14 +73,14 @@
 		var answer string
 		err := transport.Call(ctx, client, "measure exchange", server.Listener.Addr().String(), "/internal/v1/gossip", body, &answer)
 		if err != nil {
-			return Wire{}, fmt.Errorf("measure wire: %w", err)
+			return WireOverhead{}, fmt.Errorf("measure wire: %w", err)
 		}
 	}
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		return Wire{}, fmt.Errorf("measure wire: %w", err)
+		return WireOverhead{}, fmt.Errorf("measure wire: %w", err)
 	}
-	return Wire{
+	return WireOverhead{
 		RequestHeader:  int(sent.Load())/exchanges - len(encoded),
 		ResponseHeader: int(received.Load())/exchanges - len(encoded),
 	}, nil
--- a/internal/verify/verify.go
+++ b/internal/verify/verify.go
@@ -35,10 +35,12 @@
 	return checkText(messages, text.String(), tokens)
 }
 
-// WrongAnswer is the error for a complete answer with incorrect text.
-type WrongAnswer struct{ Got, Want string }
+// WrongAnswerError is the error for a complete answer with incorrect text.
+type WrongAnswerError struct{ Got, Want string }
 
-func (w *WrongAnswer) Error() string { return fmt.Sprintf("got answer %q, want %q", w.Got, w.Want) }
+func (w *WrongAnswerError) Error() string {
+	return fmt.Sprintf("got answer %q, want %q", w.Got, w.Want)
+}
 
 func checkText(messages any, text string, tokens int) error {
 	raw, err := json.Marshal(messages)
@@ -46,7 +48,7 @@
 		return fmt.Errorf("check answer: %w", err)
 	}
 	if want := strings.Join(engine.Tokens(raw, tokens), ""); text != want {
-		return &WrongAnswer{Got: text, Want: want}
+		return &WrongAnswerError{Got: text, Want: want}
 	}
 	return nil
 }
@@ -109,7 +111,7 @@
 		text = choices[0].Message.Content
 	}
 	if text != want[line.CustomID] {
-		return fmt.Errorf("item %s: %w", line.CustomID, &WrongAnswer{Got: text, Want: want[line.CustomID]})
+		return fmt.Errorf("item %s: %w", line.CustomID, &WrongAnswerError{Got: text, Want: want[line.CustomID]})
 	}
 	return nil
 }
