--- a/internal/batchrun/dispatch.go
+++ b/internal/batchrun/dispatch.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/dykewing/dykewing/fill"
-	"github.com/dykewing/dykewing/internal/pause"
+	"github.com/dykewing/dykewing/internal/sleep"
 	"github.com/dykewing/dykewing/placement"
 	"github.com/dykewing/dykewing/quarantine"
 	"github.com/dykewing/dykewing/worker"
@@ -85,7 +85,7 @@
 		}
 		timer.Stop()
 		if l.dispatch() == startBurst {
-			pause.For(l.ctx, startBurstPause)
+			sleep.For(l.ctx, startBurstPause)
 			l.wakeUp()
 		}
 	}
--- a/internal/batchrun/paced.go
+++ b/internal/batchrun/paced.go
@@ -5,7 +5,7 @@
 	"io"
 	"time"
 
-	"github.com/dykewing/dykewing/internal/pause"
+	"github.com/dykewing/dykewing/internal/sleep"
 )
 
 // readInterval is the time between two reads of an item's stream. Batch output is not
@@ -25,7 +25,7 @@
 // Read waits until the interval since the last read has passed, then reads once from source.
 func (p *pacedReader) Read(into []byte) (int, error) {
 	if wait := time.Until(p.next); wait > 0 {
-		pause.For(p.ctx, wait)
+		sleep.For(p.ctx, wait)
 	}
 	count, err := p.source.Read(into)
 	p.next = time.Now().Add(p.interval)
--- a/internal/batchrun/places_test.go
+++ b/internal/batchrun/places_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/dykewing/dykewing/fill"
-	"github.com/dykewing/dykewing/hold"
 	"github.com/dykewing/dykewing/reservation"
+	"github.com/dykewing/dykewing/waitorder"
 )
 
 // askFor returns a request for a slot of the test service that prefers a worker.
@@ -96,7 +96,7 @@
 	full := heldReport(1, map[string]int{"w0": 12})
 	late, inTime, urgent := askFor("w0", time.Minute), askFor("w0", time.Minute), askFor("w0", time.Minute)
 	late.TimeToTarget = -time.Millisecond
-	urgent.Rank = hold.Rank{Tenant: -1}
+	urgent.Rank = waitorder.Rank{Tenant: -1}
 	var waiters []*reservation.Waiter
 	for _, ask := range []*reservation.Request{late, inTime, urgent} {
 		waiter, got := broker.handle(now, l.service.currentLeaders(), reservation.Message{Report: full, Request: ask})
--- a/internal/batchrun/refuse_test.go
+++ b/internal/batchrun/refuse_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"github.com/dykewing/dykewing/hold"
 	"github.com/dykewing/dykewing/reservation"
+	"github.com/dykewing/dykewing/waitorder"
 )
 
 // overloadedLeader returns a leader of one full worker of 12 slots, each held for a second, to
@@ -20,9 +20,9 @@
 	for i := range 240 {
 		at := now.Add(time.Duration(i-240) * time.Second / 12)
 		line.Observe(at, 12, 12, 1)
-		line.RecordArrival(at, hold.Rank{})
-		line.RecordArrival(at, hold.Rank{})
-		line.RecordPlacement(at, hold.Rank{}, true)
+		line.RecordArrival(at, waitorder.Rank{})
+		line.RecordArrival(at, waitorder.Rank{})
+		line.RecordPlacement(at, waitorder.Rank{}, true)
 	}
 	return l, now, heldReport(1, map[string]int{"w0": 12})
 }
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -17,7 +17,7 @@
 
 	"github.com/dykewing/dykewing/clock"
 	"github.com/dykewing/dykewing/internal/kv"
-	"github.com/dykewing/dykewing/internal/pause"
+	"github.com/dykewing/dykewing/internal/sleep"
 	"github.com/dykewing/dykewing/route"
 	"github.com/dykewing/dykewing/worker"
 )
@@ -163,7 +163,7 @@
 			fullRead, delay = true, minRetryDelay // the service has answered
 		}
 		c.contactLost(err)
-		pause.For(ctx, delay/2+rand.N(delay))
+		sleep.For(ctx, delay/2+rand.N(delay))
 		delay = min(2*delay, maxRetryDelay)
 	}
 }
--- a/internal/catalog/peers.go
+++ b/internal/catalog/peers.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/dykewing/dykewing/api"
-	"github.com/dykewing/dykewing/internal/pause"
+	"github.com/dykewing/dykewing/internal/sleep"
 	"github.com/dykewing/dykewing/internal/transport"
 )
 
@@ -43,7 +43,7 @@
 	client := transport.NewClient(1)
 	defer client.CloseIdleConnections()
 	for attempt := 0; ctx.Err() == nil && c.Configuration() == nil; attempt++ {
-		pause.For(ctx, peerRetryInterval)
+		sleep.For(ctx, peerRetryInterval)
 		var others []api.Node
 		for _, node := range peers.Nodes() {
 			if node.ID != peers.ID() && node.Role == api.RoleFrontend {
--- a/internal/frontend/order.go
+++ b/internal/frontend/order.go
@@ -6,7 +6,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"github.com/dykewing/dykewing/hold"
+	"github.com/dykewing/dykewing/waitorder"
 )
 
 const (
@@ -23,10 +23,10 @@
 )
 
 // queueEntry returns the priority and deadlines of the request for admission queues.
-func (x *exchange) queueEntry() hold.Request {
+func (x *exchange) queueEntry() waitorder.Request {
 	left := x.timeLimit()
 	latestStart := x.arrived.Add(left - time.Duration(responseTimeFraction*float64(left)))
-	entry := hold.Request{Rank: hold.Rank{Tenant: x.identity.tenant.Priority, Route: x.route.Priority}, Target: latestStart, Deadline: latestStart}
+	entry := waitorder.Request{Rank: waitorder.Rank{Tenant: x.identity.tenant.Priority, Route: x.route.Priority}, Target: latestStart, Deadline: latestStart}
 	if x.route.Target > 0 {
 		entry.Target = x.arrived.Add(x.route.Target - x.waitedBefore() - startMargin)
 	}
--- a/internal/frontend/places.go
+++ b/internal/frontend/places.go
@@ -12,11 +12,11 @@
 	"github.com/sirupsen/logrus"
 
 	"github.com/dykewing/dykewing/api"
-	"github.com/dykewing/dykewing/hold"
 	"github.com/dykewing/dykewing/internal/backend"
 	"github.com/dykewing/dykewing/internal/transport"
 	"github.com/dykewing/dykewing/placement"
 	"github.com/dykewing/dykewing/reservation"
+	"github.com/dykewing/dykewing/waitorder"
 	"github.com/dykewing/dykewing/worker"
 )
 
@@ -156,7 +156,7 @@
 //
 // A worker may leave during the wait. In that case dropped is called with its ticket
 // and another worker is chosen.
-func (r *reservations) reserve(ctx context.Context, query worker.Query, entry hold.Request, attempt attemptInfo, dropped func(*backend.Assignment)) (*backend.Assignment, *api.Error) {
+func (r *reservations) reserve(ctx context.Context, query worker.Query, entry waitorder.Request, attempt attemptInfo, dropped func(*backend.Assignment)) (*backend.Assignment, *api.Error) {
 	for {
 		ticket, refusal := r.reserveOnce(ctx, query, entry, attempt)
 		if ticket == nil || r.pool.Accepts(ticket.Worker.ID) {
@@ -168,7 +168,7 @@
 }
 
 // reserveOnce is reserve without the check that the worker is still there.
-func (r *reservations) reserveOnce(ctx context.Context, query worker.Query, entry hold.Request, attempt attemptInfo) (*backend.Assignment, *api.Error) {
+func (r *reservations) reserveOnce(ctx context.Context, query worker.Query, entry waitorder.Request, attempt attemptInfo) (*backend.Assignment, *api.Error) {
 	requeued := attempt.requeued
 	var refusedBy api.NodeID // leader without a slot in time; one other leader is asked
 	full := map[api.NodeID]bool{}
@@ -272,7 +272,7 @@
 // for one of its workers and how long to wait there. It returns false if the request
 // can't wait any longer. The queue length alone is no criterion: it is 0 at a leader
 // that has lost its workers and refuses all requests.
-func (r *reservations) chooseQueue(query worker.Query, full map[api.NodeID]bool, entry hold.Request, refusedBy api.NodeID) (*backend.Assignment, time.Duration, bool) {
+func (r *reservations) chooseQueue(query worker.Query, full map[api.NodeID]bool, entry waitorder.Request, refusedBy api.NodeID) (*backend.Assignment, time.Duration, bool) {
 	wait := min(time.Until(entry.Deadline), maxReservationWait)
 	if wait <= 0 {
 		return nil, 0, false
@@ -308,7 +308,7 @@
 }
 
 // requestSlot asks a leader to reserve a slot, and updates what is known of the leader.
-func (r *reservations) requestSlot(ctx context.Context, peer api.Node, ticket *backend.Assignment, query worker.Query, entry hold.Request, ask reservation.Request) (reservation.Response, error) {
+func (r *reservations) requestSlot(ctx context.Context, peer api.Node, ticket *backend.Assignment, query worker.Query, entry waitorder.Request, ask reservation.Request) (reservation.Response, error) {
 	wait := ask.Wait
 	ask.Service, ask.Worker, ask.Parts, ask.Tokens, ask.Excluded = query.Service, ticket.Worker.ID, query.Parts, query.Tokens, query.Excluded
 	ask.Zone, ask.Rank, ask.TimeToTarget, ask.TimeToDeadline = r.zone, entry.Rank, time.Until(entry.Target), time.Until(entry.Deadline)
--- a/internal/frontend/places_test.go
+++ b/internal/frontend/places_test.go
@@ -19,10 +19,10 @@
 	"github.com/sirupsen/logrus/hooks/test"
 
 	"github.com/dykewing/dykewing/api"
-	"github.com/dykewing/dykewing/hold"
 	"github.com/dykewing/dykewing/internal/backend"
 	"github.com/dykewing/dykewing/internal/catalog"
 	"github.com/dykewing/dykewing/reservation"
+	"github.com/dykewing/dykewing/waitorder"
 	"github.com/dykewing/dykewing/worker"
 )
 
@@ -114,9 +114,9 @@
 }
 
 // startWithin returns a request that may wait that long.
-func startWithin(within time.Duration) hold.Request {
+func startWithin(within time.Duration) waitorder.Request {
 	now := time.Now()
-	return hold.Request{Target: now.Add(within), Deadline: now.Add(within)}
+	return waitorder.Request{Target: now.Add(within), Deadline: now.Add(within)}
 }
 
 func TestReserveFollowsLeaderAnswers(t *testing.T) {
--- a/internal/frontend/room.go
+++ b/internal/frontend/room.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"github.com/dykewing/dykewing/api"
-	"github.com/dykewing/dykewing/hold"
 	"github.com/dykewing/dykewing/overload"
+	"github.com/dykewing/dykewing/waitorder"
 	"github.com/dykewing/dykewing/worker"
 )
 
@@ -88,7 +88,7 @@
 // decide decides whether a request that workers have rejected waits or is refused. The
 // requests ahead of it are those beyond the slots of the workers and those that wait in
 // this frontend.
-func (c *capacityTracker) decide(now time.Time, service string, workers []worker.Occupancy, entry hold.Request) overload.Decision {
+func (c *capacityTracker) decide(now time.Time, service string, workers []worker.Occupancy, entry waitorder.Request) overload.Decision {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	s := c.service(service)
--- a/internal/frontend/room_test.go
+++ b/internal/frontend/room_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"github.com/dykewing/dykewing/hold"
+	"github.com/dykewing/dykewing/waitorder"
 	"github.com/dykewing/dykewing/worker"
 )
 
@@ -14,7 +14,7 @@
 // duration, and the time after the last one.
 func trackerAfterRequests(service string, requests int, holdTime time.Duration, workers []worker.Occupancy) (*capacityTracker, time.Time) {
 	c, now := &capacityTracker{}, testStart
-	c.decide(now, service, workers, hold.Request{Target: now, Deadline: now.Add(time.Hour)})
+	c.decide(now, service, workers, waitorder.Request{Target: now, Deadline: now.Add(time.Hour)})
 	for range requests {
 		c.requestSent(now, service)
 		now = now.Add(holdTime)
@@ -50,7 +50,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c, now := trackerAfterRequests("s", test.requests, test.holdTime, occupied(test.more))
-			v := c.decide(now, "s", occupied(test.more), hold.Request{Target: now.Add(test.begin), Deadline: now.Add(test.last)})
+			v := c.decide(now, "s", occupied(test.more), waitorder.Request{Target: now.Add(test.begin), Deadline: now.Add(test.last)})
 			if v.Reject != test.refuse || v.Reject != (v.RetryAfter > 0) {
 				t.Errorf("%+v", v)
 			}
@@ -66,7 +66,7 @@
 		now = now.Add(time.Millisecond)
 		c.requestEnded(now, "s", false)
 	}
-	if v := c.decide(now, "s", workers, hold.Request{Target: now.Add(time.Second), Deadline: now.Add(time.Second)}); v.RateKnown {
+	if v := c.decide(now, "s", workers, waitorder.Request{Target: now.Add(time.Second), Deadline: now.Add(time.Second)}); v.RateKnown {
 		t.Errorf("%+v", v)
 	}
 }
@@ -76,7 +76,7 @@
 func TestLateRequestsAreRefusedAfterAnExhaustedWait(t *testing.T) {
 	c, now := &capacityTracker{}, testStart
 	late := func() bool {
-		return c.decide(now, "s", nil, hold.Request{Target: now.Add(-1), Deadline: now.Add(time.Second)}).Reject
+		return c.decide(now, "s", nil, waitorder.Request{Target: now.Add(-1), Deadline: now.Add(time.Second)}).Reject
 	}
 	if late() {
 		t.Fatal("refused before any wait was exhausted")
@@ -85,7 +85,7 @@
 	if !late() {
 		t.Error("late request not refused after an exhausted wait")
 	}
-	if c.decide(now, "s", nil, hold.Request{Target: now.Add(time.Second), Deadline: now.Add(time.Second)}).Reject {
+	if c.decide(now, "s", nil, waitorder.Request{Target: now.Add(time.Second), Deadline: now.Add(time.Second)}).Reject {
 		t.Error("request that can be in time is refused")
 	}
 	if now = now.Add(exhaustedTTL); late() {
@@ -96,9 +96,9 @@
 func TestWaitingRequestsCountAsAhead(t *testing.T) {
 	workers := []worker.Occupancy{{Worker: worker.Worker{Slots: 6}, OtherInFlight: 6, Usable: true}}
 	c, now := trackerAfterRequests("s", 20, 60*time.Millisecond, workers)
-	before := c.decide(now, "s", workers, hold.Request{Target: now.Add(time.Second), Deadline: now.Add(time.Second)})
+	before := c.decide(now, "s", workers, waitorder.Request{Target: now.Add(time.Second), Deadline: now.Add(time.Second)})
 	c.addWaiting("s", 5)
-	after := c.decide(now, "s", workers, hold.Request{Target: now.Add(time.Second), Deadline: now.Add(time.Second)})
+	after := c.decide(now, "s", workers, waitorder.Request{Target: now.Add(time.Second), Deadline: now.Add(time.Second)})
 	if after.Ahead != before.Ahead+5 || after.ExpectedWait <= before.ExpectedWait {
 		t.Errorf("before: %+v, after: %+v", before, after)
 	}
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -19,7 +19,7 @@
 	"github.com/dykewing/dykewing/clock"
 	"github.com/dykewing/dykewing/internal/catalog"
 	"github.com/dykewing/dykewing/internal/kv"
-	"github.com/dykewing/dykewing/internal/pause"
+	"github.com/dykewing/dykewing/internal/sleep"
 	"github.com/dykewing/dykewing/internal/transport"
 	"github.com/dykewing/dykewing/quarantine"
 	"github.com/dykewing/dykewing/worker"
@@ -182,7 +182,7 @@
 // if so.
 func (g *Guard) probe(known *brokenWorker) {
 	crashed := !listening(g.ctx, known.worker.Address)
-	if !pause.For(g.ctx, probeInterval) {
+	if !sleep.For(g.ctx, probeInterval) {
 		return
 	}
 	crashed = crashed || !listening(g.ctx, known.worker.Address) || g.restarted(known.worker)
--- a/internal/guard/owner.go
+++ b/internal/guard/owner.go
@@ -11,7 +11,7 @@
 
 	"github.com/dykewing/dykewing/api"
 	"github.com/dykewing/dykewing/clock"
-	"github.com/dykewing/dykewing/internal/pause"
+	"github.com/dykewing/dykewing/internal/sleep"
 	"github.com/dykewing/dykewing/internal/transport"
 	"github.com/dykewing/dykewing/placement"
 	"github.com/dykewing/dykewing/quarantine"
@@ -166,7 +166,7 @@
 // expireIdle releases requests that have not arrived again within the idle timeout, until
 // ctx is done.
 func (o *owner) expireIdle(ctx context.Context) {
-	for pause.For(ctx, idleInterval) {
+	for sleep.For(ctx, idleInterval) {
 		if !o.isPrimary() {
 			continue
 		}
--- a/internal/guard/published.go
+++ b/internal/guard/published.go
@@ -14,7 +14,7 @@
 	"github.com/sirupsen/logrus"
 
 	"github.com/dykewing/dykewing/internal/kv"
-	"github.com/dykewing/dykewing/internal/pause"
+	"github.com/dykewing/dykewing/internal/sleep"
 	"github.com/dykewing/dykewing/quarantine"
 )
 
@@ -156,7 +156,7 @@
 			return
 		}
 		for !p.writeAll(ctx) {
-			if !pause.For(ctx, publishRetryInterval) {
+			if !sleep.For(ctx, publishRetryInterval) {
 				return
 			}
 		}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -17,7 +17,7 @@
 	"github.com/dykewing/dykewing/clock"
 	"github.com/dykewing/dykewing/feed"
 	"github.com/dykewing/dykewing/internal/kv"
-	"github.com/dykewing/dykewing/internal/pause"
+	"github.com/dykewing/dykewing/internal/sleep"
 	"github.com/dykewing/dykewing/internal/transport"
 )
 
@@ -123,7 +123,7 @@
 	for ctx.Err() == nil {
 		r.refreshMembers()
 		query := r.chooser.NextFullRead(clock.Now())
-		pause.For(ctx, min(clock.Until(query.NotBefore), memberPollInterval))
+		sleep.For(ctx, min(clock.Until(query.NotBefore), memberPollInterval))
 		if clock.Until(query.NotBefore) > 0 {
 			continue
 		}
@@ -173,7 +173,7 @@
 			return fmt.Errorf("%w: %w", errNoLocalState, kv.ErrCompacted)
 		}
 		query := r.chooser.Next(clock.Now())
-		pause.For(ctx, clock.Until(query.NotBefore))
+		sleep.For(ctx, clock.Until(query.NotBefore))
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
@@ -327,10 +327,10 @@
 		return minBatchDelay
 	}
 	if r.chooser.UsesWatchers() {
-		pause.For(ctx, r.settings.BatchDelay())
+		sleep.For(ctx, r.settings.BatchDelay())
 		return minBatchDelay
 	}
-	pause.For(ctx, delay)
+	sleep.For(ctx, delay)
 	return min(2*delay, maxBatchDelay)
 }
 
--- a/internal/relay/start.go
+++ b/internal/relay/start.go
@@ -7,7 +7,7 @@
 	"github.com/dykewing/dykewing/clock"
 	"github.com/dykewing/dykewing/feed"
 	"github.com/dykewing/dykewing/internal/kv"
-	"github.com/dykewing/dykewing/internal/pause"
+	"github.com/dykewing/dykewing/internal/sleep"
 )
 
 const (
@@ -25,7 +25,7 @@
 	}
 	r.zoneAwaited = true
 	for deadline := clock.Now().Add(zoneWaitTimeout); !r.ZoneKnown() && clock.Until(deadline) > 0 && ctx.Err() == nil; {
-		pause.For(ctx, zonePollInterval)
+		sleep.For(ctx, zonePollInterval)
 	}
 }
 
--- a/internal/sidecar/online.go
+++ b/internal/sidecar/online.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/dykewing/dykewing/api"
-	"github.com/dykewing/dykewing/internal/pause"
+	"github.com/dykewing/dykewing/internal/sleep"
 	"github.com/dykewing/dykewing/internal/transport"
 	"github.com/dykewing/dykewing/retry"
 )
@@ -75,7 +75,7 @@
 			outcome = api.OutcomeUnknown
 		}
 		decision := s.decideRetry(request, number, failure)
-		if !decision.Retry || !pause.For(ctx, decision.Delay) {
+		if !decision.Retry || !sleep.For(ctx, decision.Delay) {
 			final := *failure
 			final.Outcome = outcome
 			return nil, &final
--- a/internal/sidecar/resume.go
+++ b/internal/sidecar/resume.go
@@ -11,7 +11,7 @@
 
 	"github.com/dykewing/dykewing/api"
 	"github.com/dykewing/dykewing/internal/engine"
-	"github.com/dykewing/dykewing/internal/pause"
+	"github.com/dykewing/dykewing/internal/sleep"
 	"github.com/dykewing/dykewing/internal/transport"
 )
 
@@ -35,7 +35,7 @@
 	}
 	answer.resumes++
 	for number := range resumeAttempts {
-		if !pause.For(ctx, time.Duration(number)*resumeBackoff) {
+		if !sleep.For(ctx, time.Duration(number)*resumeBackoff) {
 			break
 		}
 		response, err := s.requestResume(ctx, request, answer.worker, passed)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -16,7 +16,7 @@
 
 	"github.com/dykewing/dykewing/api"
 	"github.com/dykewing/dykewing/internal/node"
-	"github.com/dykewing/dykewing/internal/pause"
+	"github.com/dykewing/dykewing/internal/sleep"
 	"github.com/dykewing/dykewing/internal/storeclient"
 	"github.com/dykewing/dykewing/internal/transport"
 	"github.com/dykewing/dykewing/retry"
@@ -117,7 +117,7 @@
 	s.leaving.Store(true)
 	// Refuse new connections first: a refused request certainly did not run.
 	_ = s.listener.Close()
-	pause.For(deadline, drainPeriod)
+	sleep.For(deadline, drainPeriod)
 	err := server.Shutdown(deadline)
 	s.awaitRecords(deadline)
 	return err
--- a/internal/pause/pause.go
+++ b/internal/sleep/pause.go
@@ -1,5 +1,5 @@
-// Package pause provides a sleep that a context can interrupt.
-package pause
+// Package sleep provides a sleep that a context can interrupt.
+package sleep
 
 import (
 	"context"
--- a/internal/pause/pause_test.go
+++ b/internal/sleep/pause_test.go
@@ -1,4 +1,4 @@
-package pause
+package sleep
 
 import (
 	"context"
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -12,7 +12,7 @@
 	"slices"
 	"time"
 
-	"github.com/dykewing/dykewing/hold"
+	"github.com/dykewing/dykewing/waitorder"
 )
 
 const (
@@ -62,7 +62,7 @@
 
 // rankState is the state of one rank: its first attempts and its promised retries.
 type rankState struct {
-	rank             hold.Rank
+	rank             waitorder.Rank
 	arrivals, onTime rate
 	retries          retrySchedule
 }
@@ -115,12 +115,12 @@
 }
 
 // RecordArrival records the first attempt of a request.
-func (l *Controller) RecordArrival(now time.Time, rank hold.Rank) {
+func (l *Controller) RecordArrival(now time.Time, rank waitorder.Rank) {
 	l.state(now, rank).arrivals.add(now, shortDecay)
 }
 
 // RecordPlacement records that a request got a slot, and whether it did in time.
-func (l *Controller) RecordPlacement(now time.Time, rank hold.Rank, inTime bool) {
+func (l *Controller) RecordPlacement(now time.Time, rank waitorder.Rank, inTime bool) {
 	if inTime {
 		l.state(now, rank).onTime.add(now, longDecay)
 	}
@@ -132,7 +132,7 @@
 // Claim redeems the oldest promise of a rank for a retry and returns the time of its slot.
 // It returns false if the slot is due less than claimMargin before last, the time left to
 // start.
-func (l *Controller) Claim(now time.Time, rank hold.Rank, last time.Duration) (time.Time, bool) {
+func (l *Controller) Claim(now time.Time, rank waitorder.Rank, last time.Duration) (time.Time, bool) {
 	return l.state(now, rank).retries.claim(now, now.Add(last-claimMargin))
 }
 
@@ -145,8 +145,8 @@
 }
 
 // state returns the state of a rank and creates it if needed, evicting inactive ranks.
-func (l *Controller) state(now time.Time, rank hold.Rank) *rankState {
-	compare := func(r rankState, rank hold.Rank) int { return r.rank.Compare(rank) }
+func (l *Controller) state(now time.Time, rank waitorder.Rank) *rankState {
+	compare := func(r rankState, rank waitorder.Rank) int { return r.rank.Compare(rank) }
 	i, found := slices.BinarySearchFunc(l.ranks, rank, compare)
 	if !found {
 		l.ranks = slices.DeleteFunc(l.ranks, func(r rankState) bool {
@@ -160,7 +160,7 @@
 
 // promisedBy counts the promises of a rank and of more urgent ones that are due before a
 // time.
-func (l *Controller) promisedBy(rank hold.Rank, by time.Time) (n int) {
+func (l *Controller) promisedBy(rank waitorder.Rank, by time.Time) (n int) {
 	for i := range l.ranks {
 		if l.ranks[i].rank.Compare(rank) > 0 {
 			break
@@ -175,7 +175,7 @@
 
 // rates returns the rate of first attempts per second of the ranks before this one, the same
 // including this one, and the rate of on-time placements of the latter.
-func (l *Controller) rates(now time.Time, rank hold.Rank) (before, with, onTime float64) {
+func (l *Controller) rates(now time.Time, rank waitorder.Rank) (before, with, onTime float64) {
 	for i := range l.ranks {
 		r := &l.ranks[i]
 		order := r.rank.Compare(rank)
@@ -194,7 +194,7 @@
 
 // Request describes the request to decide for.
 type Request struct {
-	Rank hold.Rank
+	Rank waitorder.Rank
 	// Time left to start on time, and to start at all.
 	TimeToTarget, TimeToDeadline time.Duration
 	// Promised is set for a retry that has claimed a slot, which is due after Due.
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/dykewing/dykewing/hold"
+	"github.com/dykewing/dykewing/waitorder"
 )
 
 const ms = time.Millisecond
@@ -23,10 +23,10 @@
 		now = testStart.Add(time.Duration(i) * 10 * ms)
 		l.Observe(now, 100, 100, 1)
 		for n := i * arrivals / 100; n < (i+1)*arrivals/100; n++ {
-			l.RecordArrival(now, hold.Rank{Route: 1})
+			l.RecordArrival(now, waitorder.Rank{Route: 1})
 		}
 		for n := i * inTime / 100; n < (i+1)*inTime/100; n++ {
-			l.RecordPlacement(now, hold.Rank{Route: 1}, true)
+			l.RecordPlacement(now, waitorder.Rank{Route: 1}, true)
 		}
 	}
 	return l, now
@@ -51,18 +51,18 @@
 		{"late on arrival, no slots left", 150, 100, Request{TimeToTarget: -ms, TimeToDeadline: 3000 * ms}, 0, decision{true, 3000 * ms, time.Hour}},
 		{"late on arrival, slots left", 50, 50, Request{TimeToTarget: -ms, TimeToDeadline: 3000 * ms}, 0, decision{false, 10 * ms, 30 * ms}},
 		{"no time left", 50, 50, Request{TimeToTarget: -ms, TimeToDeadline: 0}, 0, decision{true, 0, time.Hour}},
-		{"more urgent than other arrivals", 150, 100, Request{Rank: hold.Rank{Route: 0}, TimeToTarget: 200 * ms, TimeToDeadline: 3000 * ms}, 5, decision{false, 55 * ms, 75 * ms}},
-		{"less urgent than other arrivals", 150, 100, Request{Rank: hold.Rank{Route: 2}, TimeToTarget: 200 * ms, TimeToDeadline: 3000 * ms}, 10, decision{true, 3000 * ms, time.Hour}},
+		{"more urgent than other arrivals", 150, 100, Request{Rank: waitorder.Rank{Route: 0}, TimeToTarget: 200 * ms, TimeToDeadline: 3000 * ms}, 5, decision{false, 55 * ms, 75 * ms}},
+		{"less urgent than other arrivals", 150, 100, Request{Rank: waitorder.Rank{Route: 2}, TimeToTarget: 200 * ms, TimeToDeadline: 3000 * ms}, 10, decision{true, 3000 * ms, time.Hour}},
 		{"promised retry", 150, 100, Request{TimeToTarget: -ms, TimeToDeadline: 1500 * ms, Promised: true, Due: 300 * ms}, 0, decision{false, 300 * ms, 301 * ms}},
 		{"promised retry, slot too late", 150, 100, Request{TimeToTarget: -ms, TimeToDeadline: 200 * ms, Promised: true, Due: 300 * ms}, 0, decision{true, 300 * ms, 301 * ms}},
-		{"barely on time on arrival", 150, 100, Request{Rank: hold.Rank{Route: 1}, TimeToTarget: 200 * ms, TimeToDeadline: 3000 * ms}, 17, decision{true, 0, time.Hour}},
-		{"barely on time while queued", 150, 100, Request{Rank: hold.Rank{Route: 1}, TimeToTarget: 200 * ms, TimeToDeadline: 3000 * ms, Queued: true}, 17, decision{false, 150 * ms, 200 * ms}},
+		{"barely on time on arrival", 150, 100, Request{Rank: waitorder.Rank{Route: 1}, TimeToTarget: 200 * ms, TimeToDeadline: 3000 * ms}, 17, decision{true, 0, time.Hour}},
+		{"barely on time while queued", 150, 100, Request{Rank: waitorder.Rank{Route: 1}, TimeToTarget: 200 * ms, TimeToDeadline: 3000 * ms, Queued: true}, 17, decision{false, 150 * ms, 200 * ms}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			l, now := busyLine(test.arrivals, test.inTime)
-			if test.use.Rank == (hold.Rank{}) && test.name != "more urgent than other arrivals" {
-				test.use.Rank = hold.Rank{Route: 1}
+			if test.use.Rank == (waitorder.Rank{}) && test.name != "more urgent than other arrivals" {
+				test.use.Rank = waitorder.Rank{Route: 1}
 			}
 			v := l.Decide(now, test.use, test.ahead)
 			if v.Reject != test.want.refuse || v.ExpectedWait < test.want.lower || v.ExpectedWait > test.want.upper || !v.RateKnown {
@@ -117,7 +117,7 @@
 // Promised retries are ordered, spaced by the rate of free slots, and claimed oldest first.
 func TestPromisedRetriesAreOrdered(t *testing.T) {
 	l, now := busyLine(200, 100)
-	rank := hold.Rank{Route: 1}
+	rank := waitorder.Rank{Route: 1}
 	var delays []time.Duration
 	for range 30 {
 		v := l.Decide(now, Request{Rank: rank, TimeToTarget: 200 * ms, TimeToDeadline: 3000 * ms}, 100)
@@ -147,7 +147,7 @@
 // Guards against giving a promised slot to a request that arrives before the retry.
 func TestPromisesDelayLaterArrivals(t *testing.T) {
 	l, now := busyLine(200, 100)
-	use := Request{Rank: hold.Rank{Route: 1}, TimeToTarget: 200 * ms, TimeToDeadline: 3000 * ms}
+	use := Request{Rank: waitorder.Rank{Route: 1}, TimeToTarget: 200 * ms, TimeToDeadline: 3000 * ms}
 	before := l.Evaluate(now, use, 2)
 	for range 20 {
 		l.Decide(now, use, 100)
@@ -192,7 +192,7 @@
 func TestInactiveRanksAreEvicted(t *testing.T) {
 	l := Controller{}
 	for i := range 10_000 {
-		l.RecordArrival(testStart.Add(time.Duration(i)*time.Second), hold.Rank{Tenant: i})
+		l.RecordArrival(testStart.Add(time.Duration(i)*time.Second), waitorder.Rank{Tenant: i})
 	}
 	if n := len(l.ranks); n > 20 {
 		t.Errorf("%d ranks kept", n)
@@ -221,7 +221,7 @@
 				l.Observe(now, 100, 100, 10)
 				l.SetWaiting(now, test.waits)
 				for range test.placed {
-					l.RecordPlacement(now, hold.Rank{}, true)
+					l.RecordPlacement(now, waitorder.Rank{}, true)
 				}
 			}
 			if got, _ := l.Rate(); got < test.lower || got > test.upper {
--- a/reservation/queue.go
+++ b/reservation/queue.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/dykewing/dykewing/api"
-	"github.com/dykewing/dykewing/hold"
 	"github.com/dykewing/dykewing/overload"
+	"github.com/dykewing/dykewing/waitorder"
 )
 
 // Waiter is a request that waits for a slot.
@@ -14,7 +14,7 @@
 	Node       api.NodeID
 	Request    Request
 	EnqueuedAt time.Time
-	Order      hold.Request
+	Order      waitorder.Request
 	// Response receives the response. It is buffered, so that sending does not block.
 	Response chan Response
 }
@@ -24,7 +24,7 @@
 func NewWaiter(now time.Time, node api.NodeID, ask Request) *Waiter {
 	w := &Waiter{
 		Node: node, Request: ask, EnqueuedAt: now, Response: make(chan Response, 1),
-		Order: hold.Request{Rank: ask.Rank, Target: now.Add(ask.TimeToTarget), Deadline: now.Add(ask.TimeToDeadline)},
+		Order: waitorder.Request{Rank: ask.Rank, Target: now.Add(ask.TimeToTarget), Deadline: now.Add(ask.TimeToDeadline)},
 	}
 	if ask.Promise != nil {
 		w.Order.Promised = now.Add(*ask.Promise)
@@ -55,7 +55,7 @@
 
 // RecordPlacement records that a request was granted a slot.
 func (q *Queue) RecordPlacement(now time.Time, w *Waiter) {
-	q.Controller.RecordPlacement(now, w.Order.Rank, w.Order.Class(now) == hold.OnTime)
+	q.Controller.RecordPlacement(now, w.Order.Rank, w.Order.Class(now) == waitorder.OnTime)
 }
 
 // Full returns the response for a request that got no slot and no longer waits.
@@ -79,7 +79,7 @@
 
 // Sorted returns the waiting requests in the order in which they are to be granted slots.
 func (q *Queue) Sorted(now time.Time) []*Waiter {
-	slices.SortStableFunc(q.waiters, func(a, b *Waiter) int { return hold.Compare(now, a.Order, b.Order) })
+	slices.SortStableFunc(q.waiters, func(a, b *Waiter) int { return waitorder.Compare(now, a.Order, b.Order) })
 	return slices.Clone(q.waiters)
 }
 
@@ -96,7 +96,7 @@
 func (q *Queue) countAhead(now time.Time, w *Waiter) (ahead int) {
 	for _, other := range q.waiters {
 		due := !other.Order.Promised.IsZero() && !other.Order.Promised.After(w.Order.Target) && other.Order.Rank.Compare(w.Order.Rank) <= 0
-		if other != w && (due || hold.Compare(now, other.Order, w.Order) <= 0) {
+		if other != w && (due || waitorder.Compare(now, other.Order, w.Order) <= 0) {
 			ahead++
 		}
 	}
--- a/reservation/replay_test.go
+++ b/reservation/replay_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"github.com/dykewing/dykewing/hold"
+	"github.com/dykewing/dykewing/waitorder"
 )
 
 // The replay simulates the queue of one service with a varying number of slots. Requests
@@ -214,7 +214,7 @@
 	return fmt.Sprintf("%.3f | %.3f | %.3f | %d | %d | %d | %.2f", o.inTimeFirstTry, o.inTime, o.served, o.medianRejection.Milliseconds(), o.p99Rejection.Milliseconds(), o.rejectedTwice, o.fairness)
 }
 
-func compareByClass(now time.Time, a, b *caller) int { return hold.Compare(now, a.Order, b.Order) }
+func compareByClass(now time.Time, a, b *caller) int { return waitorder.Compare(now, a.Order, b.Order) }
 
 func compareByAge(_ time.Time, a, b *caller) int { return a.askedAt.Compare(b.askedAt) }
 
--- a/reservation/reservation_test.go
+++ b/reservation/reservation_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/dykewing/dykewing/api"
-	"github.com/dykewing/dykewing/hold"
+	"github.com/dykewing/dykewing/waitorder"
 )
 
 var start = time.Unix(1_700_000_000, 0)
@@ -110,7 +110,7 @@
 	}
 	now := start.Add(time.Second)
 	wait := func(rank int, begin time.Duration) *Waiter {
-		return NewWaiter(now, "f", Request{Rank: hold.Rank{Route: rank}, TimeToTarget: begin, TimeToDeadline: 3 * time.Second})
+		return NewWaiter(now, "f", Request{Rank: waitorder.Rank{Route: rank}, TimeToTarget: begin, TimeToDeadline: 3 * time.Second})
 	}
 	for range 50 {
 		q.Add(wait(1, 200*ms))
@@ -186,9 +186,9 @@
 		now = start.Add(time.Duration(i) * 10 * time.Millisecond)
 		q.Controller.Observe(now, 100, 100, 1)
 		for n := i * arrivals / 100; n < (i+1)*arrivals/100; n++ {
-			q.Controller.RecordArrival(now, hold.Rank{})
+			q.Controller.RecordArrival(now, waitorder.Rank{})
 		}
-		q.Controller.RecordPlacement(now, hold.Rank{}, true)
+		q.Controller.RecordPlacement(now, waitorder.Rank{}, true)
 	}
 	return q, now
 }
@@ -252,12 +252,12 @@
 // Requests that queue again and probes do not count as new arrivals.
 func TestArrivalRateCountsOnlyNewCallers(t *testing.T) {
 	q, now := saturatedQueue(50)
-	before := q.Controller.Evaluate(now, overloadRequest(now, NewWaiter(now, "f", Request{Rank: hold.Rank{Route: 1}, TimeToTarget: time.Second, TimeToDeadline: time.Second}), false), 0).Rate
+	before := q.Controller.Evaluate(now, overloadRequest(now, NewWaiter(now, "f", Request{Rank: waitorder.Rank{Route: 1}, TimeToTarget: time.Second, TimeToDeadline: time.Second}), false), 0).Rate
 	for range 100 {
 		q.RecordArrival(now, NewWaiter(now, "f", Request{Requeued: true, TimeToTarget: time.Second, TimeToDeadline: time.Second}))
 		q.Full(now, NewWaiter(now, "f", Request{TimeToTarget: time.Second, TimeToDeadline: time.Second}))
 	}
-	after := q.Controller.Evaluate(now, overloadRequest(now, NewWaiter(now, "f", Request{Rank: hold.Rank{Route: 1}, TimeToTarget: time.Second, TimeToDeadline: time.Second}), false), 0).Rate
+	after := q.Controller.Evaluate(now, overloadRequest(now, NewWaiter(now, "f", Request{Rank: waitorder.Rank{Route: 1}, TimeToTarget: time.Second, TimeToDeadline: time.Second}), false), 0).Rate
 	if before != after || before < 40 || before > 60 {
 		t.Errorf("rate left for later ranks is %.1f per second, was %.1f, want 40 to 60 unchanged", after, before)
 	}
--- a/hold/hold.go
+++ b/waitorder/hold.go
@@ -1,9 +1,9 @@
-// Package hold orders requests that are queued for a slot: by the rank of their tenant and
+// Package waitorder orders requests that are queued for a slot: by the rank of their tenant and
 // route, then promised retries whose slot is due, then requests that can still start on
 // time, earliest deadline first, then late ones. Late requests go last even if they are
 // about to expire, since each would take the slot of a request that can be on time. The
 // package does no I/O and reads no clock.
-package hold
+package waitorder
 
 import (
 	"cmp"
--- a/hold/hold_test.go
+++ b/waitorder/hold_test.go
@@ -1,4 +1,4 @@
-package hold
+package waitorder
 
 import (
 	"cmp"
